--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -15,9 +15,9 @@
 
 var start = time.Unix(1_000_000, 0)
 
-func quiet() float64 { return 0 }
+func zeroDraw() float64 { return 0 }
 
-func engines(count, slots int) *catalog.Snapshot {
+func newSnapshot(count, slots int) *catalog.Snapshot {
 	var list []catalog.Engine
 	for i := range count {
 		zone := "near"
@@ -29,79 +29,79 @@
 	return catalog.NewSnapshot(nil, list)
 }
 
-func TestTheNearAndLeastLoadedEngineIsChosen(t *testing.T) {
+func TestChoosePrefersNearLeastLoadedEngine(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := NewTable()
-	snapshot := engines(3, 10) // a near, b far, c near
+	snapshot := newSnapshot(3, 10) // a near, b far, c near
 	wish := Wish{Service: "s", Zone: "near"}
 	table.Begin("a", ClassOnline, 0, start)
-	chosen, found := table.Choose(snapshot, wish, start, quiet)
+	chosen, found := table.Choose(snapshot, wish, start, zeroDraw)
 	g.Expect(found).To(gomega.BeTrue())
 	g.Expect(chosen.ID).To(gomega.Equal("c"))
 	for range 4 {
 		table.Begin("a", ClassOnline, 0, start)
 		table.Begin("c", ClassOnline, 0, start)
 	}
-	chosen, _ = table.Choose(snapshot, wish, start, quiet)
-	g.Expect(chosen.ID).To(gomega.Equal("b"), "another zone once it has much more room")
+	chosen, _ = table.Choose(snapshot, wish, start, zeroDraw)
+	g.Expect(chosen.ID).To(gomega.Equal("b"), "another zone has much more room")
 }
 
-func TestAvoidedAndSetAsideEnginesComeLast(t *testing.T) {
+func TestChooseUsesAvoidedAndEjectedEnginesLast(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := NewTable()
-	snapshot := engines(2, 4)
+	snapshot := newSnapshot(2, 4)
 	table.Failed("a", start)
-	chosen, _ := table.Choose(snapshot, Wish{Service: "s", Zone: "near"}, start, quiet)
+	chosen, _ := table.Choose(snapshot, Wish{Service: "s", Zone: "near"}, start, zeroDraw)
 	g.Expect(chosen.ID).To(gomega.Equal("b"))
-	chosen, found := table.Choose(snapshot, Wish{Service: "s", Zone: "near", Avoid: []string{"b"}}, start, quiet)
+	chosen, found := table.Choose(snapshot, Wish{Service: "s", Zone: "near", Avoid: []string{"b"}}, start, zeroDraw)
 	g.Expect(found).To(gomega.BeTrue())
-	g.Expect(chosen.ID).To(gomega.Equal("a"), "an engine that failed lately rather than none")
-	_, found = table.Choose(snapshot, Wish{Service: "s", Avoid: []string{"a", "b"}}, start, quiet)
-	g.Expect(found).To(gomega.BeTrue(), "back to an engine that it has been to rather than to none")
-	_, found = table.Choose(snapshot, Wish{Service: "other"}, start, quiet)
+	g.Expect(chosen.ID).To(gomega.Equal("a"), "an ejected engine is used if there is no other")
+	_, found = table.Choose(snapshot, Wish{Service: "s", Avoid: []string{"a", "b"}}, start, zeroDraw)
+	g.Expect(found).To(gomega.BeTrue(), "an avoided engine is used if there is no other")
+	_, found = table.Choose(snapshot, Wish{Service: "other"}, start, zeroDraw)
 	g.Expect(found).To(gomega.BeFalse())
 }
 
-func TestEnginesAreSetAsideLongerEachTime(t *testing.T) {
+func TestEjectionDoublesUpToMaximum(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := NewTable()
-	g.Expect(table.Failed("a", start)).To(gomega.Equal(asideFirst))
-	g.Expect(table.Failed("a", start)).To(gomega.Equal(2 * asideFirst))
+	g.Expect(table.Failed("a", start)).To(gomega.Equal(minEjection))
+	g.Expect(table.Failed("a", start)).To(gomega.Equal(2 * minEjection))
 	for range 70 {
-		g.Expect(table.Failed("a", start)).To(gomega.BeNumerically("<=", asideMost))
+		g.Expect(table.Failed("a", start)).To(gomega.BeNumerically("<=", maxEjection))
 	}
 	table.Succeeded("a", start)
-	g.Expect(table.sound("a", start)).To(gomega.BeTrue())
-	g.Expect(table.Failed("a", start)).To(gomega.Equal(asideFirst))
+	g.Expect(table.healthy("a", start)).To(gomega.BeTrue())
+	g.Expect(table.Failed("a", start)).To(gomega.Equal(minEjection))
 }
 
-func TestOtherNodesRequestsCount(t *testing.T) {
+func TestChooseCountsPeerRequestsUntilExpiry(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := NewTable()
-	snapshot := engines(1, 6)
-	table.PeerLoad("peer", Report{KeyOf("a"): {Counts: Counts{6 + queueDepth, 0}}}, start)
-	_, found := table.Choose(snapshot, Wish{Service: "s", Zone: "near"}, start, quiet)
+	snapshot := newSnapshot(1, 6)
+	table.PeerLoad("peer", Report{KeyOf("a"): {Counts: Counts{6 + maxQueued, 0}}}, start)
+	_, found := table.Choose(snapshot, Wish{Service: "s", Zone: "near"}, start, zeroDraw)
 	g.Expect(found).To(gomega.BeFalse())
-	_, found = table.Choose(snapshot, Wish{Service: "s", Zone: "near"}, start.Add(2*peerLife), quiet)
-	g.Expect(found).To(gomega.BeTrue(), "a silent peer's figures lapse")
+	_, found = table.Choose(snapshot, Wish{Service: "s", Zone: "near"}, start.Add(2*peerTTL), zeroDraw)
+	g.Expect(found).To(gomega.BeTrue(), "the peer's report has expired")
 }
 
-func TestAnEnginesOwnFiguresCountWhileFresh(t *testing.T) {
+func TestChooseCountsEngineReportUntilExpiry(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := NewTable()
-	snapshot := engines(1, 6)
-	table.Reported("a", upstream.Load{Running: 6, Waiting: queueDepth}, start)
-	_, found := table.Choose(snapshot, Wish{Service: "s", Zone: "near"}, start, quiet)
+	snapshot := newSnapshot(1, 6)
+	table.Reported("a", upstream.Load{Running: 6, Waiting: maxQueued}, start)
+	_, found := table.Choose(snapshot, Wish{Service: "s", Zone: "near"}, start, zeroDraw)
 	g.Expect(found).To(gomega.BeFalse())
-	_, found = table.Choose(snapshot, Wish{Service: "s", Zone: "near"}, start.Add(2*reportLife), quiet)
+	_, found = table.Choose(snapshot, Wish{Service: "s", Zone: "near"}, start.Add(2*engineReportTTL), zeroDraw)
 	g.Expect(found).To(gomega.BeTrue())
 }
 
-// fillWithBatch starts batch work while there is room, and returns how much.
+// fillWithBatch starts batch requests until no engine has room and returns their number.
 func fillWithBatch(table *Table, snapshot *catalog.Snapshot, now time.Time) int {
 	wish := Wish{Service: "s", Zone: "near", Class: ClassBatch}
 	for count := 0; ; count++ {
-		chosen, found := table.Choose(snapshot, wish, now, quiet)
+		chosen, found := table.Choose(snapshot, wish, now, zeroDraw)
 		if !found {
 			return count
 		}
@@ -109,16 +109,15 @@
 	}
 }
 
-// Batch work takes what online work leaves but for a share of the service's
-// slots, and gives it back where online work needs it.
-func TestBatchWorkLeavesRoomAndYields(t *testing.T) {
+// Batch work must leave the reserve free and be preempted when online requests need slots.
+func TestBatchKeepsReserveAndIsPreempted(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := NewTable()
-	snapshot := engines(4, 10)
+	snapshot := newSnapshot(4, 10)
 	table.PeerLoad("front", Report{KeyOf("a"): {Counts: Counts{5, 0}}}, start)
 	batch := fillWithBatch(table, snapshot, start)
 	free := 4*10 - 5 - batch
-	g.Expect(float64(free)).To(gomega.BeNumerically("~", freeShare*4*10, 1), "a share is left free")
+	g.Expect(float64(free)).To(gomega.BeNumerically("~", batchReserve*4*10, 1), "the reserve stays free")
 	g.Expect(table.Overfull(snapshot, start)).To(gomega.BeEmpty())
 	counted := table.running("a", ClassBatch, start)
 	table.PeerLoad("front", Report{KeyOf("a"): {Counts: Counts{9, 0}}}, start)
@@ -129,12 +128,11 @@
 	g.Expect(table.Overfull(snapshot, start)).To(gomega.BeEmpty())
 }
 
-// The share that batch work leaves free is the service's, wherever it is:
-// engines of any size are used up to it.
-func TestTheFreeShareIsTheServices(t *testing.T) {
+// The batch reserve applies to the whole service, not to each engine.
+func TestBatchReserveIsPerService(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewTable()
-		snapshot := engines(rapid.IntRange(1, 20).Draw(t, "engines"), rapid.IntRange(1, 40).Draw(t, "slots"))
+		snapshot := newSnapshot(rapid.IntRange(1, 20).Draw(t, "engines"), rapid.IntRange(1, 40).Draw(t, "slots"))
 		slots, online := 0, 0
 		report := Report{}
 		for _, engine := range snapshot.Serving("s") {
@@ -145,19 +143,19 @@
 		}
 		table.PeerLoad("fronts", report, start)
 		free := slots - online - fillWithBatch(table, snapshot, start)
-		least := freeShare * float64(slots)
+		least := batchReserve * float64(slots)
 		if float64(free) < min(least-1, float64(slots-online)) || float64(free) > max(least, float64(0))+1 && free < slots-online {
-			t.Fatalf("%d of %d slots are free, online work has %d", free, slots, online)
+			t.Fatalf("%d of %d slots are free, %d used by online requests", free, slots, online)
 		}
 	})
 }
 
-// Slots that are free for the moment while requests wait at other engines are not batch
-// work's: it would be cut at once.
-func TestBatchWorkStartsNothingWhileRequestsWait(t *testing.T) {
+// Batch work must not take free slots while online requests queue at other engines, as it
+// would be preempted at once.
+func TestBatchStartsNothingWhileOnlineRequestsQueue(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := NewTable()
-	snapshot := engines(4, 10)
+	snapshot := newSnapshot(4, 10)
 	report := func(a, b int) Report {
 		return Report{KeyOf("a"): {Counts: Counts{a, 0}}, KeyOf("b"): {Counts: Counts{b, 0}}, KeyOf("c"): {Counts: Counts{8, 0}}, KeyOf("d"): {Counts: Counts{8, 0}}}
 	}
@@ -167,65 +165,64 @@
 	g.Expect(fillWithBatch(table, snapshot, start)).To(gomega.Equal(2))
 }
 
-// Online work goes to engines full of batch work, as that makes way; but not
-// once the node that runs it has fallen silent.
-func TestOnlineWorkPassesBatchWork(t *testing.T) {
+// Online requests may go to engines full of batch work, but not once the peers' reports
+// have expired.
+func TestOnlineTakesSlotsOfPreemptibleBatch(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := NewTable()
-	snapshot := engines(1, 8)
+	snapshot := newSnapshot(1, 8)
 	engine, _ := snapshot.Engine("a")
-	table.PeerLoad("others", Report{KeyOf("a"): {Counts: Counts{4, 4 + queueDepth}}}, start)
+	table.PeerLoad("others", Report{KeyOf("a"): {Counts: Counts{4, 4 + maxQueued}}}, start)
 	wish := Wish{Service: "s", Zone: "near"}
-	_, found := table.Choose(snapshot, wish, start, quiet)
+	_, found := table.Choose(snapshot, wish, start, zeroDraw)
 	g.Expect(found).To(gomega.BeTrue())
-	g.Expect(table.pressed(engine, start)).To(gomega.BeTrue(), "batch work has to hear of it")
-	_, found = table.Choose(snapshot, wish, start.Add(2*yieldLife), quiet)
-	g.Expect(found).To(gomega.BeFalse(), "nobody is there to make it yield")
-	table.PeerLoad("others", Report{KeyOf("a"): {Counts: Counts{8 + queueDepth, 2}}}, start)
-	_, found = table.Choose(snapshot, wish, start, quiet)
-	g.Expect(found).To(gomega.BeFalse(), "online work fills the engine")
+	g.Expect(table.needsPreemption(engine, start)).To(gomega.BeTrue(), "batch work has to be preempted")
+	_, found = table.Choose(snapshot, wish, start.Add(2*preemptTTL), zeroDraw)
+	g.Expect(found).To(gomega.BeFalse(), "nothing preempts batch work")
+	table.PeerLoad("others", Report{KeyOf("a"): {Counts: Counts{8 + maxQueued, 2}}}, start)
+	_, found = table.Choose(snapshot, wish, start, zeroDraw)
+	g.Expect(found).To(gomega.BeFalse(), "online requests fill the engine")
 }
 
-func TestOnlyAFullEngineWithBatchWorkIsPressed(t *testing.T) {
+func TestPreemptionSignaledOnlyForFullEngineWithBatch(t *testing.T) {
 	g := gomega.NewWithT(t)
-	snapshot := engines(1, 8)
-	for _, one := range []struct {
-		load   Counts
-		wanted bool
+	snapshot := newSnapshot(1, 8)
+	for _, test := range []struct {
+		load Counts
+		want bool
 	}{{Counts{3, 4}, false}, {Counts{8, 0}, false}, {Counts{4, 4}, false}, {Counts{4, 5}, true}, {Counts{8, 1}, true}} {
 		balancer := New(func() *catalog.Snapshot { return snapshot })
-		one.load[ClassOnline]-- // and the request itself
-		balancer.PeerLoad("others", Report{KeyOf("a"): {Counts: one.load}})
+		test.load[ClassOnline]-- // Acquire adds the request itself.
+		balancer.PeerLoad("others", Report{KeyOf("a"): {Counts: test.load}})
 		lease, err := balancer.Acquire(context.Background(), Wish{Service: "s"}, 0, 0, nil)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		g.Expect(balancer.Pressed()).To(gomega.HaveLen(map[bool]int{true: 1}[one.wanted]), "%v", one.load)
+		g.Expect(balancer.Pressed()).To(gomega.HaveLen(map[bool]int{true: 1}[test.want]), "%v", test.load)
 		lease.Release()
 	}
 }
 
-// Requests of a node that is lost may still run at an engine: nobody counts
-// them, but the engine says so, and all nodes hear of it.
-func TestWhatAnEngineSaysIsHeardByAll(t *testing.T) {
+// Requests of a lost node may still run at an engine; peers learn of them from the engine's
+// own report.
+func TestPeersCountLoadReportedByEngine(t *testing.T) {
 	g := gomega.NewWithT(t)
-	snapshot := engines(1, 10)
-	witness, leader := NewTable(), NewTable()
-	witness.Reported("a", upstream.Load{Running: 9, Waiting: 3}, start)
+	snapshot := newSnapshot(1, 10)
+	observer, leader := NewTable(), NewTable()
+	observer.Reported("a", upstream.Load{Running: 9, Waiting: 3}, start)
 	leader.Begin("a", ClassBatch, 0, start)
-	leader.PeerLoad("witness", witness.Own(start), start)
-	_, found := leader.Choose(snapshot, Wish{Service: "s", Zone: "near", Class: ClassBatch}, start, quiet)
+	leader.PeerLoad("observer", observer.Own(start), start)
+	_, found := leader.Choose(snapshot, Wish{Service: "s", Zone: "near", Class: ClassBatch}, start, zeroDraw)
 	g.Expect(found).To(gomega.BeFalse())
-	g.Expect(leader.Overfull(snapshot, start)).To(gomega.BeEmpty(), "a queue that passes cuts nothing")
+	g.Expect(leader.Overfull(snapshot, start)).To(gomega.BeEmpty(), "a reported queue preempts nothing")
 	g.Expect(leader.All(start)[KeyOf("a")].Seen).To(gomega.Equal(12))
-	g.Expect(leader.All(start.Add(2 * peersSawLife))[KeyOf("a")].Seen).To(gomega.BeZero())
-	g.Expect(leader.All(start).Without(witness.Own(start))[KeyOf("a")].Counts).To(gomega.Equal(Counts{0, 1}), "not what it counts itself")
+	g.Expect(leader.All(start.Add(2 * peerSeenTTL))[KeyOf("a")].Seen).To(gomega.BeZero())
+	g.Expect(leader.All(start).Without(observer.Own(start))[KeyOf("a")].Counts).To(gomega.Equal(Counts{0, 1}), "without the observer's own counts")
 }
 
-// TestTheSumOfPeersIsWhatTheyLastSaid compares the running sum with adding up
-// all peers anew.
-func TestTheSumOfPeersIsWhatTheyLastSaid(t *testing.T) {
+// Compares the incrementally updated sum with one computed from all peers' latest reports.
+func TestAllEqualsSumOfLatestPeerReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewTable()
-		said := map[string]peerLoad{}
+		latest := map[string]peerLoad{}
 		now := start
 		for range rapid.IntRange(1, 40).Draw(t, "reports") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 600).Draw(t, "ms")) * time.Millisecond)
@@ -238,43 +235,43 @@
 				}
 			}
 			table.PeerLoad(peer, report, now)
-			said[peer] = peerLoad{at: now, running: report}
-			table.expireAt = time.Time{}
+			latest[peer] = peerLoad{receivedAt: now, report: report}
+			table.nextExpiry = time.Time{}
 			all := table.All(now)
-			others := all.Without(said["p"].running)
+			others := all.Without(latest["p"].report)
 			for _, id := range []string{"a", "b"} {
-				var wanted Load
-				for _, load := range said {
-					if now.Sub(load.at) > peerLife {
+				var want Load
+				for _, load := range latest {
+					if now.Sub(load.receivedAt) > peerTTL {
 						continue
 					}
-					one := load.running[KeyOf(id)]
-					wanted.Counts[ClassOnline] += one.Counts[ClassOnline]
-					wanted.Counts[ClassBatch] += one.Counts[ClassBatch]
-					wanted.Pending += one.Pending
+					reported := load.report[KeyOf(id)]
+					want.Counts[ClassOnline] += reported.Counts[ClassOnline]
+					want.Counts[ClassBatch] += reported.Counts[ClassBatch]
+					want.Pending += reported.Pending
 				}
-				if all[KeyOf(id)] != wanted {
-					t.Fatalf("engine %s: %+v, want %+v", id, all[KeyOf(id)], wanted)
+				if all[KeyOf(id)] != want {
+					t.Fatalf("engine %s: %+v, want %+v", id, all[KeyOf(id)], want)
 				}
-				if p := said["p"]; now.Sub(p.at) <= peerLife {
-					wanted.Counts[ClassOnline] -= p.running[KeyOf(id)].Counts[ClassOnline]
-					wanted.Counts[ClassBatch] -= p.running[KeyOf(id)].Counts[ClassBatch]
-					wanted.Pending -= p.running[KeyOf(id)].Pending
+				if p := latest["p"]; now.Sub(p.receivedAt) <= peerTTL {
+					want.Counts[ClassOnline] -= p.report[KeyOf(id)].Counts[ClassOnline]
+					want.Counts[ClassBatch] -= p.report[KeyOf(id)].Counts[ClassBatch]
+					want.Pending -= p.report[KeyOf(id)].Pending
 				} else {
 					continue
 				}
-				if others[KeyOf(id)] != wanted {
-					t.Fatalf("others at engine %s: %+v, want %+v", id, others[KeyOf(id)], wanted)
+				if others[KeyOf(id)] != want {
+					t.Fatalf("others at engine %s: %+v, want %+v", id, others[KeyOf(id)], want)
 				}
 			}
 		}
 	})
 }
 
-// A long prompt holds up everybody behind it at its engine.
-func TestPromptsThatWaitToBeReadCount(t *testing.T) {
+// Unread prompt tokens must make an engine less attractive until the prompt is read.
+func TestChooseCountsPendingPromptTokens(t *testing.T) {
 	g := gomega.NewWithT(t)
-	snapshot := engines(3, 10)
+	snapshot := newSnapshot(3, 10)
 	balancer := New(func() *catalog.Snapshot { return snapshot })
 	wish := Wish{Service: "s", Zone: "near", PromptTokens: 5000}
 	long, err := balancer.Acquire(context.Background(), wish, 0, 0, nil)
@@ -297,21 +294,21 @@
 	g.Expect(balancer.Own()).To(gomega.HaveLen(1))
 }
 
-func TestAPrefixHasOneHome(t *testing.T) {
+func TestPrefixHasOneHomeEngine(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := NewTable()
-	snapshot := engines(6, 10)
+	snapshot := newSnapshot(6, 10)
 	homes := map[string]bool{}
 	for _, zone := range []string{"near", "far"} {
-		chosen, _ := table.Choose(snapshot, Wish{Service: "s", Zone: zone, Prefix: "p", PrefixTokens: prefixBonusTokens}, start, quiet)
+		chosen, _ := table.Choose(snapshot, Wish{Service: "s", Zone: zone, Prefix: "p", PrefixTokens: prefixBonusTokens}, start, zeroDraw)
 		homes[chosen.ID] = true
 	}
 	g.Expect(homes).To(gomega.HaveLen(1))
 }
 
-func TestBackendsGetTheirShares(t *testing.T) {
+func TestServiceFollowsBackendWeights(t *testing.T) {
 	g := gomega.NewWithT(t)
-	balancer := New(func() *catalog.Snapshot { return engines(1, 1) })
+	balancer := New(func() *catalog.Snapshot { return newSnapshot(1, 1) })
 	route := &catalog.Route{Name: "r", Backends: []catalog.Backend{{Service: "x", Weight: 90}, {Service: "y", Weight: 10}}}
 	count := map[string]int{}
 	for range 200 {
@@ -320,13 +317,13 @@
 	g.Expect(count).To(gomega.Equal(map[string]int{"x": 180, "y": 20}))
 }
 
-func TestTheMoreUrgentRequestGetsTheFreeSlot(t *testing.T) {
+func TestAcquireServesWaitersByPriority(t *testing.T) {
 	g := gomega.NewWithT(t)
-	snapshot := engines(1, 1)
+	snapshot := newSnapshot(1, 1)
 	balancer := New(func() *catalog.Snapshot { return snapshot })
 	wish := Wish{Service: "s", Zone: "near"}
 	var releases []func()
-	for range 1 + queueDepth {
+	for range 1 + maxQueued {
 		lease, err := balancer.Acquire(context.Background(), wish, 0, 0, nil)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		releases = append(releases, lease.Release)
@@ -349,14 +346,14 @@
 	g.Eventually(order, 5*time.Second).Should(gomega.Receive(gomega.Equal(2)))
 }
 
-// Who waits for an engine of one service holds nobody of another one up.
-func TestAnUrgentRequestHoldsUpItsServiceOnly(t *testing.T) {
+// A request waiting for one service must not block requests of another service.
+func TestWaiterBlocksOnlyItsService(t *testing.T) {
 	g := gomega.NewWithT(t)
 	snapshot := catalog.NewSnapshot(nil, []catalog.Engine{{ID: "a", Service: "full", Slots: 1}, {ID: "b", Service: "idle", Slots: 1}})
 	balancer := New(func() *catalog.Snapshot { return snapshot })
-	balancer.PeerLoad("others", Report{KeyOf("a"): {Counts: Counts{1 + queueDepth, 0}}})
-	ctx, leave := context.WithCancel(context.Background())
-	defer leave()
+	balancer.PeerLoad("others", Report{KeyOf("a"): {Counts: Counts{1 + maxQueued, 0}}})
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	go func() { _, _ = balancer.Acquire(ctx, Wish{Service: "full"}, 0, time.Minute, nil) }()
 	g.Eventually(balancer.Waiting).Should(gomega.Equal(1))
 	_, err := balancer.Acquire(context.Background(), Wish{Service: "full"}, 1, 0, nil)
@@ -366,29 +363,29 @@
 	lease.Release()
 }
 
-func TestAServiceWithoutEnginesIsSaidSo(t *testing.T) {
+func TestAcquireReportsServiceWithoutEngines(t *testing.T) {
 	g := gomega.NewWithT(t)
 	balancer := New(func() *catalog.Snapshot { return catalog.NewSnapshot(nil, nil) })
 	_, err := balancer.Acquire(context.Background(), Wish{Service: "s"}, 0, 0, nil)
 	g.Expect(err).To(gomega.MatchError(ErrNoEngine))
 }
 
-func TestReportsKeepTheirContent(t *testing.T) {
+func TestReportMarshalRoundTrip(t *testing.T) {
 	g := gomega.NewWithT(t)
 	report := Report{KeyOf("a"): {Counts{3, 4}, 9, 123456}, KeyOf("b"): {Counts{0, 255}, 0, 0}}
 	got, err := UnmarshalReport(report.Marshal())
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(got).To(gomega.Equal(report))
 	long := Report{}
-	for i := range 3 * reportMost {
+	for i := range 3 * maxReportEngines {
 		long[EngineKey(i)] = Load{Counts: Counts{i, 0}}
 	}
 	g.Expect(len(long.Marshal())).To(gomega.BeNumerically("<=", transport.MaxDatagram))
 	got, err = UnmarshalReport(long.Marshal())
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(got).To(gomega.HaveLen(reportMost))
-	g.Expect(got).To(gomega.HaveKey(EngineKey(3*reportMost - 1)))
-	// Tokens are rounded up, and what is larger than its field is at its most.
+	g.Expect(got).To(gomega.HaveLen(maxReportEngines))
+	g.Expect(got).To(gomega.HaveKey(EngineKey(3*maxReportEngines - 1)))
+	// Pending tokens are rounded up, and values beyond a field's range are clamped.
 	got, err = UnmarshalReport(Report{1: {Counts{300, -1}, 70000, 17}}.Marshal())
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(got).To(gomega.Equal(Report{1: {Counts{255, 0}, 255, 32}}))
--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -17,109 +17,108 @@
 
 var eventEngineAside = telemetry.Define(2101, "engine-aside", "An engine failed a request and gets no others for a while.")
 
-// recheckInterval is how often waiting requests look again, as engines free up
-// by other nodes' requests too.
+// recheckInterval is how often waiting requests look for room again, as requests of other
+// nodes end too.
 const recheckInterval = 10 * time.Millisecond
 
-// ErrNoRoom says that no engine had room within the allowed wait.
+// ErrNoRoom is returned when no engine had room within the allowed wait.
 var ErrNoRoom = errors.New("balance: no engine has room")
 
-// ErrNoEngine says that the service has no engine that may be used. Nobody waits for
-// one: what is to serve it has to start, or to come back from a drained zone.
+// ErrNoEngine is returned when the service has no usable engine. Requests don't wait then: an
+// engine has to start, or a zone's drain has to end, first.
 var ErrNoEngine = errors.New("balance: the service has no engine")
 
-// Balancer may be used concurrently.
+// Balancer assigns requests to engines. It is safe for concurrent use.
 type Balancer struct {
 	snapshot func() *catalog.Snapshot
-	// Permit is asked before a request goes to an engine that is paced; nil if none is.
-	// It is set before the balancer is used.
-	Permit func(ctx context.Context, wanted Wanted) Permission
-	// pressed holds a token once an online request went to an engine where batch
-	// work has to make way.
-	pressed chan struct{}
-
-	mutex   sync.Mutex // guards what is below; a leaf
+	// Permit is called before a request is sent to a paced engine; nil disables pacing. It
+	// must be set before the balancer is used.
+	Permit func(ctx context.Context, request Wanted) Permission
+	// preemptions holds a token when an online request went to an engine where batch work has
+	// to be preempted.
+	preemptions chan struct{}
+
+	mutex   sync.Mutex // guards the fields below; no other lock is taken while it is held
 	table   *Table
-	turns   map[string]map[string]float64 // route, service: credit of the smooth round robin
-	waiting []*waiter                     // by priority, then arrival
+	credits map[string]map[string]float64 // by route and service: credit of the smooth weighted round robin
+	waiting []*waiter                     // ordered by priority, then arrival
 }
 
 type waiter struct {
 	service  string
 	priority int
-	wake     chan struct{} // buffered by one
+	wake     chan struct{} // capacity 1
 }
 
-// New returns a balancer that reads the newest snapshot from the function.
+// New returns a balancer that reads the current catalog from snapshot.
 func New(snapshot func() *catalog.Snapshot) *Balancer {
-	return &Balancer{snapshot: snapshot, pressed: make(chan struct{}, 1), table: NewTable(), turns: map[string]map[string]float64{}}
+	return &Balancer{snapshot: snapshot, preemptions: make(chan struct{}, 1), table: NewTable(), credits: map[string]map[string]float64{}}
 }
 
-// Service picks the backend of a route whose turn it is, so that each gets its
-// share of the requests.
+// Service returns the next backend of a route by smooth weighted round robin.
 func (b *Balancer) Service(route *catalog.Route) string {
 	if len(route.Backends) == 1 {
 		return route.Backends[0].Service
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	turns := b.turns[route.Name]
-	if turns == nil {
-		turns = map[string]float64{}
-		b.turns[route.Name] = turns
+	credits := b.credits[route.Name]
+	if credits == nil {
+		credits = map[string]float64{}
+		b.credits[route.Name] = credits
 	}
 	total := 0.0
 	best := ""
 	for _, backend := range route.Backends {
 		total += backend.Weight
-		turns[backend.Service] += backend.Weight
+		credits[backend.Service] += backend.Weight
 	}
 	for _, backend := range route.Backends {
-		if best == "" || turns[backend.Service] > turns[best] {
+		if best == "" || credits[backend.Service] > credits[best] {
 			best = backend.Service
 		}
 	}
-	turns[best] -= total
+	credits[best] -= total
 	return best
 }
 
-// Lease is a request's place at an engine. Its methods may be called again
-// without harm.
+// Lease is a request's reservation at an engine. Its exported methods may be called repeatedly.
 type Lease struct {
 	Engine catalog.Engine
 
-	balancer *Balancer
-	class    Class
-	begun    time.Time
-	paced    bool      // it needs a permit
-	permit   time.Time // until when the request may be sent to a paced engine
-	readAt   time.Time // guarded by the balancer's mutex
-	tokens   int       // not read yet; guarded by the balancer's mutex
-	released bool
+	balancer     *Balancer
+	class        Class
+	startedAt    time.Time
+	paced        bool      // the engine was paced when it was chosen
+	permitExpiry time.Time // end of the permit's validity
+	prefilledAt  time.Time // first event received; guarded by the balancer's mutex
+	unreadTokens int       // prompt tokens not read yet; guarded by the balancer's mutex
+	released     bool
 }
 
-// Acquire returns a place at an engine for the wish; it counts there until it
-// is released. It waits for room up to wait, the lowest priority number first. While
-// it does, refresh, which may be nil, brings what other nodes have up to date before
-// each look: by old figures all that wait take the same slot that got free.
+// Acquire reserves a place at an engine for the wish, counted until it is released. It waits
+// for room up to wait; lower priority numbers are served first. Before each recheck it calls
+// refresh, if not nil, to update the peers' load: with stale load, all waiting requests would
+// take the same free slot.
 func (b *Balancer) Acquire(ctx context.Context, wish Wish, priority int, wait time.Duration, refresh func(context.Context)) (*Lease, error) {
-	lease, found := b.take(ctx, wish, nil, priority)
+	lease, found := b.acquirePermitted(ctx, wish, nil, priority)
 	if found {
 		return lease, nil
 	}
-	if err := b.hopeless(wish, wait); err != nil {
+	if err := b.rejection(wish, wait); err != nil {
 		return nil, err
 	}
-	return b.await(ctx, wish, priority, wait, refresh)
+	return b.waitForRoom(ctx, wish, priority, wait, refresh)
 }
 
-// hopeless is why a wish gets no engine within a wait: there is none for it, none has room
-// and it doesn't wait, or the pace of all of them allows nothing more for longer than that.
-func (b *Balancer) hopeless(wish Wish, wait time.Duration) error {
-	if err := b.noEngine(wish); err != nil {
+// rejection returns the error if waiting up to wait can't succeed: no engine may serve the
+// wish, wait isn't positive, or all engines are paced for longer than wait. Otherwise it
+// returns nil.
+func (b *Balancer) rejection(wish Wish, wait time.Duration) error {
+	if err := b.noEngineError(wish); err != nil {
 		return err
 	}
-	err := b.noRoom(wish)
+	err := b.noRoomError(wish)
 	var paced *PaceError
 	if wait <= 0 || errors.As(err, &paced) && paced.After > wait {
 		return err
@@ -127,25 +126,25 @@
 	return nil
 }
 
-// Read notes that the engine has read the request's prompt: its first event
-// came.
+// Read records that the engine has read the request's prompt, that is, its first event
+// arrived.
 func (l *Lease) Read() {
 	l.balancer.mutex.Lock()
 	defer l.balancer.mutex.Unlock()
-	if l.readAt.IsZero() {
-		l.readAt = clock.Now()
+	if l.prefilledAt.IsZero() {
+		l.prefilledAt = clock.Now()
 	}
-	l.read()
+	l.clearUnread()
 }
 
-func (l *Lease) read() {
-	if l.tokens > 0 {
-		l.balancer.table.Read(l.Engine.ID, l.tokens, clock.Now())
-		l.tokens = 0
+func (l *Lease) clearUnread() {
+	if l.unreadTokens > 0 {
+		l.balancer.table.Read(l.Engine.ID, l.unreadTokens, clock.Now())
+		l.unreadTokens = 0
 	}
 }
 
-// Release gives the place up.
+// Release gives up the place of a request that ended normally.
 func (l *Lease) Release() {
 	b := l.balancer
 	b.mutex.Lock()
@@ -154,21 +153,20 @@
 		return
 	}
 	l.released = true
-	l.read()
+	l.clearUnread()
 	now := clock.Now()
 	l.end(now)
 	if l.class == ClassOnline {
-		b.table.Took(now.Sub(l.begun))
-		if !l.readAt.IsZero() {
-			b.table.Ran(now.Sub(l.readAt))
+		b.table.Took(now.Sub(l.startedAt))
+		if !l.prefilledAt.IsZero() {
+			b.table.Ran(now.Sub(l.prefilledAt))
 		}
 	}
 }
 
-// ReleaseFailed gives the place up of a request that its engine failed, but only when
-// one that goes well would have ended: an engine that fails all requests at once would
-// look idle to all nodes, and draw most requests. Of 72 engines 8 that did so for 7 s
-// failed a tenth of a day's requests of 54 s, where their part is 0.015.
+// ReleaseFailed gives up the place of a request that its engine failed, but only once the
+// mean hold time has passed since its start. Otherwise an engine that fails requests at once
+// would look idle to all nodes and attract most requests.
 func (l *Lease) ReleaseFailed() {
 	b := l.balancer
 	b.mutex.Lock()
@@ -177,15 +175,16 @@
 		return
 	}
 	l.released = true
-	l.read()
-	time.AfterFunc(max(0, b.table.ran-clock.Since(l.begun)), func() {
+	l.clearUnread()
+	time.AfterFunc(max(0, b.table.meanHold-clock.Since(l.startedAt)), func() {
 		b.mutex.Lock()
 		defer b.mutex.Unlock()
 		l.end(clock.Now())
 	})
 }
 
-// end takes the place out of the counts; the caller holds the balancer's mutex.
+// end removes the lease from the counts and wakes the first waiter; the caller holds the
+// balancer's mutex.
 func (l *Lease) end(now time.Time) {
 	b := l.balancer
 	b.table.End(l.Engine.ID, l.class, now)
@@ -197,8 +196,9 @@
 	}
 }
 
-// try takes an engine unless somebody more urgent is waiting for one of the service.
-func (b *Balancer) try(wish Wish, self *waiter, priority int) (*Lease, bool) {
+// tryAcquire reserves an engine, unless a request of higher priority waits for the same
+// service.
+func (b *Balancer) tryAcquire(wish Wish, self *waiter, priority int) (*Lease, bool) {
 	snapshot := b.snapshot()
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -215,50 +215,50 @@
 	if !found {
 		return nil, false
 	}
-	lease := &Lease{Engine: engine, balancer: b, class: wish.Class, begun: now, tokens: b.table.unread(snapshot, wish, engine)}
+	lease := &Lease{Engine: engine, balancer: b, class: wish.Class, startedAt: now, unreadTokens: b.table.unreadTokens(snapshot, wish, engine)}
 	lease.paced = b.Permit != nil && engine.Paced(now)
-	b.table.Begin(engine.ID, wish.Class, lease.tokens, now)
+	b.table.Begin(engine.ID, wish.Class, lease.unreadTokens, now)
 	if !lease.paced {
-		b.pressFor(lease, now)
+		b.signalPreemptionFor(lease, now)
 	}
 	return lease, true
 }
 
-// pressFor lets batch work make way for a request that goes to its engine; the caller
-// holds the mutex.
-func (b *Balancer) pressFor(lease *Lease, now time.Time) {
-	if lease.class == ClassOnline && b.table.pressed(lease.Engine, now) {
-		b.press()
+// signalPreemptionFor signals if batch work has to be preempted for an online lease; the
+// caller holds the mutex.
+func (b *Balancer) signalPreemptionFor(lease *Lease, now time.Time) {
+	if lease.class == ClassOnline && b.table.needsPreemption(lease.Engine, now) {
+		b.signalPreemption()
 	}
 }
 
-// Pressed is ready once an online request went to an engine where batch work has
-// to make way: who runs that has to hear of it at once.
-func (b *Balancer) Pressed() <-chan struct{} { return b.pressed }
+// Pressed receives a value after an online request went to an engine where batch work has to
+// be preempted, so that it can be preempted at once.
+func (b *Balancer) Pressed() <-chan struct{} { return b.preemptions }
 
-func (b *Balancer) press() {
+func (b *Balancer) signalPreemption() {
 	select {
-	case b.pressed <- struct{}{}:
+	case b.preemptions <- struct{}{}:
 	default:
 	}
 }
 
-// await waits for room, but not once all engines that the wish may go to are gone,
-// drained, or cold and out by their pace for longer than is left of the wait.
-func (b *Balancer) await(ctx context.Context, wish Wish, priority int, wait time.Duration, refresh func(context.Context)) (*Lease, error) {
+// waitForRoom waits for an engine with room. It stops early once rejection finds that the
+// rest of the wait can't succeed.
+func (b *Balancer) waitForRoom(ctx context.Context, wish Wish, priority int, wait time.Duration, refresh func(context.Context)) (*Lease, error) {
 	self := b.enqueue(wish.Service, priority)
 	defer b.dequeue(self)
 	started, budget := clock.Now(), wish.Wait
-	limit := time.NewTimer(wait)
-	defer limit.Stop()
+	timeout := time.NewTimer(wait)
+	defer timeout.Stop()
 	recheck := time.NewTicker(recheckInterval)
 	defer recheck.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil, ErrNoRoom
-		case <-limit.C:
-			return nil, b.noRoom(wish)
+		case <-timeout.C:
+			return nil, b.noRoomError(wish)
 		case <-recheck.C:
 		case <-self.wake:
 		}
@@ -268,11 +268,11 @@
 		if budget > 0 {
 			wish.Wait = max(1, budget-clock.Since(started))
 		}
-		if lease, found := b.take(ctx, wish, self, priority); found {
+		if lease, found := b.acquirePermitted(ctx, wish, self, priority); found {
 			return lease, nil
 		}
-		// Never 0, as the limit tells when the wait is over.
-		if err := b.hopeless(wish, max(1, wait-clock.Since(started))); err != nil {
+		// At least 1, as the timer reports the end of the wait.
+		if err := b.rejection(wish, max(1, wait-clock.Since(started))); err != nil {
 			return nil, err
 		}
 	}
@@ -300,21 +300,21 @@
 	}
 }
 
-// Waiting is the number of requests that wait for an engine.
+// Waiting returns the number of requests that wait for an engine.
 func (b *Balancer) Waiting() int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return len(b.waiting)
 }
 
-// Reported takes an engine's own figures.
+// Reported records the load that an engine reported.
 func (b *Balancer) Reported(id string, load upstream.Load) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.table.Reported(id, load, clock.Now())
 }
 
-// Connected notes how long it took to open a connection to an engine.
+// Connected records how long opening a connection to an engine took.
 func (b *Balancer) Connected(id string, took time.Duration) {
 	engine, found := b.snapshot().Engine(id)
 	if !found {
@@ -322,17 +322,17 @@
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.table.distances.note(engine.Zone, took, clock.Now())
+	b.table.zoneRTTs.record(engine.Zone, took, clock.Now())
 }
 
-// Succeeded notes that an engine answered.
+// Succeeded records that an engine answered and ends its ejection.
 func (b *Balancer) Succeeded(id string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.table.Succeeded(id, clock.Now())
 }
 
-// Failed sets an engine aside for a while.
+// Failed ejects an engine for a while.
 func (b *Balancer) Failed(id string, cause error) {
 	b.mutex.Lock()
 	pause := b.table.Failed(id, clock.Now())
@@ -340,27 +340,27 @@
 	eventEngineAside.Info("engine", id, "pause", pause, "cause", cause)
 }
 
-// Refused notes that an engine said it is full.
+// Refused records that an engine refused a request as it is full.
 func (b *Balancer) Refused(id string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.table.Refused(id, clock.Now())
 }
 
-// Own returns what this node has under way.
+// Own returns this node's own load report.
 func (b *Balancer) Own() Report {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.table.Own(clock.Now())
 }
 
-// OwnIn counts what this node has under way at engines of the zones, by zone.
+// OwnIn counts this node's requests in flight at engines of the given zones, by zone.
 func (b *Balancer) OwnIn(zones []string) map[string]Counts {
 	if len(zones) == 0 {
 		return nil
 	}
 	snapshot := b.snapshot()
-	underWay := map[string]Counts{}
+	counts := map[string]Counts{}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	for id, state := range b.table.engines {
@@ -368,52 +368,52 @@
 		if !found || !slices.Contains(zones, engine.Zone) {
 			continue
 		}
-		total := underWay[engine.Zone]
+		total := counts[engine.Zone]
 		for class, count := range state.own {
 			total[class] += count
 		}
-		underWay[engine.Zone] = total
+		counts[engine.Zone] = total
 	}
-	return underWay
+	return counts
 }
 
-// All returns what all nodes have under way, as far as known here.
+// All returns the load of all nodes, as far as known here.
 func (b *Balancer) All() Report {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.table.All(clock.Now())
 }
 
-// PeerLoad takes what another node, or all others together, have under way.
-func (b *Balancer) PeerLoad(peer string, running Report) {
+// PeerLoad records the load report of a peer, or the sum of all peers' reports.
+func (b *Balancer) PeerLoad(peer string, report Report) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.table.PeerLoad(peer, running, clock.Now())
+	b.table.PeerLoad(peer, report, clock.Now())
 }
 
-// Ran is how long online requests hold a slot, on average.
+// Ran returns the mean time that online requests hold a slot.
 func (b *Balancer) Ran() time.Duration {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.table.MeanRun()
 }
 
-// PeerGone forgets what another node said.
+// PeerGone drops a peer's load report.
 func (b *Balancer) PeerGone(peer string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.table.PeerGone(peer)
 }
 
-// AnyPressed says that batch work of any node has to make way at some engine.
+// AnyPressed reports whether batch work of any node has to be preempted at some engine.
 func (b *Balancer) AnyPressed() bool {
 	snapshot := b.snapshot()
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.table.AnyPressed(snapshot, clock.Now())
+	return b.table.AnyPreemptionNeeded(snapshot, clock.Now())
 }
 
-// Overfull lists the engines where batch work of this node has to make way.
+// Overfull lists the engines where batch work of this node has to be preempted.
 func (b *Balancer) Overfull() []Overfull {
 	snapshot := b.snapshot()
 	b.mutex.Lock()
@@ -421,7 +421,7 @@
 	return b.table.Overfull(snapshot, clock.Now())
 }
 
-// Forget drops what is out of date.
+// Forget drops expired state.
 func (b *Balancer) Forget() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/balance/many_test.go
+++ b/internal/balance/batch_test.go
@@ -10,8 +10,8 @@
 	"chutelock.dev/chutelock/internal/catalog"
 )
 
-// thousands is a service of many engines, more than a choice for batch work looks at.
-func thousands(count int) *catalog.Snapshot {
+// largeService has the given number of engines; tests use more than windowSize.
+func largeService(count int) *catalog.Snapshot {
 	list := make([]catalog.Engine, 0, count)
 	for i := range count {
 		list = append(list, catalog.Engine{ID: fmt.Sprintf("e%05d", i), Service: "s", Zone: fmt.Sprint("z", i%5), Slots: 2})
@@ -27,11 +27,10 @@
 	return wishes
 }
 
-// Batch work fills all engines but the share that is left free, however many there are, and
-// none beyond its slots.
-func TestBatchWorkFillsThousandsOfEngines(t *testing.T) {
+// Batch work must fill all engines up to the reserve, and none beyond its slots.
+func TestBatchFillsLargeService(t *testing.T) {
 	g := gomega.NewWithT(t)
-	snapshot, table, now := thousands(3000), NewTable(), time.Now()
+	snapshot, table, now := largeService(3000), NewTable(), time.Now()
 	placed, running := 0, map[string]int{}
 	for {
 		chosen := table.chooseMany(snapshot, batchWishes(16), now)
@@ -44,17 +43,17 @@
 			break
 		}
 	}
-	g.Expect(float64(placed)).To(gomega.BeNumerically("~", 6000*(1-freeShare), 16))
+	g.Expect(float64(placed)).To(gomega.BeNumerically("~", 6000*(1-batchReserve), 16))
 	for id, count := range running {
 		g.Expect(count).To(gomega.BeNumerically("<=", 2), id)
 	}
 }
 
-// Engines that are set aside are passed over as long as any sound one has room, wherever
-// it stands.
-func TestTheOneSoundEngineOfThousandsIsFound(t *testing.T) {
+// Ejected engines must be skipped as long as any healthy engine has room, in whichever window
+// it is.
+func TestChooseManyFindsOnlyHealthyEngine(t *testing.T) {
 	g := gomega.NewWithT(t)
-	snapshot, table, now := thousands(3000), NewTable(), time.Now()
+	snapshot, table, now := largeService(3000), NewTable(), time.Now()
 	for _, engine := range snapshot.Serving("s") {
 		if engine.ID != "e02222" {
 			table.Failed(engine.ID, now)
@@ -66,31 +65,31 @@
 		g.Expect(chosen[0].ID).To(gomega.Equal("e02222"))
 	}
 	table.Failed("e02222", now)
-	g.Expect(table.chooseMany(snapshot, batchWishes(1), now)).To(gomega.HaveLen(1), "none is sound: any is better")
+	g.Expect(table.chooseMany(snapshot, batchWishes(1), now)).To(gomega.HaveLen(1), "all engines are ejected")
 }
 
-// Peers' batch work is found at its engine by the key alone.
-func TestAPressedEngineOfThousandsIsSeen(t *testing.T) {
+// Peers' batch work must be attributed to its engine by the key alone.
+func TestPreemptionDetectedInLargeService(t *testing.T) {
 	g := gomega.NewWithT(t)
-	snapshot, table, now := thousands(3000), NewTable(), time.Now()
+	snapshot, table, now := largeService(3000), NewTable(), time.Now()
 	table.PeerLoad("leader", Report{KeyOf("e01234"): {Counts: Counts{0, 2}}}, now)
-	g.Expect(table.AnyPressed(snapshot, now)).To(gomega.BeFalse())
+	g.Expect(table.AnyPreemptionNeeded(snapshot, now)).To(gomega.BeFalse())
 	table.PeerLoad("front", Report{KeyOf("e01234"): {Counts: Counts{1, 0}}}, now)
-	g.Expect(table.AnyPressed(snapshot, now)).To(gomega.BeTrue())
-	g.Expect(table.AnyPressed(snapshot, now.Add(2*yieldLife))).To(gomega.BeFalse(), "what peers said is old")
+	g.Expect(table.AnyPreemptionNeeded(snapshot, now)).To(gomega.BeTrue())
+	g.Expect(table.AnyPreemptionNeeded(snapshot, now.Add(2*preemptTTL))).To(gomega.BeFalse(), "the peers' reports have expired")
 }
 
-// BenchmarkChoiceForBatchWork chooses engines for four items among 10,000.
-func BenchmarkChoiceForBatchWork(b *testing.B) {
-	snapshot, table, now := thousands(10_000), NewTable(), time.Now()
+// BenchmarkChooseMany chooses engines for four requests among 10,000 engines.
+func BenchmarkChooseMany(b *testing.B) {
+	snapshot, table, now := largeService(10_000), NewTable(), time.Now()
 	wishes := batchWishes(4)
-	b.Run("all looked at", func(b *testing.B) {
+	b.Run("all engines", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
 			table.chooseFrom(table.candidates(snapshot, wishes[0], now), wishes, now)
 		}
 	})
-	b.Run("a window", func(b *testing.B) {
+	b.Run("one window", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
 			table.chooseMany(snapshot, wishes, now)
--- a/internal/balance/choose.go
+++ b/internal/balance/choose.go
@@ -8,73 +8,69 @@
 )
 
 const (
-	// zonePenalty is what another zone costs, in shares of an engine's slots.
+	// zonePenalty is the score added to engines of other zones; scores are in shares of an
+	// engine's slots.
 	zonePenalty = 0.25
-	// prefixBonus is what the engine that keeps a long shared prompt gains,
-	// for prefixBonusTokens shared tokens or more.
+	// prefixBonus is subtracted from the score of the prefix's home engine if
+	// prefixBonusTokens or more prompt tokens are shared, and proportionally less below.
 	prefixBonus       = 0.5
 	prefixBonusTokens = 4000
-	// pendingUnit is the prompt tokens waiting to be read at an engine that cost
-	// as much as all of its slots taken; engines read some 60 tokens a ms.
-	pendingUnit = 20000
-	// batchPending is the prompt tokens waiting at an engine from which on batch
-	// work starts nothing there.
-	batchPending = 5000
-	// formerBonus is what the engine gains that ran a part of the request.
-	formerBonus = 0.3
-	// coldPenalty is what an engine that is still slow costs: idle, it ranks with a warm
-	// one that has half of its slots taken.
+	// pendingTokensPerScore is the number of unread prompt tokens that count as much as all
+	// slots of an engine.
+	pendingTokensPerScore = 20000
+	// maxBatchPending is the number of unread prompt tokens from which on no batch work is
+	// started at an engine.
+	maxBatchPending = 5000
+	// previousEngineBonus is subtracted from the score of the engine that ran a part of the
+	// request.
+	previousEngineBonus = 0.3
+	// coldPenalty is the score added to cold engines: idle, one ranks with a warm engine that
+	// has half of its slots in use.
 	coldPenalty = 0.5
-	// freeShare is the share of a service's slots that batch work leaves free for the
-	// online requests that come before it can make way. It makes way within some 20 ms,
-	// and such a request waits at its engine meanwhile: with 8 in 100 left free, batch
-	// items were done in time 0.02 to 0.08 less often (four days of 0.8 to 1.1 of the
-	// slots' work), and online requests no more often.
-	freeShare = 0.02
-	// queueDepth is how many requests beyond its slots an engine may get from online
-	// work whose time to the first token isn't bounded; they wait there for less than an
-	// average request runs.
-	queueDepth = 1
-	// queueShare bounds the requests that wait at an engine by its slots, whatever time
-	// they have: the load of engines is not known to the request.
-	queueShare = 0.5
+	// batchReserve is the share of a service's slots that batch work leaves free, for online
+	// requests that arrive before batch work is preempted, some 20 ms later.
+	batchReserve = 0.02
+	// maxQueued is the number of requests beyond its slots that an engine may get from online
+	// work without a bound on the time to first token.
+	maxQueued = 1
+	// maxQueuedShare bounds an engine's queue relative to its slots, whatever wait a request
+	// allows, as the load is only estimated.
+	maxQueuedShare = 0.5
 )
 
-// Wish is what a request wants of an engine.
+// Wish holds a request's requirements and preferences for an engine.
 type Wish struct {
-	// Request names the request in the log.
+	// Request identifies the request in logs.
 	Request string
 	Service string
-	// Zone is the one whose engines are preferred, and then those of its Region; empty
-	// means none.
+	// Engines of Zone are preferred, then those of its Region; empty means no preference.
 	Zone   string
 	Region string
 	Class  Class
-	// Prefix identifies the shared part of the prompt, and PrefixTokens is its
-	// length; an engine that has read it before is quicker.
+	// Prefix identifies the shared part of the prompt and PrefixTokens is its length; an
+	// engine that has it cached reads the prompt faster.
 	Prefix       string
 	PrefixTokens int
 	// PromptTokens is the length of the whole prompt.
 	PromptTokens int
-	// Former is the engine that ran a part of the request; it may still keep the
-	// prompt.
+	// Former is the engine that ran a part of the request and may still have its prompt
+	// cached.
 	Former string
-	// Regions are where the request may be served.
+	// Regions are the regions where the request may be served; nil allows all.
 	Regions catalog.Regions
-	// Avoid lists engines that the request has been to, and Leave the zones in which one of
-	// them was not there: engines are lost a zone at a time, and those that are lost look
-	// idle until their entries lapse.
+	// Avoid lists engines that were already tried, and Leave the zones where one of them was
+	// unreachable: engines are often lost by zone, and lost ones look idle until their
+	// catalog entries expire.
 	Avoid []string
 	Leave []string
-	// Wait is how long the request may wait at an engine and still have its first
-	// token in time; 0 means that it has no such bound.
+	// Wait is how long the request may queue at an engine and still get its first token on
+	// time; 0 means no bound.
 	Wait time.Duration
 }
 
-// Choose returns the best engine that has room, or false. When every engine of the service
-// is set aside or avoided, or those beyond the zones to leave have no room, these rules give
-// way in turn, so that a request is not refused while some engine may be able to run it. draw
-// is uniform in [0, 1).
+// Choose returns the best engine that has room, or false. If all engines are ejected or
+// avoided, or those outside the zones to leave have no room, these rules are relaxed rather
+// than refuse a request that some engine may serve. draw is uniform in [0, 1).
 func (t *Table) Choose(snapshot *catalog.Snapshot, wish Wish, now time.Time, draw func() float64) (catalog.Engine, bool) {
 	t.expire(now)
 	if wish.Class == ClassBatch {
@@ -85,39 +81,39 @@
 		return chosen[0], true
 	}
 	candidates := t.candidates(snapshot, wish, now)
-	if elsewhere := wish.beyondLeft(candidates); len(elsewhere) > 0 {
-		if engine, found := t.best(elsewhere, wish, now, draw); found {
+	if outside := wish.outsideLeftZones(candidates); len(outside) > 0 {
+		if engine, found := t.bestWithRoom(outside, wish, now, draw); found {
 			return engine, true
 		}
 	}
-	return t.best(candidates, wish, now, draw)
+	return t.bestWithRoom(candidates, wish, now, draw)
 }
 
-// beyondLeft lists the engines outside the zones that the wish is to leave; nil if there are none
-// to leave.
-func (w Wish) beyondLeft(engines []catalog.Engine) []catalog.Engine {
+// outsideLeftZones returns the engines outside the zones to leave; nil if there are none to
+// leave.
+func (w Wish) outsideLeftZones(engines []catalog.Engine) []catalog.Engine {
 	if len(w.Leave) == 0 {
 		return nil
 	}
 	return filter(engines, func(e catalog.Engine) bool { return !contains(w.Leave, e.Zone) })
 }
 
-// candidates filters the engines of a wish's service by the first of the rules
-// that leaves any.
+// candidates returns the service's allowed engines that are healthy and not avoided; if there
+// are none, those not avoided; else all allowed ones.
 func (t *Table) candidates(snapshot *catalog.Snapshot, wish Wish, now time.Time) []catalog.Engine {
 	engines := allowed(snapshot, wish)
-	for _, rule := range []func(catalog.Engine) bool{
-		func(e catalog.Engine) bool { return t.sound(e.ID, now) && !contains(wish.Avoid, e.ID) },
+	for _, keep := range []func(catalog.Engine) bool{
+		func(e catalog.Engine) bool { return t.healthy(e.ID, now) && !contains(wish.Avoid, e.ID) },
 		func(e catalog.Engine) bool { return !contains(wish.Avoid, e.ID) },
 	} {
-		if candidates := filter(engines, rule); len(candidates) > 0 {
+		if candidates := filter(engines, keep); len(candidates) > 0 {
 			return candidates
 		}
 	}
 	return engines
 }
 
-// allowed lists the engines that a wish may go to, whatever is known of their load.
+// allowed returns the service's engines in the wish's regions, regardless of load.
 func allowed(snapshot *catalog.Snapshot, wish Wish) []catalog.Engine {
 	engines := snapshot.Serving(wish.Service)
 	if wish.Regions == nil {
@@ -126,61 +122,60 @@
 	return filter(engines, func(e catalog.Engine) bool { return wish.Regions.Allow(e.Region) })
 }
 
-// best picks one of the candidates that have room: of the wish's region, unless a request
-// waits longer there than the round trip to another region takes, and the wait there.
-func (t *Table) best(candidates []catalog.Engine, wish Wish, now time.Time, draw func() float64) (catalog.Engine, bool) {
-	inRegion, remote := wish.byRegion(candidates)
-	near, far, sawRoom := t.groups(inRegion, wish, now, draw)
+// bestWithRoom picks a candidate with room. It prefers the wish's own region unless waiting
+// there takes longer than the round trip to another region plus the wait there.
+func (t *Table) bestWithRoom(candidates []catalog.Engine, wish Wish, now time.Time, draw func() float64) (catalog.Engine, bool) {
+	inRegion, remote := wish.splitByRegion(candidates)
+	near, far, foundRoom := t.groupByZone(inRegion, wish, now, draw)
 	chosen := pickGroup(near, far)
 	if len(remote) > 0 {
-		chosen = withoutWait(chosen, near, far)
-		other, saw := t.nearestRegion(remote, wish, len(inRegion) > 0, chosen.wait, now, draw)
-		sawRoom = sawRoom || saw
+		chosen = preferWithoutWait(chosen, near, far)
+		other, found := t.soonestRegion(remote, wish, len(inRegion) > 0, chosen.minWait, now, draw)
+		foundRoom = foundRoom || found
 		if len(other.engines) > 0 {
 			chosen = other
 		}
 	}
-	t.noteRoom(sawRoom)
+	t.recordRoom(foundRoom)
 	if len(chosen.engines) == 0 {
 		return catalog.Engine{}, false
 	}
 	return chosen.pick(draw()), true
 }
 
-// groups parts the engines of one region that have room into those of the wish's zone
-// and the others, and leaves out those that are for other requests. sawRoom says that
-// some engine has room for anybody.
-func (t *Table) groups(engines []catalog.Engine, wish Wish, now time.Time, draw func() float64) (near, far group, sawRoom bool) {
-	home := prefixHome(engines, wish)
+// groupByZone splits engines of one region that have room into those of the wish's zone and
+// the others, reduced by random admission. foundRoom reports whether any engine had room
+// before that.
+func (t *Table) groupByZone(engines []catalog.Engine, wish Wish, now time.Time, draw func() float64) (near, far group, foundRoom bool) {
+	home := prefixHomeEngine(engines, wish)
 	prediction := t.predict(engines, wish, now)
-	near = group{engines: make([]scoredEngine, 0, len(engines)), age: now.Sub(t.heardAt) + nearAge}
-	far = group{age: now.Sub(t.heardAt) + sumAge}
+	near = group{engines: make([]scoredEngine, 0, len(engines)), age: now.Sub(t.lastPeerReport) + nearAge}
+	far = group{age: now.Sub(t.lastPeerReport) + farAge}
 	for _, engine := range engines {
-		of := &near
+		zoneGroup := &near
 		if wish.Zone != "" && engine.Zone != wish.Zone {
-			of = &far
+			zoneGroup = &far
 		}
 		online := t.peersOnline(engine.ID)
-		of.all += online
+		zoneGroup.allOnline += online
 		if !prediction.hasRoom(engine) {
 			continue
 		}
-		of.engines = append(of.engines, scoredEngine{engine: engine, score: t.score(engine, wish, home, now)})
-		of.online += online
+		zoneGroup.engines = append(zoneGroup.engines, scoredEngine{engine: engine, score: t.score(engine, wish, home, now)})
+		zoneGroup.online += online
 	}
-	sawRoom = len(near.engines)+len(far.engines) > 0
-	near, far = prediction.share(near, 1, draw), prediction.share(far, farLooking, draw)
-	near.unheard = t.unheard(near.online, near.age)
-	far.unheard = t.unheard(far.online, far.age)
-	near.wait, far.wait = prediction.waitIn(near), prediction.waitIn(far)
-	return near, far, sawRoom
+	foundRoom = len(near.engines)+len(far.engines) > 0
+	near, far = prediction.admitRandomly(near, 1, draw), prediction.admitRandomly(far, farCompetition, draw)
+	near.unreported = t.unreported(near.online, near.age)
+	far.unreported = t.unreported(far.online, far.age)
+	near.minWait, far.minWait = prediction.minWait(near), prediction.minWait(far)
+	return near, far, foundRoom
 }
 
-// slots counts the slots of engines, and those that are free less the online requests
-// that wait for one at other engines: in overload some engine always has a free slot for
-// the moment, and a run started there is cut as soon as an online request comes. With such
-// slots counted as free 60 runs a second were started and cut in bursts.
-func (t *Table) slots(engines []catalog.Engine, now time.Time) (all, free int) {
+// countSlots returns the number of slots, and of free ones less the online requests queued at
+// other engines: under overload some engine always has a free slot for a moment, and batch
+// work started there would be preempted at once.
+func (t *Table) countSlots(engines []catalog.Engine, now time.Time) (all, free int) {
 	for _, engine := range engines {
 		all += engine.Slots
 		free += max(0, engine.Slots-t.load(engine.ID, now))
@@ -189,15 +184,15 @@
 	return all, free
 }
 
-// Overfull is an engine that has more requests than slots, and how many of its
-// requests of batch work have to make way.
+// Overfull is an engine with more requests than slots. Excess is the number of this node's
+// batch requests to preempt there.
 type Overfull struct {
 	Engine string
 	Excess int
 }
 
-// Overfull lists the engines where batch work of this node exceeds what other
-// work leaves of the slots.
+// Overfull lists the engines where this node's batch work exceeds the slots that other work
+// leaves.
 func (t *Table) Overfull(snapshot *catalog.Snapshot, now time.Time) []Overfull {
 	var list []Overfull
 	for id, state := range t.engines {
@@ -209,68 +204,67 @@
 		if !found {
 			continue
 		}
-		counted := t.running(id, ClassBatch, now) + t.running(id, ClassOnline, now)
-		if excess := min(batch, counted-engine.Slots); excess > 0 {
+		running := t.running(id, ClassBatch, now) + t.running(id, ClassOnline, now)
+		if excess := min(batch, running-engine.Slots); excess > 0 {
 			list = append(list, Overfull{Engine: id, Excess: excess})
 		}
 	}
 	return list
 }
 
-// AnyPressed says that some engine has more requests than slots, and batch work
-// there would make way. It looks at those that have any: data nodes ask up to 50 times a
-// second.
-func (t *Table) AnyPressed(snapshot *catalog.Snapshot, now time.Time) bool {
-	if now.Sub(t.heardAt) > yieldLife {
-		return false // nothing counts as making way
+// AnyPreemptionNeeded reports whether batch work has to be preempted at some engine. It is
+// called up to 50 times a second, so it visits only engines with batch work.
+func (t *Table) AnyPreemptionNeeded(snapshot *catalog.Snapshot, now time.Time) bool {
+	if now.Sub(t.lastPeerReport) > preemptTTL {
+		return false // no batch work counts as preemptible
 	}
 	for id, state := range t.engines {
-		if engine, found := snapshot.Engine(id); found && state.own[ClassBatch] > 0 && t.pressed(engine, now) {
+		if engine, found := snapshot.Engine(id); found && state.own[ClassBatch] > 0 && t.needsPreemption(engine, now) {
 			return true
 		}
 	}
-	for key, load := range t.sum {
+	for key, load := range t.peerSum {
 		if load.Counts[ClassBatch] == 0 {
 			continue
 		}
-		if engine := t.index.find(snapshot, key); engine != nil && t.pressed(*engine, now) {
+		if engine := t.index.find(snapshot, key); engine != nil && t.needsPreemption(*engine, now) {
 			return true
 		}
 	}
 	return false
 }
 
-// engineIndex finds the engines of the newest snapshot by their keys.
+// engineIndex maps keys to engines of the newest snapshot.
 type engineIndex struct {
 	snapshot *catalog.Snapshot
 	engines  map[EngineKey]*catalog.Engine
 }
 
-// find returns the engine of a key; nil if there is none.
+// find returns the engine with a key; nil if there is none.
 func (i *engineIndex) find(snapshot *catalog.Snapshot, key EngineKey) *catalog.Engine {
 	if i.snapshot != snapshot {
 		all := snapshot.Engines()
 		i.snapshot, i.engines = snapshot, make(map[EngineKey]*catalog.Engine, len(all))
-		for at := range all {
-			i.engines[KeyOf(all[at].ID)] = &all[at]
+		for n := range all {
+			i.engines[KeyOf(all[n].ID)] = &all[n]
 		}
 	}
 	return i.engines[key]
 }
 
-// pressed says that an engine has more requests than slots, and batch work there
-// would make way.
-func (t *Table) pressed(engine catalog.Engine, now time.Time) bool {
-	return t.load(engine.ID, now) > engine.Slots && t.yielding(engine.ID, now) > 0
+// needsPreemption reports whether an engine has more requests than slots and some of them are
+// preemptible batch work.
+func (t *Table) needsPreemption(engine catalog.Engine, now time.Time) bool {
+	return t.load(engine.ID, now) > engine.Slots && t.preemptible(engine.ID, now) > 0
 }
 
-// score is the share of an engine's slots in use, from 0, with penalties and
-// bonuses in the same unit.
+// score returns the share of an engine's slots in use, plus penalties and less bonuses in the
+// same unit. Lower is better.
 func (t *Table) score(engine catalog.Engine, wish Wish, home string, now time.Time) float64 {
-	// Where work takes longer, all that the engine has and the request itself do.
-	work := float64(t.load(engine.ID, now)+1)*t.stretch(engine.ID, now) - 1
+	// At a slow engine its whole load and the new request count more.
+	work := float64(t.load(engine.ID, now)+1)*t.slowdown(engine.ID, now) - 1
 	score := work / float64(max(engine.Slots, 1))
-	score += float64(t.pending(engine.ID, now)) / pendingUnit
+	score += float64(t.pending(engine.ID, now)) / pendingTokensPerScore
 	if wish.Zone != "" && engine.Zone != wish.Zone {
 		score += zonePenalty
 	}
@@ -281,24 +275,23 @@
 		score -= prefixBonus * min(1, float64(wish.PrefixTokens)/prefixBonusTokens)
 	}
 	if engine.ID == wish.Former {
-		score -= formerBonus
+		score -= previousEngineBonus
 	}
 	return score
 }
 
-// unread is the prompt tokens that an engine will have to read for a wish. The
-// home of its prefix has read the shared part before.
-func (t *Table) unread(snapshot *catalog.Snapshot, wish Wish, engine catalog.Engine) int {
-	if engine.ID == prefixHome(wish.sameRegion(allowed(snapshot, wish), engine), wish) {
+// unreadTokens returns the number of prompt tokens that the engine will have to read; the
+// prefix's home engine already has the shared part cached.
+func (t *Table) unreadTokens(snapshot *catalog.Snapshot, wish Wish, engine catalog.Engine) int {
+	if engine.ID == prefixHomeEngine(wish.sameRegion(allowed(snapshot, wish), engine), wish) {
 		return max(0, wish.PromptTokens-wish.PrefixTokens)
 	}
 	return wish.PromptTokens
 }
 
-// prefixHome is the engine that requests with the same prefix go to first, by
-// rendezvous hashing. Each region has its own, the same for all of its zones, so that
-// a prefix is read and kept at one engine there.
-func prefixHome(candidates []catalog.Engine, wish Wish) string {
+// prefixHomeEngine returns the preferred engine of a prefix by rendezvous hashing. Callers
+// pass one region's engines, so that a prefix is cached at one engine in each region.
+func prefixHomeEngine(candidates []catalog.Engine, wish Wish) string {
 	if wish.Prefix == "" {
 		return ""
 	}
@@ -322,9 +315,9 @@
 	return kept
 }
 
-func contains(list []string, wanted string) bool {
-	for _, one := range list {
-		if one == wanted {
+func contains(list []string, value string) bool {
+	for _, item := range list {
+		if item == value {
 			return true
 		}
 	}
--- a/internal/balance/coldstart.go
+++ b/internal/balance/coldstart.go
@@ -10,20 +10,22 @@
 	"chutelock.dev/chutelock/internal/clock"
 )
 
-// permitTries is how many engines a request asks permits for before it waits: each ask
-// takes a millisecond or two, and 15 ms where it isn't answered.
-const permitTries = 3
+// maxPermitAttempts bounds the engines for which a request asks a permit before it waits:
+// asking takes 1 to 2 ms, and 15 ms if there is no answer.
+const maxPermitAttempts = 3
 
-// ErrPermitVoid says that a request may not be sent to its engine, which is paced: it has
-// no permit, or an old one.
+// ErrPermitVoid is returned when a request may not be sent to a paced engine as its permit is
+// missing or expired.
 var ErrPermitVoid = errors.New("balance: the engine is cold, and there is no valid permit")
 
-// PaceError says that a request found no room, and that some engines that it may go to
-// have none for their pace. It is an ErrNoRoom.
+// PaceError is returned when no engine had room and some of them accept no more requests
+// because they are paced. It matches ErrNoRoom.
 type PaceError struct {
-	// Paced is how many of the engines are cold and get nothing more now.
+	// Paced is the number of engines that are cold and accept no more requests now; Of is the
+	// number of all allowed engines.
 	Paced, Of int
-	// After is when the first of them may get more, if that is all of them; else 0.
+	// After is the time until the first engine accepts more, if all of them are paced; else
+	// 0.
 	After time.Duration
 }
 
@@ -35,55 +37,55 @@
 	return fmt.Sprintf("balance: no engine has room; %d of %d are cold and get no more requests now", e.Paced, e.Of)
 }
 
-// Is says that it is an ErrNoRoom.
+// Is reports whether the target is ErrNoRoom.
 func (e *PaceError) Is(target error) bool { return target == ErrNoRoom }
 
-// Wanted is what a permit is asked for.
+// Wanted describes a request for a permit.
 type Wanted struct {
 	Engine catalog.Engine
-	// Request names the request in the log.
+	// Request identifies the request in logs.
 	Request string
-	// Failing says that the engine failed the last request of this node that ended there.
+	// Failing is set if this node's last request that ended at the engine failed.
 	Failing bool
 }
 
-// Permission is whether a paced engine may get a request.
+// Permission is the answer to a request for a permit.
 type Permission struct {
-	// Until is when a permit ends; zero if none was given.
+	// Until is the end of the permit's validity; zero if none was granted.
 	Until time.Time
-	// After is how long the engine counts as full then.
+	// After is how long the engine counts as full if no permit was granted.
 	After time.Duration
 }
 
-// take takes an engine, and a permit where it is paced; an engine that may get nothing
-// more counts as full, and another one is tried.
-func (b *Balancer) take(ctx context.Context, wish Wish, self *waiter, priority int) (*Lease, bool) {
-	for range permitTries {
-		lease, found := b.try(wish, self, priority)
+// acquirePermitted reserves an engine, with a permit if it is paced. An engine without a
+// permit counts as full for a while, and another one is tried.
+func (b *Balancer) acquirePermitted(ctx context.Context, wish Wish, self *waiter, priority int) (*Lease, bool) {
+	for range maxPermitAttempts {
+		lease, found := b.tryAcquire(wish, self, priority)
 		if !found {
 			return nil, false
 		}
-		if b.permitted(ctx, lease, wish.Request) {
+		if b.requestPermit(ctx, lease, wish.Request) {
 			return lease, true
 		}
 	}
 	return nil, false
 }
 
-func (b *Balancer) permitted(ctx context.Context, lease *Lease, request string) bool {
+func (b *Balancer) requestPermit(ctx context.Context, lease *Lease, requestID string) bool {
 	if !lease.paced {
 		return true
 	}
-	wanted := Wanted{Engine: lease.Engine, Request: request, Failing: b.failing(lease.Engine.ID)}
-	permission := b.Permit(ctx, wanted)
+	request := Wanted{Engine: lease.Engine, Request: requestID, Failing: b.failing(lease.Engine.ID)}
+	permission := b.Permit(ctx, request)
 	if !permission.Until.IsZero() {
-		lease.permit = permission.Until
+		lease.permitExpiry = permission.Until
 		b.mutex.Lock()
-		b.pressFor(lease, clock.Now())
+		b.signalPreemptionFor(lease, clock.Now())
 		b.mutex.Unlock()
 		return true
 	}
-	lease.withdraw(permission.After)
+	lease.releaseUnused(permission.After)
 	return false
 }
 
@@ -94,21 +96,20 @@
 	return state != nil && state.failures > 0
 }
 
-// withdraw gives a place up that was never used, and lets its engine count as full for a
+// releaseUnused gives up a place that was never used and counts its engine as full for a
 // while.
-func (l *Lease) withdraw(full time.Duration) {
+func (l *Lease) releaseUnused(pause time.Duration) {
 	b := l.balancer
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	l.released = true
-	l.read()
+	l.clearUnread()
 	now := clock.Now()
 	b.table.End(l.Engine.ID, l.class, now)
-	b.table.fullFor(l.Engine.ID, full, now)
+	b.table.markFull(l.Engine.ID, pause, now)
 }
 
-// MaySend says whether the request may be sent to its engine at this moment; its error is
-// ErrPermitVoid.
+// MaySend returns ErrPermitVoid if the request may not be sent to its engine now.
 func (l *Lease) MaySend() error {
 	if l.balancer.Permit == nil {
 		return nil
@@ -118,52 +119,53 @@
 	if newer, known := l.balancer.snapshot().Engine(engine.ID); known {
 		engine = newer
 	}
-	if engine.Paced(now) && !now.Before(l.permit) {
+	if engine.Paced(now) && !now.Before(l.permitExpiry) {
 		return ErrPermitVoid
 	}
 	return nil
 }
 
-// noRoom is the error of a wish that found no engine with room.
-func (b *Balancer) noRoom(wish Wish) error {
+// noRoomError returns the error for a wish that found no engine with room.
+func (b *Balancer) noRoomError(wish Wish) error {
 	engines := allowed(b.snapshot(), wish)
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if paced := b.table.pacedOf(engines, clock.Now()); paced.Paced > 0 {
+	if paced := b.table.countPaced(engines, clock.Now()); paced.Paced > 0 {
 		return &paced
 	}
 	return ErrNoRoom
 }
 
-// pacedOf counts the engines that get nothing more now for their pace.
-func (t *Table) pacedOf(engines []catalog.Engine, now time.Time) PaceError {
+// countPaced counts the paced engines that are marked full.
+func (t *Table) countPaced(engines []catalog.Engine, now time.Time) PaceError {
 	result := PaceError{Of: len(engines)}
-	first := time.Duration(0)
+	earliest := time.Duration(0)
 	for _, engine := range engines {
-		if !engine.Paced(now) || !t.fullNow(engine.ID, now) {
+		if !engine.Paced(now) || !t.isFull(engine.ID, now) {
 			continue
 		}
-		if left := t.engines[engine.ID].full.Sub(now); result.Paced == 0 || left < first {
-			first = left
+		if left := t.engines[engine.ID].fullUntil.Sub(now); result.Paced == 0 || left < earliest {
+			earliest = left
 		}
 		result.Paced++
 	}
 	if result.Paced == result.Of {
-		result.After = first
+		result.After = earliest
 	}
 	return result
 }
 
-// fullFor lets an engine count as full for a while, and no shorter than before.
-func (t *Table) fullFor(id string, pause time.Duration, now time.Time) {
+// markFull counts an engine as full for a while; it never shortens an earlier deadline.
+func (t *Table) markFull(id string, pause time.Duration, now time.Time) {
 	state := t.state(id, now)
-	if until := now.Add(pause); until.After(state.full) {
-		state.full = until
+	if until := now.Add(pause); until.After(state.fullUntil) {
+		state.fullUntil = until
 	}
 }
 
-// unpaced leaves out engines that are paced: what they bear goes to online requests.
-func unpaced(engines []catalog.Engine, now time.Time) []catalog.Engine {
+// withoutPaced removes paced engines, as their limited capacity is reserved for online
+// requests.
+func withoutPaced(engines []catalog.Engine, now time.Time) []catalog.Engine {
 	for i := range engines {
 		if engines[i].Paced(now) {
 			return filter(engines, func(e catalog.Engine) bool { return !e.Paced(now) })
--- a/internal/balance/coldstart_test.go
+++ b/internal/balance/coldstart_test.go
@@ -11,7 +11,8 @@
 	"chutelock.dev/chutelock/internal/catalog"
 )
 
-// coldService has engines of eight slots, the cold ones of one; these are paced for an hour.
+// coldService has warm engines of eight slots, and cold ones of one slot that are paced for
+// an hour.
 func coldService(warm, cold []string) *catalog.Snapshot {
 	var list []catalog.Engine
 	for _, id := range warm {
@@ -24,16 +25,16 @@
 	return catalog.NewSnapshot(nil, list)
 }
 
-// permitter answers each ask with the next of its permissions, and the last from then on.
-type permitter struct {
+// fakePermits returns its answers in turn and repeats the last one.
+type fakePermits struct {
 	answers []Permission
-	asked   []string
-	failing bool // as of the last ask
+	engines []string
+	failing bool // as of the last request for a permit
 }
 
-func (p *permitter) permit(_ context.Context, wanted Wanted) Permission {
-	p.asked = append(p.asked, wanted.Engine.ID)
-	p.failing = wanted.Failing
+func (p *fakePermits) permit(_ context.Context, request Wanted) Permission {
+	p.engines = append(p.engines, request.Engine.ID)
+	p.failing = request.Failing
 	next := p.answers[0]
 	if len(p.answers) > 1 {
 		p.answers = p.answers[1:]
@@ -41,57 +42,57 @@
 	return next
 }
 
-func fullEngine(id string) Report { return Report{KeyOf(id): {Counts: Counts{20, 0}}} }
+func fullEngineReport(id string) Report { return Report{KeyOf(id): {Counts: Counts{20, 0}}} }
 
-func without(list, left []string) []string {
-	return slices.DeleteFunc(list, func(id string) bool { return slices.Contains(left, id) })
+func except(list, excluded []string) []string {
+	return slices.DeleteFunc(list, func(id string) bool { return slices.Contains(excluded, id) })
 }
 
 func acquire(b *Balancer, wait time.Duration) (*Lease, error) {
 	return b.Acquire(context.Background(), Wish{Service: "s"}, 0, wait, nil)
 }
 
-func TestAColdEngineTakesWhatWarmOnesHaveNoRoomFor(t *testing.T) {
+func TestColdEngineTakesOverflowOfWarmEngines(t *testing.T) {
 	g := gomega.NewWithT(t)
 	snapshot := coldService([]string{"w"}, []string{"c"})
 	b := New(func() *catalog.Snapshot { return snapshot })
-	permits := &permitter{answers: []Permission{{Until: time.Now().Add(time.Hour)}}}
+	permits := &fakePermits{answers: []Permission{{Until: time.Now().Add(time.Hour)}}}
 	b.Permit = permits.permit
 	first, err := acquire(b, 0)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(first.Engine.ID).To(gomega.Equal("w"))
-	g.Expect(permits.asked).To(gomega.BeEmpty(), "a warm engine needs none")
-	b.PeerLoad("others", fullEngine("w"))
+	g.Expect(permits.engines).To(gomega.BeEmpty(), "a warm engine needs no permit")
+	b.PeerLoad("others", fullEngineReport("w"))
 	second, err := acquire(b, 0)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(second.Engine.ID).To(gomega.Equal("c"))
-	g.Expect(permits.asked).To(gomega.Equal([]string{"c"}))
+	g.Expect(permits.engines).To(gomega.Equal([]string{"c"}))
 	g.Expect(second.MaySend()).To(gomega.Succeed())
 }
 
-// Denied at one engine, a request tries others, and few of them.
-func TestARequestWithoutAPermitPicksAgain(t *testing.T) {
+// A request that is denied a permit must try other engines, up to maxPermitAttempts.
+func TestAcquireTriesOtherEnginesWhenPermitDenied(t *testing.T) {
 	g := gomega.NewWithT(t)
 	snapshot := coldService(nil, []string{"a", "b", "c", "d", "e"})
 	b := New(func() *catalog.Snapshot { return snapshot })
-	permits := &permitter{answers: []Permission{{After: time.Hour}, {After: time.Hour}, {Until: time.Now().Add(time.Hour)}, {After: time.Hour}}}
+	permits := &fakePermits{answers: []Permission{{After: time.Hour}, {After: time.Hour}, {Until: time.Now().Add(time.Hour)}, {After: time.Hour}}}
 	b.Permit = permits.permit
 	lease, err := acquire(b, 0)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(permits.asked).To(gomega.HaveLen(permitTries))
-	g.Expect(lease.Engine.ID).To(gomega.Equal(permits.asked[2]))
-	g.Expect(b.Own()).To(gomega.HaveLen(1), "the places that weren't used are given up")
+	g.Expect(permits.engines).To(gomega.HaveLen(maxPermitAttempts))
+	g.Expect(lease.Engine.ID).To(gomega.Equal(permits.engines[2]))
+	g.Expect(b.Own()).To(gomega.HaveLen(1), "unused places are released")
 	_, err = acquire(b, 0)
 	g.Expect(err).To(gomega.MatchError(ErrNoRoom))
-	g.Expect(permits.asked[3:]).To(gomega.ConsistOf(without([]string{"a", "b", "c", "d", "e"}, permits.asked[:2])), "those denied before are left out")
+	g.Expect(permits.engines[3:]).To(gomega.ConsistOf(except([]string{"a", "b", "c", "d", "e"}, permits.engines[:2])), "engines that denied a permit are skipped")
 }
 
-// With all engines cold and nothing left of their pace, the refusal tells when there is.
-func TestARefusalTellsWhenThePaceAllowsMore(t *testing.T) {
+// The error must tell when the first engine accepts requests again, if all engines are paced.
+func TestPaceErrorReportsRetryTime(t *testing.T) {
 	g := gomega.NewWithT(t)
 	snapshot := coldService(nil, []string{"a", "b"})
 	b := New(func() *catalog.Snapshot { return snapshot })
-	b.Permit = (&permitter{answers: []Permission{{After: 40 * time.Minute}, {After: 30 * time.Minute}}}).permit
+	b.Permit = (&fakePermits{answers: []Permission{{After: 40 * time.Minute}, {After: 30 * time.Minute}}}).permit
 	_, err := acquire(b, 0)
 	g.Expect(err).To(gomega.MatchError(ErrNoRoom))
 	var paced *PaceError
@@ -102,21 +103,21 @@
 	lease, err := acquire(b, 0)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	lease.Release()
-	b.PeerLoad("others", fullEngine("w"))
+	b.PeerLoad("others", fullEngineReport("w"))
 	_, err = acquire(b, 0)
-	g.Expect(err).To(gomega.Equal(&PaceError{Paced: 2, Of: 3}), "a warm engine is full, and the pace not the only reason")
-	b.table.fullFor("w", time.Hour, time.Now())
+	g.Expect(err).To(gomega.Equal(&PaceError{Paced: 2, Of: 3}), "the warm engine is full, but not paced")
+	b.table.markFull("w", time.Hour, time.Now())
 	_, err = acquire(b, 0)
-	g.Expect(err).To(gomega.Equal(&PaceError{Paced: 2, Of: 3}), "the same, as it said itself")
+	g.Expect(err).To(gomega.Equal(&PaceError{Paced: 2, Of: 3}), "the warm engine is marked full")
 	g.Expect(err).To(gomega.MatchError(ErrNoRoom))
 }
 
-// What is known at the send decides: permits grow old, and engines turn cold.
-func TestNothingIsSentToAPacedEngineWithoutAValidPermit(t *testing.T) {
+// The permit and the engine's state must be checked again at the send.
+func TestMaySendRejectsPacedEngineWithoutValidPermit(t *testing.T) {
 	g := gomega.NewWithT(t)
 	snapshot := coldService(nil, []string{"c"})
 	b := New(func() *catalog.Snapshot { return snapshot })
-	b.Permit = (&permitter{answers: []Permission{{Until: time.Now().Add(-time.Nanosecond)}}}).permit
+	b.Permit = (&fakePermits{answers: []Permission{{Until: time.Now().Add(-time.Nanosecond)}}}).permit
 	lease, err := acquire(b, 0)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(lease.MaySend()).To(gomega.MatchError(ErrPermitVoid))
@@ -130,7 +131,7 @@
 	g.Expect(lease.MaySend()).To(gomega.MatchError(ErrPermitVoid))
 }
 
-func TestBatchWorkStartsNothingAtPacedEngines(t *testing.T) {
+func TestAcquireManySkipsPacedEngines(t *testing.T) {
 	g := gomega.NewWithT(t)
 	snapshot := coldService([]string{"w"}, []string{"a", "b"})
 	b := New(func() *catalog.Snapshot { return snapshot })
@@ -140,104 +141,103 @@
 	for _, lease := range leases {
 		g.Expect(lease.Engine.ID).To(gomega.Equal("w"))
 	}
-	b.PeerLoad("others", fullEngine("w"))
+	b.PeerLoad("others", fullEngineReport("w"))
 	g.Expect(b.AcquireMany([]Wish{wish}, 0)).To(gomega.BeEmpty())
 }
 
-// A waiting request gets its permit as soon as its engine may be asked again.
-func TestAWaitingRequestAsksAgainWhenItMay(t *testing.T) {
+// A waiting request must ask for a permit again when its engine's pause ends.
+func TestWaitingRequestRetriesPermit(t *testing.T) {
 	g := gomega.NewWithT(t)
 	snapshot := coldService(nil, []string{"c"})
 	b := New(func() *catalog.Snapshot { return snapshot })
-	permits := &permitter{answers: []Permission{{After: 30 * time.Millisecond}, {Until: time.Now().Add(time.Hour)}}}
+	permits := &fakePermits{answers: []Permission{{After: 30 * time.Millisecond}, {Until: time.Now().Add(time.Hour)}}}
 	b.Permit = permits.permit
 	_, err := acquire(b, time.Minute)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(permits.asked).To(gomega.HaveLen(2))
+	g.Expect(permits.engines).To(gomega.HaveLen(2))
 }
 
-// Whether the rising pace of an engine holds is told with each ask.
-func TestAnAskTellsOfFailures(t *testing.T) {
+// Each request for a permit must tell whether the engine fails requests.
+func TestPermitRequestReportsFailingEngine(t *testing.T) {
 	g := gomega.NewWithT(t)
 	snapshot := coldService(nil, []string{"c"})
 	b := New(func() *catalog.Snapshot { return snapshot })
-	permits := &permitter{answers: []Permission{{Until: time.Now().Add(time.Hour)}}}
+	permits := &fakePermits{answers: []Permission{{Until: time.Now().Add(time.Hour)}}}
 	b.Permit = permits.permit
-	for _, step := range []struct {
+	for _, test := range []struct {
 		note    func()
 		failing bool
 	}{
 		{func() {}, false}, {func() { b.Failed("c", context.Canceled) }, true}, {func() { b.Succeeded("c") }, false},
 	} {
-		step.note()
+		test.note()
 		lease, err := acquire(b, 0)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		g.Expect(permits.failing).To(gomega.Equal(step.failing))
+		g.Expect(permits.failing).To(gomega.Equal(test.failing))
 		lease.Release()
 	}
 }
 
-// A request whose engines are all out by their pace for longer than it may wait is told at
-// once, with when to come back; one that may wait for that long does.
-func TestNobodyWaitsInVainForThePace(t *testing.T) {
+// A request must be rejected at once if all engines are paced for longer than it may wait.
+func TestAcquireRejectsWaitShorterThanPace(t *testing.T) {
 	g := gomega.NewWithT(t)
 	snapshot := coldService(nil, []string{"a", "b"})
 	b := New(func() *catalog.Snapshot { return snapshot })
-	looks := 0
-	look := func(context.Context) { looks++ }
-	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second) // it ends only a test that fails
+	refreshes := 0
+	refresh := func(context.Context) { refreshes++ }
+	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second) // reached only if the test fails
 	defer cancel()
-	b.Permit = (&permitter{answers: []Permission{{After: time.Hour}}}).permit
-	_, err := b.Acquire(ctx, Wish{Service: "s"}, 0, 30*time.Minute, look)
+	b.Permit = (&fakePermits{answers: []Permission{{After: time.Hour}}}).permit
+	_, err := b.Acquire(ctx, Wish{Service: "s"}, 0, 30*time.Minute, refresh)
 	g.Expect(err).To(gomega.BeAssignableToTypeOf(&PaceError{}))
-	g.Expect(looks).To(gomega.BeZero())
+	g.Expect(refreshes).To(gomega.BeZero())
 
 	b = New(func() *catalog.Snapshot { return snapshot })
-	b.Permit = (&permitter{answers: []Permission{{After: time.Millisecond}, {After: time.Millisecond}, {After: time.Millisecond}, {After: 2 * time.Hour}}}).permit
-	_, err = b.Acquire(ctx, Wish{Service: "s"}, 0, time.Hour, look)
+	b.Permit = (&fakePermits{answers: []Permission{{After: time.Millisecond}, {After: time.Millisecond}, {After: time.Millisecond}, {After: 2 * time.Hour}}}).permit
+	_, err = b.Acquire(ctx, Wish{Service: "s"}, 0, time.Hour, refresh)
 	g.Expect(err).To(gomega.BeAssignableToTypeOf(&PaceError{}))
 	g.Expect(err.(*PaceError).After).To(gomega.BeNumerically(">", time.Hour))
-	g.Expect(looks).To(gomega.BeNumerically(">", 0), "it began to wait, and left off")
+	g.Expect(refreshes).To(gomega.BeNumerically(">", 0), "it waited at first")
 	g.Expect(b.Waiting()).To(gomega.BeZero())
 }
 
-// An engine that left the catalog gets nothing that it might not bear.
-func TestAnEngineThatIsGoneGetsNothingWithoutAValidPermit(t *testing.T) {
+// An engine that has left the catalog must still be treated as paced.
+func TestMaySendRejectsRemovedEngineWithExpiredPermit(t *testing.T) {
 	g := gomega.NewWithT(t)
 	snapshot := coldService(nil, []string{"c"})
 	b := New(func() *catalog.Snapshot { return snapshot })
-	b.Permit = (&permitter{answers: []Permission{{Until: time.Now().Add(-time.Nanosecond)}}}).permit
+	b.Permit = (&fakePermits{answers: []Permission{{Until: time.Now().Add(-time.Nanosecond)}}}).permit
 	lease, err := acquire(b, 0)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	snapshot = catalog.NewSnapshot(nil, nil)
 	g.Expect(lease.MaySend()).To(gomega.MatchError(ErrPermitVoid))
 }
 
-// What is told last shortens no pause that is longer.
-func TestAnEngineIsFullForTheLongestTimeTold(t *testing.T) {
+// A shorter pause must not shorten a longer one.
+func TestMarkFullKeepsLatestDeadline(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := NewTable()
-	table.fullFor("e", time.Second, start)
-	table.fullFor("e", 10*time.Millisecond, start)
+	table.markFull("e", time.Second, start)
+	table.markFull("e", 10*time.Millisecond, start)
 	table.Refused("e", start)
-	g.Expect(table.fullNow("e", start.Add(time.Second-1))).To(gomega.BeTrue())
-	g.Expect(table.fullNow("e", start.Add(time.Second))).To(gomega.BeFalse())
+	g.Expect(table.isFull("e", start.Add(time.Second-1))).To(gomega.BeTrue())
+	g.Expect(table.isFull("e", start.Add(time.Second))).To(gomega.BeFalse())
 	table.Refused("e", start.Add(time.Second))
-	g.Expect(table.fullNow("e", start.Add(time.Second+fullPause-1))).To(gomega.BeTrue())
+	g.Expect(table.isFull("e", start.Add(time.Second+refusalPause-1))).To(gomega.BeTrue())
 }
 
-// Batch work makes way for a request that goes to a cold engine, not for one that doesn't.
-func TestBatchWorkMakesWayOnlyOnceThereIsAPermit(t *testing.T) {
+// Batch work must not be preempted for a request that got no permit.
+func TestPreemptionSignaledOnlyAfterPermit(t *testing.T) {
 	g := gomega.NewWithT(t)
 	snapshot := coldService(nil, []string{"c"})
-	for _, one := range []struct {
+	for _, test := range []struct {
 		answer Permission
-		wanted int
+		want   int
 	}{{Permission{After: time.Hour}, 0}, {Permission{Until: time.Now().Add(time.Hour)}, 1}} {
 		b := New(func() *catalog.Snapshot { return snapshot })
-		b.Permit = (&permitter{answers: []Permission{one.answer}}).permit
+		b.Permit = (&fakePermits{answers: []Permission{test.answer}}).permit
 		b.PeerLoad("others", Report{KeyOf("c"): {Counts: Counts{0, 1}}})
 		_, _ = acquire(b, 0)
-		g.Expect(b.Pressed()).To(gomega.HaveLen(one.wanted), "%+v", one.answer)
+		g.Expect(b.Pressed()).To(gomega.HaveLen(test.want), "%+v", test.answer)
 	}
 }
--- a/internal/balance/distance.go
+++ b/internal/balance/distance.go
@@ -3,46 +3,45 @@
 import "time"
 
 const (
-	// distanceSpan is how long the shortest connection counts as a zone's distance, at
-	// least: requests open some connections to each zone that they use within it.
-	distanceSpan = time.Minute
-	// distanceUnknown is assumed of a zone to which no connection was opened lately:
-	// between the 16 ms and 24 ms of the regions of two deployments.
-	distanceUnknown = 20 * time.Millisecond
+	// rttWindow is the length of a window; the minimum of the last two counts, so that it
+	// usually covers several connections to each zone in use.
+	rttWindow = time.Minute
+	// defaultRTT is assumed for zones without a recent connection.
+	defaultRTT = 20 * time.Millisecond
 )
 
-// distances holds the round trips to zones, as the shortest that opening a connection
-// to an engine there took lately: longer ones had to wait for the engine or this node.
-// It is not safe for concurrent use.
-type distances map[string]*distance
+// rttTracker holds the round-trip time to each zone, estimated as the minimum recent time to
+// open a connection to an engine there; longer times include delays at the engine or this
+// node. It is not safe for concurrent use.
+type rttTracker map[string]*rttMinimum
 
-// distance is the least of the present and of the former span.
-type distance struct {
-	since           time.Time
-	present, former time.Duration // 0 is none
+// rttMinimum holds the minima of the current and the previous window.
+type rttMinimum struct {
+	since             time.Time
+	current, previous time.Duration // 0 means none
 }
 
-func (d distances) note(zone string, took time.Duration, now time.Time) {
-	known := d[zone]
+func (t rttTracker) record(zone string, took time.Duration, now time.Time) {
+	zoneRTT := t[zone]
 	switch {
-	case known == nil || now.Sub(known.since) > 2*distanceSpan:
-		d[zone] = &distance{since: now, present: took}
-	case now.Sub(known.since) > distanceSpan:
-		*known = distance{since: now, present: took, former: known.present}
+	case zoneRTT == nil || now.Sub(zoneRTT.since) > 2*rttWindow:
+		t[zone] = &rttMinimum{since: now, current: took}
+	case now.Sub(zoneRTT.since) > rttWindow:
+		*zoneRTT = rttMinimum{since: now, current: took, previous: zoneRTT.current}
 	default:
-		known.present = min(known.present, took)
+		zoneRTT.current = min(zoneRTT.current, took)
 	}
 }
 
-// roundTrip is the distance of a zone. A zone that was too far away to be used, and is
-// not measured any more for that, is tried again after two spans.
-func (d distances) roundTrip(zone string, now time.Time) time.Duration {
-	known := d[zone]
+// rtt returns the round-trip time to a zone. An estimate expires after two windows, so that a
+// zone not used for its distance is tried again.
+func (t rttTracker) rtt(zone string, now time.Time) time.Duration {
+	zoneRTT := t[zone]
 	switch {
-	case known == nil || now.Sub(known.since) > 2*distanceSpan:
-		return distanceUnknown
-	case known.former > 0:
-		return min(known.present, known.former)
+	case zoneRTT == nil || now.Sub(zoneRTT.since) > 2*rttWindow:
+		return defaultRTT
+	case zoneRTT.previous > 0:
+		return min(zoneRTT.current, zoneRTT.previous)
 	}
-	return known.present
+	return zoneRTT.current
 }
--- a/internal/balance/distance_test.go
+++ b/internal/balance/distance_test.go
@@ -10,35 +10,35 @@
 	"chutelock.dev/chutelock/internal/catalog"
 )
 
-func TestTheShortestConnectionOfTwoSpansIsTheDistance(t *testing.T) {
+func TestRTTIsMinimumOfTwoWindows(t *testing.T) {
 	g := gomega.NewWithT(t)
-	d := distances{}
-	g.Expect(d.roundTrip("far", start)).To(gomega.Equal(distanceUnknown))
-	d.note("far", 30*time.Millisecond, start)
-	d.note("far", 16*time.Millisecond, start.Add(time.Second))
-	d.note("far", 80*time.Millisecond, start.Add(2*time.Second))
-	g.Expect(d.roundTrip("far", start.Add(2*time.Second))).To(gomega.Equal(16 * time.Millisecond))
-	d.note("far", 40*time.Millisecond, start.Add(distanceSpan+time.Second))
-	g.Expect(d.roundTrip("far", start.Add(distanceSpan+time.Second))).To(gomega.Equal(16*time.Millisecond), "the former span counts")
-	d.note("far", 41*time.Millisecond, start.Add(2*distanceSpan+3*time.Second))
-	g.Expect(d.roundTrip("far", start.Add(2*distanceSpan+3*time.Second))).To(gomega.Equal(40*time.Millisecond), "the link has become slower")
-	g.Expect(d.roundTrip("far", start.Add(9*distanceSpan))).To(gomega.Equal(distanceUnknown), "it was not measured lately")
-	d.note("far", 90*time.Millisecond, start.Add(9*distanceSpan))
-	g.Expect(d.roundTrip("far", start.Add(9*distanceSpan))).To(gomega.Equal(90 * time.Millisecond))
+	d := rttTracker{}
+	g.Expect(d.rtt("far", start)).To(gomega.Equal(defaultRTT))
+	d.record("far", 30*time.Millisecond, start)
+	d.record("far", 16*time.Millisecond, start.Add(time.Second))
+	d.record("far", 80*time.Millisecond, start.Add(2*time.Second))
+	g.Expect(d.rtt("far", start.Add(2*time.Second))).To(gomega.Equal(16 * time.Millisecond))
+	d.record("far", 40*time.Millisecond, start.Add(rttWindow+time.Second))
+	g.Expect(d.rtt("far", start.Add(rttWindow+time.Second))).To(gomega.Equal(16*time.Millisecond), "minimum of the previous window")
+	d.record("far", 41*time.Millisecond, start.Add(2*rttWindow+3*time.Second))
+	g.Expect(d.rtt("far", start.Add(2*rttWindow+3*time.Second))).To(gomega.Equal(40*time.Millisecond), "the older window has expired")
+	g.Expect(d.rtt("far", start.Add(9*rttWindow))).To(gomega.Equal(defaultRTT), "no recent connection")
+	d.record("far", 90*time.Millisecond, start.Add(9*rttWindow))
+	g.Expect(d.rtt("far", start.Add(9*rttWindow))).To(gomega.Equal(90 * time.Millisecond))
 }
 
-func TestConnectionsTellTheDistanceOfTheirZone(t *testing.T) {
+func TestConnectedRecordsZoneRTT(t *testing.T) {
 	g := gomega.NewWithT(t)
-	b := New(threePlaces)
+	b := New(threeRegions)
 	b.Connected("remote", 33*time.Millisecond)
 	b.Connected("gone", time.Millisecond)
-	g.Expect(b.table.distances).To(gomega.HaveLen(1))
-	g.Expect(b.table.distances.roundTrip("c", time.Now())).To(gomega.Equal(33 * time.Millisecond))
+	g.Expect(b.table.zoneRTTs).To(gomega.HaveLen(1))
+	g.Expect(b.table.zoneRTTs.rtt("c", time.Now())).To(gomega.Equal(33 * time.Millisecond))
 }
 
-// threePlaces has an engine in the node's own zone, one in another zone of its region,
-// and one in each of two other regions.
-func threePlaces() *catalog.Snapshot {
+// threeRegions has an engine in the node's own zone, one in another zone of its region, and
+// one in each of two other regions.
+func threeRegions() *catalog.Snapshot {
 	return catalog.NewSnapshot(nil, []catalog.Engine{
 		{ID: "own", Service: "s", Zone: "a", Region: "north", Slots: 8},
 		{ID: "near", Service: "s", Zone: "b", Region: "north", Slots: 8},
@@ -47,14 +47,14 @@
 	})
 }
 
-const nearRegion, farRegion = 16 * time.Millisecond, 200 * time.Millisecond
+const southRTT, westRTT = 16 * time.Millisecond, 200 * time.Millisecond
 
-// busy is a table with so many online and batch requests at each engine.
-func busy(online, batch map[string]int) *Table {
+// loadedTable returns a table with the given numbers of requests in flight by engine.
+func loadedTable(online, batch map[string]int) *Table {
 	table := NewTable()
-	table.distances.note("c", nearRegion, start)
-	table.distances.note("d", farRegion, start)
-	table.PeerLoad("others", Report{}, start) // batch work makes way while peers are heard
+	table.zoneRTTs.record("c", southRTT, start)
+	table.zoneRTTs.record("d", westRTT, start)
+	table.PeerLoad("others", Report{}, start) // batch work is preemptible while peers report
 	for id, count := range online {
 		for range count {
 			table.Begin(id, ClassOnline, 0, start)
@@ -68,83 +68,83 @@
 	return table
 }
 
-// Engines of other regions get nothing while one of the own region has a free slot, and
-// what waits less there than here beyond that; the nearest region goes first.
-func TestARegionIsLeftOnlyWhereWaitingTakesLongerThanTheWay(t *testing.T) {
+// A region must be left only if the wait there exceeds the round trip to another region plus
+// the wait there.
+func TestChooseLeavesRegionOnlyWhenWaitExceedsRTT(t *testing.T) {
 	type load = map[string]int
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		online, batch load
 		wait          time.Duration
-		wanted        string
+		want          string
 	}{
-		"idle":                                  {load{}, load{}, time.Second, "own"},
-		"the own zone is full":                  {load{"own": 8, "near": 5}, load{}, time.Second, "near"},
-		"one slot is left in the region":        {load{"own": 9, "near": 7}, load{}, time.Second, "near"},
-		"the region is full":                    {load{"own": 9, "near": 9, "remote": 3}, load{}, time.Second, "remote"},
-		"the nearest region goes first":         {load{"own": 9, "near": 9, "remote": 7}, load{}, time.Second, "remote"},
-		"waiting there is longer":               {load{"own": 9, "near": 9, "remote": 9, "remotest": 0}, load{}, time.Second, "own"},
-		"batch work makes way":                  {load{"own": 2, "near": 2}, load{"own": 6, "near": 6}, time.Second, "own"},
-		"too far to be in time, with free slot": {load{"own": 9, "near": 9, "remote": 11}, load{}, 195 * time.Millisecond, ""},
+		"idle":                                {load{}, load{}, time.Second, "own"},
+		"own zone full":                       {load{"own": 8, "near": 5}, load{}, time.Second, "near"},
+		"one slot free in the region":         {load{"own": 9, "near": 7}, load{}, time.Second, "near"},
+		"region full":                         {load{"own": 9, "near": 9, "remote": 3}, load{}, time.Second, "remote"},
+		"nearest region first":                {load{"own": 9, "near": 9, "remote": 7}, load{}, time.Second, "remote"},
+		"longer wait there":                   {load{"own": 9, "near": 9, "remote": 9, "remotest": 0}, load{}, time.Second, "own"},
+		"batch work preemptible":              {load{"own": 2, "near": 2}, load{"own": 6, "near": 6}, time.Second, "own"},
+		"free slot too distant to be on time": {load{"own": 9, "near": 9, "remote": 11}, load{}, 195 * time.Millisecond, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			wish := Wish{Service: "s", Zone: "a", Region: "north", Wait: one.wait}
-			chosen, _ := busy(one.online, one.batch).Choose(threePlaces(), wish, start, func() float64 { return 0.5 })
-			if one.wanted != "" {
-				g.Expect(chosen.ID).To(gomega.Equal(one.wanted))
+			wish := Wish{Service: "s", Zone: "a", Region: "north", Wait: test.wait}
+			chosen, _ := loadedTable(test.online, test.batch).Choose(threeRegions(), wish, start, func() float64 { return 0.5 })
+			if test.want != "" {
+				g.Expect(chosen.ID).To(gomega.Equal(test.want))
 			}
 			g.Expect(chosen.ID).NotTo(gomega.Equal("remotest"))
 		})
 	}
 }
 
-// A farther region without a wait is nearer than one with a wait.
-func TestRoundTripAndWaitCountTogether(t *testing.T) {
+// A more distant region without a queue must be preferred to a nearer one with a long queue.
+func TestChooseAddsRTTAndWait(t *testing.T) {
 	g := gomega.NewWithT(t)
-	table := busy(map[string]int{"own": 12, "near": 12, "remote": 9}, nil)
-	table.distances.note("d", 130*time.Millisecond, start) // the wait at the other is 125 ms longer
+	table := loadedTable(map[string]int{"own": 12, "near": 12, "remote": 9}, nil)
+	table.zoneRTTs.record("d", 130*time.Millisecond, start) // the queue at the nearer region takes 125 ms longer
 	wish := Wish{Service: "s", Zone: "a", Region: "north", Wait: time.Second}
-	chosen, _ := table.Choose(threePlaces(), wish, start, func() float64 { return 0.5 })
+	chosen, _ := table.Choose(threeRegions(), wish, start, func() float64 { return 0.5 })
 	g.Expect(chosen.ID).To(gomega.Equal("remotest"))
 }
 
-// A region without engines for the request uses others, however far they are.
-func TestARegionWithoutEnginesUsesTheNearestOther(t *testing.T) {
+// A request whose region has no engines for it must be served elsewhere, even if late.
+func TestChooseUsesOtherRegionsWhenOwnHasNoEngines(t *testing.T) {
 	g := gomega.NewWithT(t)
 	wish := Wish{Service: "s", Zone: "x", Region: "east", Wait: 100 * time.Millisecond}
 	draw := func() float64 { return 0.5 }
-	chosen, found := busy(nil, nil).Choose(threePlaces(), wish, start, draw)
+	chosen, found := loadedTable(nil, nil).Choose(threeRegions(), wish, start, draw)
 	g.Expect(found).To(gomega.BeTrue())
 	g.Expect(chosen.Region).NotTo(gomega.Equal("west"))
 	full := map[string]int{"own": 30, "near": 30, "remote": 30}
-	chosen, found = busy(full, nil).Choose(threePlaces(), wish, start, draw)
+	chosen, found = loadedTable(full, nil).Choose(threeRegions(), wish, start, draw)
 	g.Expect(found).To(gomega.BeTrue())
-	g.Expect(chosen.ID).To(gomega.Equal("remotest"), "it is late there, but served")
+	g.Expect(chosen.ID).To(gomega.Equal("remotest"), "late, but served")
 }
 
-// Without regions all is as between zones.
-func TestEnginesWithoutARegionCountAsNear(t *testing.T) {
-	bare := []catalog.Engine{{ID: "own", Service: "s", Zone: "a", Slots: 8}, {ID: "other", Service: "s", Zone: "c", Slots: 8}}
-	placed := []catalog.Engine{{ID: "own", Service: "s", Zone: "a", Region: "north", Slots: 8}, {ID: "other", Service: "s", Zone: "c", Region: "south", Slots: 8}}
-	for name, one := range map[string]struct {
+// Without region information engines are chosen by zone only.
+func TestChooseTreatsUnknownRegionAsOwn(t *testing.T) {
+	withoutRegion := []catalog.Engine{{ID: "own", Service: "s", Zone: "a", Slots: 8}, {ID: "other", Service: "s", Zone: "c", Slots: 8}}
+	withRegion := []catalog.Engine{{ID: "own", Service: "s", Zone: "a", Region: "north", Slots: 8}, {ID: "other", Service: "s", Zone: "c", Region: "south", Slots: 8}}
+	for name, test := range map[string]struct {
 		engines []catalog.Engine
 		region  string
-	}{"engines tell none": {bare, "north"}, "the wish has none": {placed, ""}} {
+	}{"engines without region": {withoutRegion, "north"}, "wish without region": {withRegion, ""}} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			wish := Wish{Service: "s", Zone: "a", Region: one.region, Wait: time.Second}
-			snapshot, draw := catalog.NewSnapshot(nil, one.engines), func() float64 { return 0.5 }
-			chosen, _ := busy(map[string]int{"own": 4}, nil).Choose(snapshot, wish, start, draw)
-			g.Expect(chosen.ID).To(gomega.Equal("other"), "its own zone is fuller by half")
-			chosen, _ = busy(nil, nil).Choose(snapshot, wish, start, draw)
+			wish := Wish{Service: "s", Zone: "a", Region: test.region, Wait: time.Second}
+			snapshot, draw := catalog.NewSnapshot(nil, test.engines), func() float64 { return 0.5 }
+			chosen, _ := loadedTable(map[string]int{"own": 4}, nil).Choose(snapshot, wish, start, draw)
+			g.Expect(chosen.ID).To(gomega.Equal("other"), "the own zone is half full")
+			chosen, _ = loadedTable(nil, nil).Choose(snapshot, wish, start, draw)
 			g.Expect(chosen.ID).To(gomega.Equal("own"))
 		})
 	}
 }
 
-// A prefix has one home in each region, so that requests with a shared prompt need not
-// leave theirs for it, and find it read where they go.
-func TestAPrefixHasAHomeInEachRegion(t *testing.T) {
+// A prefix must be cached at one engine in each region, so that requests need not leave
+// theirs for it.
+func TestPrefixHasHomePerRegion(t *testing.T) {
 	g := gomega.NewWithT(t)
 	snapshot := catalog.NewSnapshot(nil, []catalog.Engine{
 		{ID: "a1", Service: "s", Zone: "a", Region: "north", Slots: 8}, {ID: "a2", Service: "s", Zone: "a", Region: "north", Slots: 8},
@@ -154,7 +154,7 @@
 	for i := range 40 {
 		wish := Wish{Service: "s", Region: "north", Prefix: strconv.Itoa(i), PrefixTokens: 100, PromptTokens: 150}
 		for _, engine := range snapshot.Engines() {
-			if NewTable().unread(snapshot, wish, engine) == 50 {
+			if NewTable().unreadTokens(snapshot, wish, engine) == 50 {
 				homes[engine.Region]++
 			}
 		}
--- a/internal/balance/doc.go
+++ b/internal/balance/doc.go
@@ -1,8 +1,7 @@
-// Package balance chooses the engine of each request: filter, score, pick.
+// Package balance chooses an engine for each request by filtering, scoring and picking.
 //
-// Table is pure: it counts what this node has under way at each engine, and
-// remembers what engines told of their load, what other nodes told of theirs,
-// and which engines failed lately. Choose reads the table and a catalog's
-// snapshot; it changes nothing. Balancer is the shell: it holds the table
-// under a mutex and lets requests wait, by priority, until an engine has room.
+// Table holds the load state: requests of this node in flight at each engine, load reported
+// by engines and peers, and ejected engines. It has no locks and takes the time as an
+// argument. Choose selects an engine from the table and a catalog snapshot. Balancer guards a
+// table with a mutex and lets requests wait, by priority, until an engine has room.
 package balance
--- a/internal/balance/drain_test.go
+++ b/internal/balance/drain_test.go
@@ -11,7 +11,7 @@
 	"chutelock.dev/chutelock/internal/catalog"
 )
 
-// twoZones is a snapshot of an engine a zone; those of the drained zones are out.
+// twoZones has one engine in each of two zones; those of the given zones are drained.
 func twoZones(drained ...string) *catalog.Snapshot {
 	engines := []catalog.Engine{{ID: "a", Service: "s", Zone: "za", Slots: 1}, {ID: "b", Service: "s", Zone: "zb", Slots: 1}}
 	for i := range engines {
@@ -20,8 +20,8 @@
 	return catalog.NewSnapshot(nil, engines)
 }
 
-// Requests that wait for room are told at once when the last zone is drained.
-func TestWaitingEndsOnceAllZonesAreDrained(t *testing.T) {
+// Waiting requests must fail at once when the last zone is drained.
+func TestAcquireStopsWaitingWhenAllZonesDrain(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var snapshot atomic.Pointer[catalog.Snapshot]
 	snapshot.Store(twoZones("zb"))
@@ -44,23 +44,23 @@
 	g.Expect(b.Waiting()).To(gomega.BeZero())
 }
 
-// Neither a shared prefix, nor where a part of an item ran, nor that all others were
-// tried leads to a drained zone; what runs there counts on.
-func TestNothingNewGoesToADrainedZone(t *testing.T) {
+// Neither a shared prefix, the previous engine nor avoided engines may lead to a drained
+// zone; requests in flight there stay counted.
+func TestDrainedZoneGetsNoNewRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var snapshot atomic.Pointer[catalog.Snapshot]
 	snapshot.Store(twoZones())
 	b := New(snapshot.Load)
-	begun := b.AcquireMany([]Wish{{Service: "s", Class: ClassBatch}, {Service: "s", Class: ClassBatch}}, 0)
-	g.Expect(begun).To(gomega.HaveLen(2), "one at each")
+	leases := b.AcquireMany([]Wish{{Service: "s", Class: ClassBatch}, {Service: "s", Class: ClassBatch}}, 0)
+	g.Expect(leases).To(gomega.HaveLen(2), "one at each engine")
 	snapshot.Store(twoZones("za"))
 	g.Expect(b.OwnIn([]string{"za"})).To(gomega.Equal(map[string]Counts{"za": {0, 1}}))
-	for _, lease := range begun {
+	for _, lease := range leases {
 		if lease.Engine.ID == "b" {
 			lease.Release()
 		}
 	}
-	for _, prefix := range []string{"p", "q", "r", "s"} { // of any home
+	for _, prefix := range []string{"p", "q", "r", "s"} { // with either engine as home
 		wish := Wish{Service: "s", Zone: "za", Class: ClassOnline, Prefix: prefix, PrefixTokens: 9000, PromptTokens: 9000, Avoid: []string{"b"}}
 		lease, err := b.Acquire(context.Background(), wish, 0, 0, nil)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -72,9 +72,9 @@
 	g.Expect(again[0].Engine.ID).To(gomega.Equal("b"))
 }
 
-// When a zone is drained, online requests take the slots that batch work has in the
-// others: it makes way, and starts nothing there meanwhile.
-func TestBatchMakesWayForTheTrafficOfADrainedZone(t *testing.T) {
+// Online requests of a drained zone must preempt batch work in other zones, and no batch work
+// may start there meanwhile.
+func TestOnlineOfDrainedZonePreemptsBatchElsewhere(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var snapshot atomic.Pointer[catalog.Snapshot]
 	snapshot.Store(twoZones("za"))
@@ -83,7 +83,7 @@
 	g.Expect(running).To(gomega.HaveLen(1))
 	b.PeerLoad("others", Report{})
 	_, err := b.Acquire(context.Background(), Wish{Service: "s", Zone: "za", Class: ClassOnline, Wait: time.Second}, 0, 0, nil)
-	g.Expect(err).NotTo(gomega.HaveOccurred(), "the slot is batch work's, which makes way")
+	g.Expect(err).NotTo(gomega.HaveOccurred(), "the slot's batch request is preempted")
 	g.Expect(b.Pressed()).To(gomega.Receive())
 	g.Expect(b.Overfull()).To(gomega.Equal([]Overfull{{Engine: "b", Excess: 1}}))
 	g.Expect(b.AcquireMany([]Wish{{Service: "s", Class: ClassBatch}}, 0)).To(gomega.BeEmpty())
--- a/internal/balance/noengine.go
+++ b/internal/balance/noengine.go
@@ -2,20 +2,20 @@
 
 import "chutelock.dev/chutelock/internal/catalog"
 
-// Rule is what left a request no engine.
+// Rule is the reason why no engine may serve a request.
 type Rule uint8
 
-// Rules.
+// Reasons for an empty set of engines.
 const (
 	// RuleNone: the service has no engine, or all of them are leaving.
 	RuleNone Rule = iota
-	// RuleDrained: the engines that the request could go to are in drained zones.
+	// RuleDrained: the engines in the request's regions are in drained zones.
 	RuleDrained
-	// RuleRegions: none of the service's engines is in a region of the request's.
+	// RuleRegions: no engine of the service is in one of the request's regions.
 	RuleRegions
 )
 
-// String says what the rule found.
+// String describes the rule in error messages.
 func (r Rule) String() string {
 	return [...]string{
 		"the service has no engine",
@@ -24,17 +24,17 @@
 	}[r]
 }
 
-// NoEngineError is ErrNoEngine, with the rule that left no engine.
+// NoEngineError is an ErrNoEngine with its reason.
 type NoEngineError struct{ Rule Rule }
 
 // Error implements error.
 func (e *NoEngineError) Error() string { return "balance: " + e.Rule.String() }
 
-// Is makes the error one of ErrNoEngine.
+// Is reports whether the target is ErrNoEngine.
 func (e *NoEngineError) Is(target error) bool { return target == ErrNoEngine }
 
-// emptiedBy finds the rule that left a wish no engine.
-func emptiedBy(snapshot *catalog.Snapshot, wish Wish) Rule {
+// emptyingRule returns the reason why no engine may serve the wish.
+func emptyingRule(snapshot *catalog.Snapshot, wish Wish) Rule {
 	rule := RuleNone
 	for _, engine := range snapshot.Engines() {
 		if engine.Service != wish.Service || engine.Leaving {
@@ -44,16 +44,16 @@
 			rule = RuleRegions
 			continue
 		}
-		return RuleDrained // it would serve otherwise
+		return RuleDrained // not leaving and in an allowed region
 	}
 	return rule
 }
 
-// noEngine is a NoEngineError if there is no engine that the wish may go to.
-func (b *Balancer) noEngine(wish Wish) error {
+// noEngineError returns a NoEngineError if no engine may serve the wish, else nil.
+func (b *Balancer) noEngineError(wish Wish) error {
 	snapshot := b.snapshot()
 	if len(allowed(snapshot, wish)) > 0 {
 		return nil
 	}
-	return &NoEngineError{Rule: emptiedBy(snapshot, wish)}
+	return &NoEngineError{Rule: emptyingRule(snapshot, wish)}
 }
--- a/internal/balance/pick_test.go
+++ b/internal/balance/pick_test.go
@@ -10,7 +10,7 @@
 	"chutelock.dev/chutelock/internal/catalog"
 )
 
-func scoredEngines(slots int, scores ...float64) []scoredEngine {
+func newScoredEngines(slots int, scores ...float64) []scoredEngine {
 	var engines []scoredEngine
 	for i, score := range scores {
 		engines = append(engines, scoredEngine{engine: catalog.Engine{ID: string(rune('a' + i)), Slots: slots}, score: score})
@@ -18,8 +18,8 @@
 	return engines
 }
 
-// chances returns how often each engine is picked, of 1,000 even draws.
-func chances(engines []scoredEngine, requests float64) map[string]int {
+// pickCounts returns how often each engine is picked in 1,000 evenly spaced draws.
+func pickCounts(engines []scoredEngine, requests float64) map[string]int {
 	counts := map[string]int{}
 	for i := range 1000 {
 		counts[pick(engines, requests, float64(i)/1000).ID]++
@@ -27,49 +27,47 @@
 	return counts
 }
 
-func TestASingleRequestGoesToTheLeastLoadedEngine(t *testing.T) {
+func TestPickSingleRequestTakesLeastLoaded(t *testing.T) {
 	g := gomega.NewWithT(t)
-	g.Expect(chances(scoredEngines(8, 0.5, 0.25, 0.75), 1)).To(gomega.Equal(map[string]int{"b": 1000}))
-	g.Expect(chances(scoredEngines(8, 0.5, 0.5), 1)).To(gomega.Equal(map[string]int{"a": 500, "b": 500}))
+	g.Expect(pickCounts(newScoredEngines(8, 0.5, 0.25, 0.75), 1)).To(gomega.Equal(map[string]int{"b": 1000}))
+	g.Expect(pickCounts(newScoredEngines(8, 0.5, 0.5), 1)).To(gomega.Equal(map[string]int{"a": 500, "b": 500}))
 }
 
-// Eight requests by the same figures fill the empty engine first, but not with
-// all of them.
-func TestManyRequestsFillTheEnginesEvenly(t *testing.T) {
+// Concurrent requests must fill the engines to a common level, not all go to the idlest one.
+func TestPickSpreadsConcurrentRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
-	counts := chances(scoredEngines(8, 0, 0.5, 0.25, 2), 9)
+	counts := pickCounts(newScoredEngines(8, 0, 0.5, 0.25, 2), 9)
 	// The common level is 0.625: 5 requests, 1 and 3.
 	g.Expect(counts["a"]).To(gomega.BeNumerically("~", 556, 1))
 	g.Expect(counts["b"]).To(gomega.BeNumerically("~", 111, 1))
 	g.Expect(counts["c"]).To(gomega.BeNumerically("~", 333, 1))
-	g.Expect(counts).NotTo(gomega.HaveKey("d"), "it has more than the others will have")
+	g.Expect(counts).NotTo(gomega.HaveKey("d"), "its score is above the fill level")
 }
 
-// The level holds exactly the requests: no more, no fewer.
-func TestTheLevelHoldsTheRequests(t *testing.T) {
+// The requests below the fill level must add up to the number given.
+func TestFillLevelHoldsAllRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		engines := scoredEngines(rapid.IntRange(0, 20).Draw(t, "slots"),
+		engines := newScoredEngines(rapid.IntRange(0, 20).Draw(t, "slots"),
 			rapid.SliceOfN(rapid.Float64Range(-1, 3), 1, 30).Draw(t, "scores")...)
 		requests := rapid.Float64Range(1, 500).Draw(t, "requests")
 		pick(engines, requests, 0)
-		level, filled := fill(engines, requests)
+		level, filled := fillLevel(engines, requests)
 		sum := 0.0
-		for i, one := range engines {
+		for i, scored := range engines {
 			if i < filled {
-				sum += (level - one.score) * float64(max(one.engine.Slots, 1))
-			} else if one.score < level {
-				t.Fatalf("an engine of score %v isn't filled up to %v", one.score, level)
+				sum += (level - scored.score) * float64(max(scored.engine.Slots, 1))
+			} else if scored.score < level {
+				t.Fatalf("engine with score %v is not filled up to level %v", scored.score, level)
 			}
 		}
 		if sum < requests-1e-6 || sum > requests+1e-6 {
-			t.Fatalf("%v requests below the level, not %v", sum, requests)
+			t.Fatalf("%v requests below the level, want %v", sum, requests)
 		}
 	})
 }
 
-// 40 requests of others that take 0.8 s each are 50 new ones a second, 4 of them
-// within the age of the sums.
-func TestUnheardRequestsFollowFromThoseUnderWay(t *testing.T) {
+// 40 requests of peers that take 0.8 s each arrive at 50 a second, so 4 arrive within 80 ms.
+func TestUnreportedFollowsLittlesLaw(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := NewTable()
 	for range 200 {
@@ -80,26 +78,26 @@
 	table.PeerLoad("p", Report{a: {Counts: Counts{10, 9}}, b: {Counts: Counts{10, 0}}}, start)
 	table.PeerLoad("q", Report{a: {Counts: Counts{20, 0}}}, start)
 	online := func() int { return table.peersOnline("a") + table.peersOnline("b") }
-	g.Expect(table.unheard(online(), 80*time.Millisecond)).To(gomega.BeNumerically("~", 4, 0.01), "not those of batch work")
-	g.Expect(table.unheard(online(), time.Hour)).To(gomega.BeNumerically("~", 8, 0.01), "no older than two reports")
-	table.expire(start.Add(2 * peerLife))
-	g.Expect(table.unheard(online(), 80*time.Millisecond)).To(gomega.BeZero(), "silent peers don't count")
+	g.Expect(table.unreported(online(), 80*time.Millisecond)).To(gomega.BeNumerically("~", 4, 0.01), "without batch requests")
+	g.Expect(table.unreported(online(), time.Hour)).To(gomega.BeNumerically("~", 8, 0.01), "the age is bounded")
+	table.expire(start.Add(2 * peerTTL))
+	g.Expect(table.unreported(online(), 80*time.Millisecond)).To(gomega.BeZero(), "peer reports have expired")
 }
 
-// Engines of the own zone are known to the millisecond; those of other zones are
-// shared with requests that weren't heard of yet.
-func TestTheOwnZoneIsLeftOnlyWhereItIsFuller(t *testing.T) {
+// The own zone must be left only if its fill level exceeds that of other zones, unreported
+// requests included.
+func TestPickGroupLeavesZoneOnlyWhenFuller(t *testing.T) {
 	g := gomega.NewWithT(t)
-	near := group{engines: scoredEngines(8, 0.25, 0.75), unheard: 0.1}
-	far := group{engines: scoredEngines(8, 0.2, 0.2), unheard: 4}
-	g.Expect(pickGroup(near, far).unheard).To(gomega.Equal(0.1))
-	near.engines = scoredEngines(8, 1, 1)
-	g.Expect(pickGroup(near, far).unheard).To(gomega.Equal(4.0))
-	g.Expect(pickGroup(group{}, far).unheard).To(gomega.Equal(4.0))
-	g.Expect(pickGroup(near, group{}).unheard).To(gomega.Equal(0.1))
+	near := group{engines: newScoredEngines(8, 0.25, 0.75), unreported: 0.1}
+	far := group{engines: newScoredEngines(8, 0.2, 0.2), unreported: 4}
+	g.Expect(pickGroup(near, far).unreported).To(gomega.Equal(0.1))
+	near.engines = newScoredEngines(8, 1, 1)
+	g.Expect(pickGroup(near, far).unreported).To(gomega.Equal(4.0))
+	g.Expect(pickGroup(group{}, far).unreported).To(gomega.Equal(4.0))
+	g.Expect(pickGroup(near, group{}).unreported).To(gomega.Equal(0.1))
 	chosen := map[string]int{}
 	for i := range 100 {
-		chosen[pickGroup(group{engines: scoredEngines(8, 0.25, 0.75), unheard: 0.1}, group{}).pick(float64(i)/100).ID]++
+		chosen[pickGroup(group{engines: newScoredEngines(8, 0.25, 0.75), unreported: 0.1}, group{}).pick(float64(i)/100).ID]++
 	}
-	g.Expect(chosen).To(gomega.Equal(map[string]int{"a": 100}), "the idlest, not one of many by chance")
+	g.Expect(chosen).To(gomega.Equal(map[string]int{"a": 100}), "always the idlest engine")
 }
--- a/internal/balance/predict.go
+++ b/internal/balance/predict.go
@@ -8,74 +8,67 @@
 	"chutelock.dev/chutelock/internal/catalog"
 )
 
-// The probability of having its first token in time from which on a request with such a
-// bound may be sent to an engine. While slots are free, one that is refused though it has
-// a good chance loses it for nothing, and is late for certain once it comes back: on a
-// fleet that is nearly full at the mean of a day 9,328 were in time on a quiet day and
-// 8,985 on a heavy one with 0.95 at all times, 9,800 and 9,449 with 0.85 (72 engines, one
-// run each). Once online requests fill all slots, each that is late keeps a slot from one
-// that would be in time: at two to five times what the engines bear 0.81 to 0.86 of those
-// served were in time with 0.85, and 0.90 to 0.93 of what the engines bear; with 0.98
-// there, 0.93 to 0.96 and 0.99 to 1.02 (virtual time). On five days of the nearly full
-// fleet worth is 0.789 on average, and 0.781 with 0.85 at all times (a seed each).
+// Minimum probability of a first token on time for a request with such a bound to be sent to
+// an engine. While slots are free, a refused request loses a good chance for nothing and is
+// late when it is retried. Once online requests fill all slots, a late request takes a slot
+// from one that would be on time, so the minimum rises.
 const (
-	sureEnough   = 0.85
-	sureWhenFull = 0.98
-	// fullAt is the part of the slots that online requests have or wait for from which on
-	// more than sureEnough is asked for, and fullestAt that from which on sureWhenFull is.
-	fullAt    = 1.0
-	fullestAt = 1.05
+	minOnTime           = 0.85
+	minOnTimeOverloaded = 0.98
+	// overloadStart is the ratio of online requests, queued ones included, to slots above
+	// which the minimum rises from minOnTime; it reaches minOnTimeOverloaded at overloadFull.
+	overloadStart = 1.0
+	overloadFull  = 1.05
 )
 
 const (
-	// roomWeight is the weight of the newest request in sawRoom: in a burst a front
-	// node has some 20 a second.
-	roomWeight = 0.05
-	// farLooking is the part of the unheard requests of other zones that count as looking
-	// for the same places there: most look in their own zone first. Played, 0.3, 0.5 and
-	// 0.5 to 1 by the zone's slots serve as many in time; with 0.3 a zone without engines gets
-	// nearest to what the others get.
-	farLooking = 0.3
-	// roomLeast bounds sawRoom: with five times what the engines bear 1 in 5 finds room.
-	roomLeast = 0.1
+	// roomRateWeight is the weight of the newest request in the moving average roomRate.
+	roomRateWeight = 0.05
+	// farCompetition is the fraction of other zones' unreported requests that count as
+	// competing for places there: most requests look in their own zone first.
+	farCompetition = 0.3
+	// minRoomRate is the lower bound of roomRate in estimates, as under overload few requests
+	// find room.
+	minRoomRate = 0.1
 )
 
-// prediction foresees for one choice what engines will have when a request arrives.
+// prediction estimates, for one choice, the load of engines when the request arrives there.
 type prediction struct {
 	table *Table
 	now   time.Time
 	wish  Wish
-	// farWeight is how much of the unheard requests counts at engines of other zones:
-	// all of them if the zone has as many slots as the others have on average, none
-	// if it has no engine. A zone without engines would get none else while all are full.
-	// At engines of another region all of them count.
+	// farWeight is the weight of unreported requests at engines of other zones: 1 if the zone
+	// has at least the average number of slots, 0 if it has no engine, as its requests would
+	// otherwise find no room while all engines are full. It is 1 at engines of another
+	// region.
 	farWeight float64
-	// sure is the probability of being in time that the request needs.
-	sure float64
+	// requiredOnTime is the minimum probability of being on time.
+	requiredOnTime float64
 }
 
 func (t *Table) predict(candidates []catalog.Engine, wish Wish, now time.Time) prediction {
-	p := prediction{table: t, now: now, wish: wish, farWeight: 1, sure: t.sure(candidates, now)}
-	if !slices.ContainsFunc(candidates, wish.leavesRegion) {
+	p := prediction{table: t, now: now, wish: wish, farWeight: 1, requiredOnTime: t.requiredOnTime(candidates, now)}
+	if !slices.ContainsFunc(candidates, wish.outsideRegion) {
 		p.farWeight = farWeight(candidates, wish.Zone)
 	}
 	return p
 }
 
-// sure is the probability of being in time from which on a request is sent to one of
-// the candidates, by how full they are.
-func (t *Table) sure(candidates []catalog.Engine, now time.Time) float64 {
+// requiredOnTime returns the minimum probability of being on time for a request to be sent to
+// one of the candidates, by their utilization.
+func (t *Table) requiredOnTime(candidates []catalog.Engine, now time.Time) float64 {
 	online, slots := 0, 0
 	for _, engine := range candidates {
 		online += t.running(engine.ID, ClassOnline, now)
 		slots += engine.Slots
 	}
-	full := float64(online) / float64(max(slots, 1))
-	part := min(1, max(0, (full-fullAt)/(fullestAt-fullAt)))
-	return sureEnough + part*(sureWhenFull-sureEnough)
+	utilization := float64(online) / float64(max(slots, 1))
+	ramp := min(1, max(0, (utilization-overloadStart)/(overloadFull-overloadStart)))
+	return minOnTime + ramp*(minOnTimeOverloaded-minOnTime)
 }
 
-// farWeight compares a zone's slots with the average of the zones that have engines.
+// farWeight returns the zone's slots relative to the average of zones with engines, at most
+// 1.
 func farWeight(candidates []catalog.Engine, zone string) float64 {
 	var zones []string
 	near, all := 0, 0
@@ -91,92 +84,89 @@
 	return min(1, float64(near*len(zones))/float64(max(all, 1)))
 }
 
-// hasRoom says whether an engine has room for an online request: batch work makes
-// way for it.
-func (p prediction) hasRoom(engine catalog.Engine) bool { return p.places(engine, 1) > 0 }
+// hasRoom reports whether an engine has room for an online request; batch work counts as
+// preempted.
+func (p prediction) hasRoom(engine catalog.Engine) bool { return p.capacity(engine, 1) > 0 }
 
-// places is how many requests more an engine has room for, counted up to most.
-func (p prediction) places(engine catalog.Engine, most int) int {
-	if p.table.fullNow(engine.ID, p.now) {
+// capacity returns how many more requests an engine has room for, at most limit.
+func (p prediction) capacity(engine catalog.Engine, limit int) int {
+	if p.table.isFull(engine.ID, p.now) {
 		return 0
 	}
-	beyond := p.table.load(engine.ID, p.now) - p.table.yielding(engine.ID, p.now) - engine.Slots + p.margin(engine)
+	excess := p.table.load(engine.ID, p.now) - p.table.preemptible(engine.ID, p.now) - engine.Slots + p.margin(engine)
 	count := 0
-	for count < most && p.roomFor(engine, beyond+count) {
+	for count < limit && p.allowsExcess(engine, excess+count) {
 		count++
 	}
 	return count
 }
 
-// roomFor says whether an engine with so many requests beyond its slots has room.
-func (p prediction) roomFor(engine catalog.Engine, beyond int) bool {
-	if beyond < 0 || p.wish.Wait <= 0 {
-		return beyond < queueDepth
+// allowsExcess reports whether an engine with that many requests beyond its slots may take
+// one more.
+func (p prediction) allowsExcess(engine catalog.Engine, excess int) bool {
+	if excess < 0 || p.wish.Wait <= 0 {
+		return excess < maxQueued
 	}
-	return float64(beyond) < queueShare*float64(engine.Slots) && p.table.likely(beyond, engine.Slots, p.waitFor(engine)) >= p.sure
+	return float64(excess) < maxQueuedShare*float64(engine.Slots) && p.table.slotProbability(excess, engine.Slots, p.allowedWait(engine)) >= p.requiredOnTime
 }
 
-// waitFor is what the request may wait at an engine, in the time that work takes there as
-// usual.
-func (p prediction) waitFor(engine catalog.Engine) time.Duration {
-	return time.Duration(float64(p.wish.Wait) / p.table.stretch(engine.ID, p.now))
+// allowedWait returns the request's allowed wait, scaled down by the engine's slowdown.
+func (p prediction) allowedWait(engine catalog.Engine) time.Duration {
+	return time.Duration(float64(p.wish.Wait) / p.table.slowdown(engine.ID, p.now))
 }
 
-// noteRoom takes whether a request of this node saw room.
-func (t *Table) noteRoom(saw bool) {
-	t.sawRoom -= roomWeight * t.sawRoom
-	if saw {
-		t.sawRoom += roomWeight
+// recordRoom updates roomRate with whether a request of this node found room.
+func (t *Table) recordRoom(found bool) {
+	t.roomRate -= roomRateWeight * t.roomRate
+	if found {
+		t.roomRate += roomRateWeight
 	}
 }
 
-// share leaves a group's engines to this request with the probability that it is one
-// of those that they have room for, of all that others look for a place there by the
-// same figures. These are more than others have placed since, as only a part of them
-// sees room. Otherwise all who look take a place that gets free: played at three times
-// what the engines bear, 0.91 of those served were in time, and 0.94 with it. weight is
-// how much of the others' requests counts.
-func (p prediction) share(g group, weight float64, draw func() float64) group {
-	looking := 1 + weight*p.table.unheard(g.all, g.age)/max(p.table.sawRoom, roomLeast)
-	places := 0
-	for _, one := range g.engines {
-		if float64(places) >= looking {
+// admitRandomly returns the group with the probability that this request gets one of the
+// free places, else an empty group. The competing requests are estimated from the unreported ones,
+// divided by roomRate as only that fraction finds room and is sent. Without it all competing
+// requests would take the same free place. weight is the fraction of the peers' requests that
+// compete.
+func (p prediction) admitRandomly(g group, weight float64, draw func() float64) group {
+	competing := 1 + weight*p.table.unreported(g.allOnline, g.age)/max(p.table.roomRate, minRoomRate)
+	capacity := 0
+	for _, scored := range g.engines {
+		if float64(capacity) >= competing {
 			return g
 		}
-		places += p.places(one.engine, int(looking)+1-places)
+		capacity += p.capacity(scored.engine, int(competing)+1-capacity)
 	}
-	if draw()*looking < float64(places) {
+	if draw()*competing < float64(capacity) {
 		return g
 	}
 	return group{}
 }
 
-// margin is how many requests more than known here an engine may have, as others chose
-// it since: their mean and a standard deviation of it. Without it engines of other
-// zones, whose figures are some 80 ms old, got up to 6 requests beyond their slots where
-// one was allowed, as each front node takes the place that it sees.
+// margin returns an upper estimate of the unreported requests at an engine: their mean plus
+// one standard deviation (Poisson). Without it engines of other zones would be overloaded, as
+// each node takes the free place that it sees.
 func (p prediction) margin(engine catalog.Engine) int {
-	age, weight := p.now.Sub(p.table.heardAt)+nearAge, 1.0
+	age, weight := p.now.Sub(p.table.lastPeerReport)+nearAge, 1.0
 	if p.wish.Zone != "" && engine.Zone != p.wish.Zone {
-		age, weight = p.now.Sub(p.table.heardAt)+sumAge, p.farWeight
+		age, weight = p.now.Sub(p.table.lastPeerReport)+farAge, p.farWeight
 	}
-	unheard := weight * p.table.unheard(p.table.peersOnline(engine.ID), age)
-	return int(math.Round(unheard + math.Sqrt(unheard)))
+	unreported := weight * p.table.unreported(p.table.peersOnline(engine.ID), age)
+	return int(math.Round(unreported + math.Sqrt(unreported)))
 }
 
-// likely is the probability that a request has a slot within a time at an engine with
-// so many requests beyond its slots. A slot ends its request at a rate of one in ran,
-// however differently long requests are; so the slots that get free within the time are
-// binomial.
-func (t *Table) likely(beyond, slots int, within time.Duration) float64 {
-	ends := float64(within) / float64(max(t.ran, 1)) // of one slot
-	if ends >= 1 {
+// slotProbability returns the probability that a request gets a slot within a time at an
+// engine with excess requests beyond its slots. Each slot ends its request at a rate of
+// 1/meanHold, and the number of slots that end one is binomial.
+func (t *Table) slotProbability(excess, slots int, within time.Duration) float64 {
+	endProbability := float64(within) / float64(max(t.meanHold, 1)) // of one slot
+	if endProbability >= 1 {
 		return 1
 	}
-	tooFew, exactly := 0.0, math.Pow(1-ends, float64(slots))
-	for ended := 0; ended <= beyond; ended++ {
-		tooFew += exactly
-		exactly *= ends / (1 - ends) * float64(slots-ended) / float64(ended+1)
+	tooFew, exact := 0.0, math.Pow(1-endProbability, float64(slots))
+	for ended := 0; ended <= excess; ended++ {
+		tooFew += exact
+		exact *= endProbability / (1 - endProbability) * float64(slots-ended) / float64(ended+1)
 	}
 	return 1 - tooFew
 }
--- a/internal/balance/wait_test.go
+++ b/internal/balance/predict_test.go
@@ -12,23 +12,22 @@
 	"chutelock.dev/chutelock/internal/catalog"
 )
 
-// An engine's slots each end a request in 600 ms on average: of 6 one ends within 163 ms
-// in 85 of 100 times, two within 277 ms, and three within 373 ms; in 98 of 100 times
-// within 288, 395 and 475 ms.
-func TestAnEngineTakesWhatIsPredictedToBeInTime(t *testing.T) {
-	for _, one := range []struct {
+// Slots end a request in 600 ms on average. With 6 slots, one, two and three end within 163,
+// 277 and 373 ms with probability 0.85, and within 288, 395 and 475 ms with 0.98.
+func TestHasRoomRequiresOnTimeProbability(t *testing.T) {
+	for _, test := range []struct {
 		load, other int // at the engine, and at the service's other one
 		wait        time.Duration
-		wanted      bool
+		want        bool
 	}{
-		// The other one has slots: 0.85 is enough.
+		// The other engine has free slots: 0.85 is required.
 		{5, 0, time.Millisecond, true}, {6, 0, 160 * time.Millisecond, false}, {6, 0, 166 * time.Millisecond, true},
 		{7, 0, 272 * time.Millisecond, false}, {7, 0, 282 * time.Millisecond, true}, {8, 0, 368 * time.Millisecond, false},
 		{8, 0, 380 * time.Millisecond, true}, {8, 0, time.Minute, true}, {9, 0, time.Minute, false},
-		{6, 0, 0, true}, {7, 0, 0, false}, // no bound: as deep as queueDepth
-		// All slots are just taken: as before.
+		{6, 0, 0, true}, {7, 0, 0, false}, // no bound: up to maxQueued
+		// All slots are in use and none queue: 0.85 is required.
 		{6, 6, 160 * time.Millisecond, false}, {6, 6, 166 * time.Millisecond, true},
-		// More wait than there are slots: 0.98.
+		// Online requests exceed the slots: 0.98 is required.
 		{5, 8, time.Millisecond, true}, {6, 7, 282 * time.Millisecond, false}, {6, 7, 288 * time.Millisecond, true},
 		{7, 6, 394 * time.Millisecond, false}, {7, 6, 396 * time.Millisecond, true}, {8, 6, 474 * time.Millisecond, false},
 		{8, 6, 476 * time.Millisecond, true}, {8, 6, time.Minute, true}, {9, 6, time.Minute, false},
@@ -39,45 +38,45 @@
 		for range 300 {
 			table.Ran(600 * time.Millisecond)
 		}
-		snapshot := engines(2, 6)
+		snapshot := newSnapshot(2, 6)
 		engine, _ := snapshot.Engine("a")
-		table.PeerLoad("others", Report{KeyOf("a"): {Counts: Counts{one.load, 0}}, KeyOf("b"): {Counts: Counts{one.other, 0}}}, start)
-		wish := Wish{Service: "s", Zone: "near", Wait: one.wait}
+		table.PeerLoad("others", Report{KeyOf("a"): {Counts: Counts{test.load, 0}}, KeyOf("b"): {Counts: Counts{test.other, 0}}}, start)
+		wish := Wish{Service: "s", Zone: "near", Wait: test.wait}
 		prediction := table.predict(snapshot.Serving("s"), wish, start)
-		g.Expect(prediction.hasRoom(engine)).To(gomega.Equal(one.wanted), "%+v", one)
+		g.Expect(prediction.hasRoom(engine)).To(gomega.Equal(test.want), "%+v", test)
 	}
 }
 
-// The chance of a slot in time is that of so many ends, whoever counts them.
-func TestTheChanceOfASlotIsThatOfSoManyEnds(t *testing.T) {
+// The probability must match a simulation of the slots.
+func TestSlotProbabilityMatchesSimulation(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := NewTable()
 	random := rand.New(rand.NewPCG(1, 2))
-	for _, one := range []struct{ beyond, slots int }{{0, 1}, {0, 8}, {1, 8}, {3, 8}, {9, 32}} {
+	for _, test := range []struct{ excess, slots int }{{0, 1}, {0, 8}, {1, 8}, {3, 8}, {9, 32}} {
 		within := 200 * time.Millisecond
-		enough := 0
+		successes := 0
 		for range 20_000 {
 			ended := 0
-			for range one.slots {
-				if random.Float64() < within.Seconds()/table.ran.Seconds() {
+			for range test.slots {
+				if random.Float64() < within.Seconds()/table.meanHold.Seconds() {
 					ended++
 				}
 			}
-			if ended > one.beyond {
-				enough++
+			if ended > test.excess {
+				successes++
 			}
 		}
-		g.Expect(table.likely(one.beyond, one.slots, within)).To(gomega.BeNumerically("~", float64(enough)/20_000, 0.02), "%+v", one)
+		g.Expect(table.slotProbability(test.excess, test.slots, within)).To(gomega.BeNumerically("~", float64(successes)/20_000, 0.02), "%+v", test)
 	}
-	g.Expect(table.likely(3, 8, time.Minute)).To(gomega.BeEquivalentTo(1))
+	g.Expect(table.slotProbability(3, 8, time.Minute)).To(gomega.BeEquivalentTo(1))
 }
 
-// What others may have sent since counts at engines of which the figures are old; but a
-// zone without engines must not find all others full.
-func TestUnheardRequestsCountAtOtherZones(t *testing.T) {
+// Unreported requests must count at engines of other zones, but not for a zone without
+// engines.
+func TestHasRoomCountsUnreportedRequestsOfOtherZones(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := NewTable()
-	snapshot := engines(2, 8) // a near, b far
+	snapshot := newSnapshot(2, 8) // a near, b far
 	table.PeerLoad("others", Report{KeyOf("a"): {Counts: Counts{8, 0}}, KeyOf("b"): {Counts: Counts{8, 0}}}, start)
 	room := func(zone, id string, now time.Time) bool {
 		engine, _ := snapshot.Engine(id)
@@ -85,27 +84,27 @@
 	}
 	g.Expect(room("near", "a", start)).To(gomega.BeTrue())
 	g.Expect(room("near", "b", start)).To(gomega.BeFalse())
-	g.Expect(room("near", "a", start.Add(80*time.Millisecond))).To(gomega.BeFalse(), "its own zone wasn't heard either")
+	g.Expect(room("near", "a", start.Add(80*time.Millisecond))).To(gomega.BeFalse(), "the own zone's load is old, too")
 	g.Expect(room("without", "b", start)).To(gomega.BeTrue())
 	g.Expect(farWeight(snapshot.Serving("s"), "near")).To(gomega.BeEquivalentTo(1))
 	g.Expect(farWeight(snapshot.Serving("s"), "without")).To(gomega.BeZero())
 }
 
-// Requests that wait look by newest figures only.
-func TestAWaitingRequestAsksBeforeEachLook(t *testing.T) {
+// A waiting request must refresh the peers' load before each recheck.
+func TestAcquireRefreshesBeforeEachRecheck(t *testing.T) {
 	g := gomega.NewWithT(t)
-	snapshot := engines(1, 1)
+	snapshot := newSnapshot(1, 1)
 	balancer := New(func() *catalog.Snapshot { return snapshot })
 	full := Report{KeyOf("a"): {Counts: Counts{9, 0}}}
 	balancer.PeerLoad("others", full)
-	var asked atomic.Int32
+	var refreshes atomic.Int32
 	refresh := func(context.Context) {
-		if asked.Add(1) == 3 {
+		if refreshes.Add(1) == 3 {
 			balancer.PeerLoad("others", Report{})
 		}
 	}
 	lease, err := balancer.Acquire(context.Background(), Wish{Service: "s"}, 0, 10*time.Second, refresh)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(asked.Load()).To(gomega.BeEquivalentTo(3))
+	g.Expect(refreshes.Load()).To(gomega.BeEquivalentTo(3))
 	lease.Release()
 }
--- a/internal/balance/region.go
+++ b/internal/balance/region.go
@@ -9,23 +9,24 @@
 	"chutelock.dev/chutelock/internal/catalog"
 )
 
-// endless is the wait for a slot of no engine.
-const endless = time.Duration(math.MaxInt64)
+// infiniteWait is the wait for a slot where there is no engine.
+const infiniteWait = time.Duration(math.MaxInt64)
 
-// leavesRegion says whether the engine is in another region than the wish prefers.
-func (w Wish) leavesRegion(engine catalog.Engine) bool {
+// outsideRegion reports whether the engine is in another region than the preferred one; an
+// unknown region counts as the same.
+func (w Wish) outsideRegion(engine catalog.Engine) bool {
 	return w.Region != "" && engine.Region != "" && engine.Region != w.Region
 }
 
-// byRegion parts engines into those of the wish's region, and those of the others by
-// region. An engine whose region isn't known counts as of the wish's own.
-func (w Wish) byRegion(engines []catalog.Engine) (own []catalog.Engine, remote map[string][]catalog.Engine) {
-	if !slices.ContainsFunc(engines, w.leavesRegion) {
+// splitByRegion splits engines into those of the preferred region, or of an unknown one, and
+// the others by region.
+func (w Wish) splitByRegion(engines []catalog.Engine) (own []catalog.Engine, remote map[string][]catalog.Engine) {
+	if !slices.ContainsFunc(engines, w.outsideRegion) {
 		return engines, nil
 	}
 	remote = map[string][]catalog.Engine{}
 	for _, engine := range engines {
-		if w.leavesRegion(engine) {
+		if w.outsideRegion(engine) {
 			remote[engine.Region] = append(remote[engine.Region], engine)
 		} else {
 			own = append(own, engine)
@@ -34,85 +35,84 @@
 	return own, remote
 }
 
-// sameRegion lists the engines that byRegion puts together with one.
+// sameRegion returns the engines that splitByRegion groups with the given one.
 func (w Wish) sameRegion(engines []catalog.Engine, with catalog.Engine) []catalog.Engine {
-	own, remote := w.byRegion(engines)
-	if w.leavesRegion(with) {
+	own, remote := w.splitByRegion(engines)
+	if w.outsideRegion(with) {
 		return remote[with.Region]
 	}
 	return own
 }
 
-// waitIn predicts the least wait for a slot of a group's engines. Batch work makes way at
-// once, so that its slots count as free.
-func (p prediction) waitIn(g group) time.Duration {
-	least := endless
-	for _, one := range g.engines {
-		slots := max(one.engine.Slots, 1)
-		beyond := p.table.load(one.engine.ID, p.now) - p.table.yielding(one.engine.ID, p.now) - slots
-		least = min(least, p.table.ran*time.Duration(max(0, beyond+1))/time.Duration(slots))
+// minWait predicts the minimum wait for a slot of a group's engines. Slots of batch work
+// count as free, as it is preempted at once.
+func (p prediction) minWait(g group) time.Duration {
+	shortest := infiniteWait
+	for _, scored := range g.engines {
+		slots := max(scored.engine.Slots, 1)
+		excess := p.table.load(scored.engine.ID, p.now) - p.table.preemptible(scored.engine.ID, p.now) - slots
+		shortest = min(shortest, p.table.meanHold*time.Duration(max(0, excess+1))/time.Duration(slots))
 	}
-	return least
+	return shortest
 }
 
-// withoutWait returns the other group of the wish's region if a request waits in the
-// chosen one and not there.
-func withoutWait(chosen, near, far group) group {
+// preferWithoutWait returns near or far if a request has to wait in the chosen group but not
+// there.
+func preferWithoutWait(chosen, near, far group) group {
 	for _, other := range []group{near, far} {
-		if chosen.wait > 0 && other.wait == 0 {
+		if chosen.minWait > 0 && other.minWait == 0 {
 			return other
 		}
 	}
 	return chosen
 }
 
-// nearestRegion returns the engines of the region where a request has a slot soonest, its
-// round trip included, if that is sooner than after wait; else no engines. inTime says that
-// a region too far away for the wish to be in time is left out: there are engines nearer.
-//
-// With other regions counted as other zones are, a request left its region for two free
-// slots of eight, though its own had free ones, too.
-func (t *Table) nearestRegion(
+// soonestRegion returns the engines of the region where a request gets a slot soonest, round
+// trip included, if that takes less than wait; else no engines. With inTime set, regions too
+// distant for a first token on time are skipped. foundRoom reports whether an engine there
+// has room.
+func (t *Table) soonestRegion(
 	remote map[string][]catalog.Engine, wish Wish, inTime bool, wait time.Duration, now time.Time, draw func() float64,
-) (best group, sawRoom bool) {
-	best.wait = wait
-	for _, region := range byRoundTrip(remote, t.distances, now) {
-		if region.roundTrip >= best.wait || (inTime && wish.Wait > 0 && region.roundTrip >= wish.Wait) {
+) (best group, foundRoom bool) {
+	best.minWait = wait
+	for _, region := range sortByRTT(remote, t.zoneRTTs, now) {
+		if region.rtt >= best.minWait || (inTime && wish.Wait > 0 && region.rtt >= wish.Wait) {
 			break
 		}
-		there := wish
+		regional := wish
 		if wish.Wait > 0 {
-			there.Wait = max(1, wish.Wait-region.roundTrip)
+			regional.Wait = max(1, wish.Wait-region.rtt)
 		}
-		_, found, saw := t.groups(region.engines, there, now, draw)
-		sawRoom = sawRoom || saw
-		if found.wait < endless && region.roundTrip+found.wait < best.wait {
-			found.wait += region.roundTrip
-			best = found
+		_, candidate, hasRoom := t.groupByZone(region.engines, regional, now, draw)
+		foundRoom = foundRoom || hasRoom
+		if candidate.minWait < infiniteWait && region.rtt+candidate.minWait < best.minWait {
+			candidate.minWait += region.rtt
+			best = candidate
 		}
 	}
-	return best, sawRoom
+	return best, foundRoom
 }
 
-// remoteRegion is the engines of another region with the round trip to its nearest zone.
+// remoteRegion holds the engines of another region and the round-trip time to its nearest
+// zone.
 type remoteRegion struct {
-	name      string
-	engines   []catalog.Engine
-	roundTrip time.Duration
+	name    string
+	engines []catalog.Engine
+	rtt     time.Duration
 }
 
-// byRoundTrip lists regions, the nearest first.
-func byRoundTrip(remote map[string][]catalog.Engine, d distances, now time.Time) []remoteRegion {
+// sortByRTT returns the regions, nearest first.
+func sortByRTT(remote map[string][]catalog.Engine, rtts rttTracker, now time.Time) []remoteRegion {
 	regions := make([]remoteRegion, 0, len(remote))
 	for name, engines := range remote {
-		one := remoteRegion{name: name, engines: engines, roundTrip: endless}
+		region := remoteRegion{name: name, engines: engines, rtt: infiniteWait}
 		for _, engine := range engines {
-			one.roundTrip = min(one.roundTrip, d.roundTrip(engine.Zone, now))
+			region.rtt = min(region.rtt, rtts.rtt(engine.Zone, now))
 		}
-		regions = append(regions, one)
+		regions = append(regions, region)
 	}
 	slices.SortFunc(regions, func(a, b remoteRegion) int {
-		return cmp.Or(cmp.Compare(a.roundTrip, b.roundTrip), cmp.Compare(a.name, b.name))
+		return cmp.Or(cmp.Compare(a.rtt, b.rtt), cmp.Compare(a.name, b.name))
 	})
 	return regions
 }
--- a/internal/balance/regions_test.go
+++ b/internal/balance/regions_test.go
@@ -18,8 +18,8 @@
 	})
 }
 
-// Neither load nor failures nor engines that were tried lift the restriction.
-func TestARequestStaysInItsRegions(t *testing.T) {
+// Neither load, failures nor avoided engines may lift the region restriction.
+func TestAcquireStaysInAllowedRegions(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := New(twoRegions)
 	wish := Wish{Service: "s", Zone: "b", Class: ClassOnline, Regions: catalog.Regions{"north"}, Avoid: []string{"n"}}
@@ -37,8 +37,8 @@
 	}
 }
 
-// A request that no engine may serve is told at once, however long it could wait.
-func TestARequestWithoutAnyAllowedEngineDoesNotWait(t *testing.T) {
+// A request that no engine may serve must fail at once, however long it may wait.
+func TestAcquireRejectsAtOnceWithoutAllowedEngine(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := New(twoRegions)
 	for _, regions := range []catalog.Regions{{}, {"west"}} {
@@ -47,28 +47,28 @@
 	}
 }
 
-// The refusal tells which rule left no engine.
-func TestARefusalNamesTheRuleThatLeftNoEngine(t *testing.T) {
-	for name, one := range map[string]struct {
+// The error must name the reason why no engine was left.
+func TestNoEngineErrorNamesRule(t *testing.T) {
+	for name, test := range map[string]struct {
 		engines []catalog.Engine
 		regions catalog.Regions
 		rule    Rule
 	}{
-		"no engine at all":           {nil, nil, RuleNone},
-		"all are leaving":            {[]catalog.Engine{{ID: "a", Service: "s", Region: "n", Leaving: true}}, catalog.Regions{"n"}, RuleNone},
-		"all are drained":            {[]catalog.Engine{{ID: "a", Service: "s", Drained: true}}, nil, RuleDrained},
-		"others' regions":            {[]catalog.Engine{{ID: "a", Service: "s", Region: "n"}}, catalog.Regions{"w"}, RuleRegions},
-		"a drained one in the right": {[]catalog.Engine{{ID: "a", Service: "s", Region: "n"}, {ID: "b", Service: "s", Region: "w", Drained: true}}, catalog.Regions{"w"}, RuleDrained},
-		"a drained one in the wrong": {[]catalog.Engine{{ID: "a", Service: "s", Region: "n", Drained: true}}, catalog.Regions{"w"}, RuleRegions},
-		"nothing in common":          {[]catalog.Engine{{ID: "a", Service: "s", Region: "n"}}, catalog.Regions{}, RuleRegions},
+		"no engine":                        {nil, nil, RuleNone},
+		"all leaving":                      {[]catalog.Engine{{ID: "a", Service: "s", Region: "n", Leaving: true}}, catalog.Regions{"n"}, RuleNone},
+		"all drained":                      {[]catalog.Engine{{ID: "a", Service: "s", Drained: true}}, nil, RuleDrained},
+		"other region":                     {[]catalog.Engine{{ID: "a", Service: "s", Region: "n"}}, catalog.Regions{"w"}, RuleRegions},
+		"drained engine in allowed region": {[]catalog.Engine{{ID: "a", Service: "s", Region: "n"}, {ID: "b", Service: "s", Region: "w", Drained: true}}, catalog.Regions{"w"}, RuleDrained},
+		"drained engine in other region":   {[]catalog.Engine{{ID: "a", Service: "s", Region: "n", Drained: true}}, catalog.Regions{"w"}, RuleRegions},
+		"no region allowed":                {[]catalog.Engine{{ID: "a", Service: "s", Region: "n"}}, catalog.Regions{}, RuleRegions},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			snapshot := catalog.NewSnapshot(nil, one.engines)
+			snapshot := catalog.NewSnapshot(nil, test.engines)
 			_, err := New(func() *catalog.Snapshot { return snapshot }).
-				Acquire(context.Background(), Wish{Service: "s", Regions: one.regions}, 0, time.Hour, nil)
+				Acquire(context.Background(), Wish{Service: "s", Regions: test.regions}, 0, time.Hour, nil)
 			g.Expect(err).To(gomega.MatchError(ErrNoEngine))
-			g.Expect(err.(*NoEngineError).Rule).To(gomega.Equal(one.rule))
+			g.Expect(err.(*NoEngineError).Rule).To(gomega.Equal(test.rule))
 		})
 	}
 }
--- a/internal/balance/failed_test.go
+++ b/internal/balance/release_failed_test.go
@@ -10,10 +10,10 @@
 	"chutelock.dev/chutelock/internal/catalog"
 )
 
-// An engine that fails what it gets at once looks no idler than one that works.
-func TestAFailingEngineDoesNotLookIdle(t *testing.T) {
+// An engine that fails requests at once must not look idle.
+func TestReleaseFailedKeepsSlotCounted(t *testing.T) {
 	g := gomega.NewWithT(t)
-	snapshot := engines(1, 6)
+	snapshot := newSnapshot(1, 6)
 	balancer := New(func() *catalog.Snapshot { return snapshot })
 	for range 600 {
 		balancer.table.Ran(time.Hour)
@@ -26,15 +26,15 @@
 	}
 	own := balancer.Own()[KeyOf("a")]
 	g.Expect(own.Counts).To(gomega.Equal(Counts{3, 0}))
-	g.Expect(own.Pending).To(gomega.BeZero(), "nothing of it is still to be read")
+	g.Expect(own.Pending).To(gomega.BeZero(), "no prompt tokens are pending")
 }
 
-// The place is free once a good request would have ended.
-func TestAFailedRequestsPlaceGetsFree(t *testing.T) {
+// The place of a failed request must be free after the mean hold time.
+func TestReleaseFailedFreesSlotAfterMeanHold(t *testing.T) {
 	g := gomega.NewWithT(t)
-	snapshot := engines(1, 6)
+	snapshot := newSnapshot(1, 6)
 	balancer := New(func() *catalog.Snapshot { return snapshot })
-	balancer.table.ran = time.Millisecond
+	balancer.table.meanHold = time.Millisecond
 	lease, err := balancer.Acquire(context.Background(), Wish{Service: "s"}, 0, 0, nil)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	lease.ReleaseFailed()
--- a/internal/balance/table.go
+++ b/internal/balance/table.go
@@ -7,108 +7,107 @@
 )
 
 const (
-	// reportLife is how long an engine's own figures count.
-	reportLife = 250 * time.Millisecond
-	// stretchLife is how long it counts what an engine told of how long work takes there: it
-	// changes many times a second.
-	stretchLife = 100 * time.Millisecond
-	// peersSawLife is how long what peers heard from an engine counts: a little
-	// longer than the time between two of their reports.
-	peersSawLife = 120 * time.Millisecond
-	// peerLife is how long another node's figures count.
-	peerLife = time.Second
-	// Engines that fail are set aside for a time that doubles with each
-	// failure in a row, between these.
-	asideFirst = 250 * time.Millisecond
-	asideMost  = 4 * time.Second
-	// fullPause is how long an engine counts as full after it refused.
-	fullPause = 40 * time.Millisecond
-	// yieldLife is how long after the last report of peers batch work counts as
-	// certain to make way: a leader that is gone cuts nothing.
-	yieldLife = 250 * time.Millisecond
-	// sumAge is how old what is known of requests at engines of other zones is when a
-	// sum comes, on average: half an interval passes until a node reports, and half
-	// until its zone's share goes out. nearAge is the same for engines of the node's own
-	// zone: their requests are told at once, and the sum is a millisecond on its way.
-	sumAge  = 80 * time.Millisecond
+	// engineReportTTL is how long an engine's own load report is used.
+	engineReportTTL = 250 * time.Millisecond
+	// slowdownTTL is how long an engine's reported slowdown is used; it changes many times a
+	// second.
+	slowdownTTL = 100 * time.Millisecond
+	// peerSeenTTL is how long engine loads relayed by peers are used: a little longer than
+	// the interval of peer reports.
+	peerSeenTTL = 120 * time.Millisecond
+	// peerTTL is how long a peer's report is used.
+	peerTTL = time.Second
+	// An engine that fails is ejected for minEjection, doubled with each consecutive failure
+	// up to maxEjection.
+	minEjection = 250 * time.Millisecond
+	maxEjection = 4 * time.Second
+	// refusalPause is how long an engine counts as full after it refused a request.
+	refusalPause = 40 * time.Millisecond
+	// preemptTTL is how long after the last peer report batch work counts as preemptible: a
+	// lost leader preempts nothing.
+	preemptTTL = 250 * time.Millisecond
+	// farAge is the mean age of load of other zones when a sum arrives: half an interval
+	// until a node reports and half until its zone's sum is sent. nearAge is the same for the
+	// own zone, where requests are reported at once.
+	farAge  = 80 * time.Millisecond
 	nearAge = 3 * time.Millisecond
-	// tookStart is the assumed time that an engine takes for an online request
-	// until some have ended; tookWeight is the weight of the newest in the average.
-	tookStart  = 500 * time.Millisecond
-	tookWeight = 0.05
-	// forgetAfter is how long an engine without news is remembered.
-	forgetAfter = time.Minute
+	// initialMean is the assumed mean residence and hold time until online requests have
+	// ended; meanWeight is the weight of the newest request in the moving averages.
+	initialMean = 500 * time.Millisecond
+	meanWeight  = 0.05
+	// idleEngineTTL is how long an unused engine's state is kept.
+	idleEngineTTL = time.Minute
 )
 
-// Class of work.
+// Class is a class of work.
 type Class uint8
 
-// Classes.
+// Classes of work.
 const (
 	ClassOnline Class = iota
 	ClassBatch
-	classes
+	numClasses
 )
 
-// String names the class as in metrics.
+// String returns the class's name as used in metrics.
 func (c Class) String() string { return [...]string{"online", "batch"}[c] }
 
-// engineState is what is known of one engine beyond the catalog.
+// engineState is the load and health of one engine.
 type engineState struct {
-	own      Counts // under way from this node
-	pending  int    // prompt tokens of own requests without a first event
-	report   upstream.Load
-	reportAt time.Time
-	ownAt    int // own requests when the report came
-	failures int
-	aside    time.Time
-	full     time.Time
-	touched  time.Time
+	own          Counts // in flight from this node
+	pending      int    // prompt tokens of own requests without a first event
+	report       upstream.Load
+	reportAt     time.Time
+	ownAtReport  int // own requests when the report arrived
+	failures     int
+	ejectedUntil time.Time
+	fullUntil    time.Time
+	lastUsed     time.Time
 }
 
-// peerLoad is what another node has under way.
+// peerLoad is a peer's last report.
 type peerLoad struct {
-	at      time.Time
-	running Report
+	receivedAt time.Time
+	report     Report
 }
 
-// seenLoad is the most that an engine was seen to have lately.
+// seenLoad is the maximum load that peers recently heard from an engine.
 type seenLoad struct {
-	at    time.Time
-	count int
+	receivedAt time.Time
+	requests   int
 }
 
-// Table is not safe for concurrent use. Its cost a look-up doesn't grow with
-// the number of peers: their reports are added up as they come.
+// Table holds the known load and health of engines. It is not safe for concurrent use. The
+// cost of a lookup doesn't depend on the number of peers, as reports are summed on arrival.
 type Table struct {
 	engines map[string]*engineState
 	peers   map[string]peerLoad
-	// sum adds up the peers' reports, but for Seen; seen holds that.
-	sum  Report
-	seen map[EngineKey]seenLoad
-	// took is how long online requests of this node are at an engine, on average, and
-	// ran how long of that from their first event on.
-	took, ran time.Duration
-	// sawRoom is how often online requests of this node see room, on average.
-	sawRoom float64
-	// heardAt is when a peer reported last.
-	heardAt time.Time
-	// expireAt is when silent peers are looked for next.
-	expireAt time.Time
-	keys     map[string]EngineKey // of engines seen, to hash each once
-	// distances are those of zones from this node.
-	distances distances
-	// windowEnd is where the last look at many engines ended.
+	// peerSum is the sum of the peers' reports except Seen, which is kept in seen.
+	peerSum Report
+	seen    map[EngineKey]seenLoad
+	// meanResidence is the mean time that this node's online requests spend at an engine, and
+	// meanHold that from their first event on.
+	meanResidence, meanHold time.Duration
+	// roomRate is the moving average of how often this node's online requests find room.
+	roomRate float64
+	// lastPeerReport is the time of the last peer report.
+	lastPeerReport time.Time
+	// nextExpiry is when expired peers are dropped next.
+	nextExpiry time.Time
+	keys       map[string]EngineKey // by engine ID, to hash each once
+	// zoneRTTs are the round-trip times from this node.
+	zoneRTTs rttTracker
+	// windowEnd is the index after the last window of chooseMany.
 	windowEnd int
-	// index finds the engines of a snapshot by their keys.
+	// index maps keys to engines of the newest snapshot.
 	index engineIndex
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table {
 	return &Table{
-		engines: map[string]*engineState{}, peers: map[string]peerLoad{}, sum: Report{}, seen: map[EngineKey]seenLoad{},
-		keys: map[string]EngineKey{}, distances: distances{}, took: tookStart, ran: tookStart, sawRoom: 1,
+		engines: map[string]*engineState{}, peers: map[string]peerLoad{}, peerSum: Report{}, seen: map[EngineKey]seenLoad{},
+		keys: map[string]EngineKey{}, zoneRTTs: rttTracker{}, meanResidence: initialMean, meanHold: initialMean, roomRate: 1,
 	}
 }
 
@@ -127,163 +126,160 @@
 		state = &engineState{}
 		t.engines[id] = state
 	}
-	state.touched = now
+	state.lastUsed = now
 	return state
 }
 
-// Begin counts a request that is sent to an engine, with the prompt tokens that
-// the engine has to read for it.
+// Begin counts a request sent to an engine, and the prompt tokens to be read for it.
 func (t *Table) Begin(id string, class Class, tokens int, now time.Time) {
 	state := t.state(id, now)
 	state.own[class]++
 	state.pending += tokens
 }
 
-// Read notes that the engine has read a request's prompt.
+// Read records that the engine has read a request's prompt.
 func (t *Table) Read(id string, tokens int, now time.Time) { t.state(id, now).pending -= tokens }
 
-// End counts its end.
+// End uncounts a request that ended.
 func (t *Table) End(id string, class Class, now time.Time) { t.state(id, now).own[class]-- }
 
-// Took notes how long an online request of this node was at an engine.
+// Took updates the mean residence time with that of an online request of this node.
 func (t *Table) Took(length time.Duration) {
-	t.took += time.Duration(tookWeight * float64(length-t.took))
+	t.meanResidence += time.Duration(meanWeight * float64(length-t.meanResidence))
 }
 
-// Ran notes how long an online request of this node held a slot.
+// Ran updates the mean hold time with that of an online request of this node.
 func (t *Table) Ran(length time.Duration) {
-	t.ran += time.Duration(tookWeight * float64(length-t.ran))
+	t.meanHold += time.Duration(meanWeight * float64(length-t.meanHold))
 }
 
-// unheard estimates the online requests that other nodes have sent to engines since
-// what is known of them here, which is so old: their rate follows from how many there
-// are and how long one takes (Little's law).
-func (t *Table) unheard(online int, age time.Duration) float64 {
-	if t.took <= 0 {
+// unreported estimates, by Little's law, the online requests that peers sent since load
+// information of the given age, from their number in flight and the mean residence time.
+func (t *Table) unreported(online int, age time.Duration) float64 {
+	if t.meanResidence <= 0 {
 		return 0
 	}
-	return float64(online) * min(age, 2*sumAge).Seconds() / t.took.Seconds()
+	return float64(online) * min(age, 2*farAge).Seconds() / t.meanResidence.Seconds()
 }
 
-// peersOnline is the online requests that other nodes have under way at an engine.
-func (t *Table) peersOnline(id string) int { return t.sum[t.key(id)].Counts[ClassOnline] }
+// peersOnline returns the number of peers' online requests at an engine.
+func (t *Table) peersOnline(id string) int { return t.peerSum[t.key(id)].Counts[ClassOnline] }
 
-// Reported takes an engine's own figures.
+// Reported records the load that an engine reported.
 func (t *Table) Reported(id string, load upstream.Load, now time.Time) {
 	state := t.state(id, now)
 	state.report = load
 	state.reportAt = now
-	state.ownAt = state.total()
+	state.ownAtReport = state.total()
 }
 
-// Succeeded notes an answer: the engine is sound.
+// Succeeded records an answer and ends the engine's ejection.
 func (t *Table) Succeeded(id string, now time.Time) {
 	state := t.state(id, now)
 	state.failures = 0
-	state.aside = time.Time{}
+	state.ejectedUntil = time.Time{}
 }
 
-// Failed sets an engine aside for a while and says for how long.
+// Failed ejects an engine and returns for how long.
 func (t *Table) Failed(id string, now time.Time) time.Duration {
 	state := t.state(id, now)
-	pause := min(asideFirst<<min(state.failures, 5), asideMost)
+	pause := min(minEjection<<min(state.failures, 5), maxEjection)
 	state.failures++
-	state.aside = now.Add(pause)
+	state.ejectedUntil = now.Add(pause)
 	return pause
 }
 
-// Refused notes that an engine said it is full.
-func (t *Table) Refused(id string, now time.Time) { t.fullFor(id, fullPause, now) }
-
-// PeerLoad takes what another node has under way, in place of what it said
-// before.
-func (t *Table) PeerLoad(peer string, running Report, now time.Time) {
-	t.addUp(t.peers[peer].running, -1)
-	t.addUp(running, 1)
-	t.peers[peer] = peerLoad{at: now, running: running}
-	t.heardAt = now
-	for key, one := range running {
-		if known := t.seen[key]; one.Seen >= known.count || now.Sub(known.at) > peersSawLife {
-			t.seen[key] = seenLoad{at: now, count: one.Seen}
+// Refused records that an engine refused a request as it is full.
+func (t *Table) Refused(id string, now time.Time) { t.markFull(id, refusalPause, now) }
+
+// PeerLoad replaces a peer's load report.
+func (t *Table) PeerLoad(peer string, report Report, now time.Time) {
+	t.addToPeerSum(t.peers[peer].report, -1)
+	t.addToPeerSum(report, 1)
+	t.peers[peer] = peerLoad{receivedAt: now, report: report}
+	t.lastPeerReport = now
+	for key, load := range report {
+		if known := t.seen[key]; load.Seen >= known.requests || now.Sub(known.receivedAt) > peerSeenTTL {
+			t.seen[key] = seenLoad{receivedAt: now, requests: load.Seen}
 		}
 	}
 }
 
-// PeerGone forgets what another node said.
+// PeerGone drops a peer's load report.
 func (t *Table) PeerGone(peer string) {
-	t.addUp(t.peers[peer].running, -1)
+	t.addToPeerSum(t.peers[peer].report, -1)
 	delete(t.peers, peer)
 }
 
-// addUp adds a report to the sum, or takes it out.
-func (t *Table) addUp(report Report, sign int) {
-	for key, one := range report {
-		total := t.sum[key]
-		for class := range one.Counts {
-			total.Counts[class] += sign * one.Counts[class]
+// addToPeerSum adds a report to the sum, or subtracts it if sign is -1.
+func (t *Table) addToPeerSum(report Report, sign int) {
+	for key, load := range report {
+		total := t.peerSum[key]
+		for class := range load.Counts {
+			total.Counts[class] += sign * load.Counts[class]
 		}
-		total.Pending += sign * one.Pending
+		total.Pending += sign * load.Pending
 		if total.Total() == 0 && total.Pending == 0 {
-			delete(t.sum, key)
+			delete(t.peerSum, key)
 			continue
 		}
-		t.sum[key] = total
+		t.peerSum[key] = total
 	}
 }
 
-// expire forgets peers that fell silent.
+// expire drops peers without a recent report.
 func (t *Table) expire(now time.Time) {
-	if now.Before(t.expireAt) {
+	if now.Before(t.nextExpiry) {
 		return
 	}
-	t.expireAt = now.Add(peerLife / 4)
+	t.nextExpiry = now.Add(peerTTL / 4)
 	for peer, load := range t.peers {
-		if now.Sub(load.at) > peerLife {
+		if now.Sub(load.receivedAt) > peerTTL {
 			t.PeerGone(peer)
 		}
 	}
-	for key, one := range t.seen {
-		if now.Sub(one.at) > peerLife {
+	for key, seen := range t.seen {
+		if now.Sub(seen.receivedAt) > peerTTL {
 			delete(t.seen, key)
 		}
 	}
 }
 
-// Own returns what this node knows of engines by itself, without idle ones.
+// Own returns this node's load report, without idle engines.
 func (t *Table) Own(now time.Time) Report {
 	own := Report{}
 	for id, state := range t.engines {
-		if load := (Load{Counts: state.own, Seen: state.seen(now), Pending: state.pending}); load.atLeast() > 0 {
+		if load := (Load{Counts: state.own, Seen: state.reportedLoad(now), Pending: state.pending}); load.minLoad() > 0 {
 			own[t.key(id)] = load
 		}
 	}
 	return own
 }
 
-// All adds up what all nodes have under way, this one included.
+// All returns the sum of all nodes' reports, this node's included.
 func (t *Table) All(now time.Time) Report {
 	t.expire(now)
 	all := t.Own(now)
-	all.Add(t.sum)
+	all.Add(t.peerSum)
 	for key, total := range all {
-		total.Seen = max(total.Seen, t.peersSaw(key, now))
+		total.Seen = max(total.Seen, t.peerSeen(key, now))
 		all[key] = total
 	}
 	return all
 }
 
-// peersSaw is the most that peers lately heard an engine say it has.
-func (t *Table) peersSaw(key EngineKey, now time.Time) int {
-	if one := t.seen[key]; now.Sub(one.at) <= peersSawLife {
-		return one.count
+// peerSeen returns the maximum load that peers recently heard from an engine.
+func (t *Table) peerSeen(key EngineKey, now time.Time) int {
+	if seen := t.seen[key]; now.Sub(seen.receivedAt) <= peerSeenTTL {
+		return seen.requests
 	}
 	return 0
 }
 
-// Forget drops engines without work or news, and silent peers.
+// Forget drops unused engines and expired peers.
 func (t *Table) Forget(now time.Time) {
 	for id, state := range t.engines {
-		if state.total() == 0 && now.Sub(state.touched) > forgetAfter {
+		if state.total() == 0 && now.Sub(state.lastUsed) > idleEngineTTL {
 			delete(t.engines, id)
 			delete(t.keys, id)
 		}
@@ -293,73 +289,72 @@
 
 func (s *engineState) total() int { return s.own.Total() }
 
-// running estimates the requests of a class that an engine has from all nodes.
+// running estimates the requests of a class at an engine from all nodes.
 func (t *Table) running(id string, class Class, now time.Time) int {
-	count := t.sum[t.key(id)].Counts[class]
+	count := t.peerSum[t.key(id)].Counts[class]
 	if state := t.engines[id]; state != nil {
 		count += state.own[class]
 	}
 	return count
 }
 
-// yielding is how many requests of batch work at an engine would make way for
-// online work: all, as long as the peers' reports are fresh.
-func (t *Table) yielding(id string, now time.Time) int {
-	if now.Sub(t.heardAt) > yieldLife {
+// preemptible returns the number of batch requests at an engine that can be preempted: all of
+// them while peer reports are fresh, else none.
+func (t *Table) preemptible(id string, now time.Time) int {
+	if now.Sub(t.lastPeerReport) > preemptTTL {
 		return 0
 	}
 	return t.running(id, ClassBatch, now)
 }
 
-// seen is what the engine said lately that it has, with what this node has
-// sent since; 0 if it said nothing lately.
-func (s *engineState) seen(now time.Time) int {
-	if now.Sub(s.reportAt) > reportLife {
+// reportedLoad returns the load that the engine reported plus this node's requests sent
+// since; 0 without a recent report.
+func (s *engineState) reportedLoad(now time.Time) int {
+	if now.Sub(s.reportAt) > engineReportTTL {
 		return 0
 	}
-	return s.report.Running + s.report.Waiting + max(0, s.total()-s.ownAt)
+	return s.report.Running + s.report.Waiting + max(0, s.total()-s.ownAtReport)
 }
 
-// stretch is how many times as long as usual work takes at an engine, if it said so lately.
-func (t *Table) stretch(id string, now time.Time) float64 {
+// slowdown returns how many times longer than usual work takes at an engine; 1 without a
+// recent report.
+func (t *Table) slowdown(id string, now time.Time) float64 {
 	state := t.engines[id]
-	if state == nil || state.report.Stretch <= 0 || now.Sub(state.reportAt) > stretchLife {
+	if state == nil || state.report.Stretch <= 0 || now.Sub(state.reportAt) > slowdownTTL {
 		return 1
 	}
 	return state.report.Stretch
 }
 
-// load estimates all requests that an engine has: those that nodes count, or
-// what it said itself if that is more, as after the loss of a node whose
-// requests still run there.
+// load estimates all requests at an engine: the sum over nodes, or the engine's own report if
+// that is higher, for instance after the loss of a node whose requests still run.
 func (t *Table) load(id string, now time.Time) int {
 	load := t.running(id, ClassOnline, now) + t.running(id, ClassBatch, now)
 	if state := t.engines[id]; state != nil {
-		load = max(load, state.seen(now))
+		load = max(load, state.reportedLoad(now))
 	}
-	return max(load, t.peersSaw(t.key(id), now))
+	return max(load, t.peerSeen(t.key(id), now))
 }
 
-// pending estimates the prompt tokens that an engine still has to read for all
-// nodes.
+// pending estimates the prompt tokens that an engine has not yet read for all nodes.
 func (t *Table) pending(id string, now time.Time) int {
-	tokens := t.sum[t.key(id)].Pending
+	tokens := t.peerSum[t.key(id)].Pending
 	if state := t.engines[id]; state != nil {
 		tokens += state.pending
 	}
 	return tokens
 }
 
-// sound says that the engine isn't set aside.
-func (t *Table) sound(id string, now time.Time) bool {
+// healthy reports whether the engine isn't ejected.
+func (t *Table) healthy(id string, now time.Time) bool {
 	state := t.engines[id]
-	return state == nil || !now.Before(state.aside)
+	return state == nil || !now.Before(state.ejectedUntil)
 }
 
-func (t *Table) fullNow(id string, now time.Time) bool {
+func (t *Table) isFull(id string, now time.Time) bool {
 	state := t.engines[id]
-	return state != nil && now.Before(state.full)
+	return state != nil && now.Before(state.fullUntil)
 }
 
-// MeanRun is how long online requests hold a slot, on average.
-func (t *Table) MeanRun() time.Duration { return t.ran }
+// MeanRun returns the mean time that online requests hold a slot.
+func (t *Table) MeanRun() time.Duration { return t.meanHold }
