--- a/internal/poison/doc.go
+++ b/internal/poison/doc.go
@@ -1,18 +1,18 @@
-// Package poison recognises requests that end the engines which run them, and keeps
-// them from ending more.
+// Package poison detects poison requests, which crash the engines that run them, and keeps
+// them from reaching further engines.
 //
-// Such a request comes again under other ids, at any node. It is known by its
-// Fingerprint: who sent it, to what, with which body. A Record holds the engines that
-// have ended while they had the request.
+// Such a request may return under another id and at another node, so it is identified by
+// its Fingerprint: a hash of its sender, target and body. A Record lists the engines that
+// crashed while they had the request.
 //
-// Table is pure: it decides from records and the time whether a request is held back.
-// Guard is the shell of a node. A node that sees an engine end tells the data nodes
-// which of its requests that engine had; they tell all others at once, and keep the
-// record in the platform's store, so that it outlives a restart of all nodes. Records
-// merge in any order and any number of times.
+// Table decides from records and the time whether a request is held back, and does no I/O.
+// Guard connects a node's table with its peers and the store: a node that sees an engine
+// crash reports the engine's requests to the data nodes, which forward the records to all
+// other nodes and write them to the platform's store, so that they survive a restart of
+// all nodes. Merging records is commutative and idempotent.
 //
-// Invariants: a request that has ended endedMost engines reaches none at a node that
-// knows it, whatever its way (a first try, a retry, an item of a batch job), until its
-// time is over. A request that an engine has answered whole is never held back: others
-// that were at the same engine when it ended are told from the one that ended it.
+// Invariants: a node that has the record of a request that crashed crashThreshold engines
+// sends it to no engine until the hold expires, whether as a first attempt, a retry or an
+// item of a batch job. A request that an engine has answered completely is never held
+// back; this clears bystanders, which were only at the same engine when it crashed.
 package poison
--- a/internal/poison/fingerprint.go
+++ b/internal/poison/fingerprint.go
@@ -7,12 +7,11 @@
 	"errors"
 )
 
-// Fingerprint is equal for requests of one caller with the same target and body. It is
-// a cryptographic hash, so that no caller can make a request that is taken for
-// another's.
+// Fingerprint is equal for requests of one caller with the same target and body. It is a
+// cryptographic hash, so that no caller can forge the fingerprint of another's request.
 type Fingerprint [16]byte
 
-// Of returns the fingerprint of a request. tenant is empty where callers need no key.
+// Of returns the fingerprint of a request. tenant is empty if callers are not authenticated.
 func Of(tenant, host, method, target string, body []byte) Fingerprint {
 	hash := sha256.New()
 	for _, part := range [][]byte{[]byte(tenant), []byte(host), []byte(method), []byte(target), body} {
@@ -24,18 +23,17 @@
 	return Fingerprint(hash.Sum(nil)[:len(Fingerprint{})])
 }
 
-// String is the fingerprint as in logs and in the platform's store.
+// String returns the hexadecimal form used in logs and in the platform's store.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// errFingerprint says that a text is no fingerprint.
-var errFingerprint = errors.New("poison: not a fingerprint")
+var errInvalidFingerprint = errors.New("poison: invalid fingerprint")
 
-// Parse reads what String wrote.
+// Parse is the inverse of String.
 func Parse(text string) (Fingerprint, error) {
 	var f Fingerprint
 	decoded, err := hex.DecodeString(text)
 	if err != nil || len(decoded) != len(f) {
-		return f, errFingerprint
+		return f, errInvalidFingerprint
 	}
 	return Fingerprint(decoded), nil
 }
--- a/internal/poison/guard.go
+++ b/internal/poison/guard.go
@@ -13,119 +13,118 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// Events of requests under which engines end.
+// Events about requests under which engines crash.
 var (
-	eventEnded      = telemetry.Define(2140, "engine-ended-under-request", "An engine ended while it had a request; says how many have ended while they had it.")
-	eventHeld       = telemetry.Define(2141, "request-held-back", "A request has ended so many engines that it gets to no further one until the time given.")
-	eventReleased   = telemetry.Define(2142, "request-released", "A request that was held back is not any more: an engine answered it, or it was dropped from the store.")
-	eventNotTold    = telemetry.Define(2143, "poison-not-told", "No data node took records of requests under which engines ended; this node writes them itself and tells them again.")
-	eventNotKept    = telemetry.Define(2144, "poison-not-kept", "A record of a request under which engines ended could not be written to the store or removed from it; that is tried again.")
-	eventUnreadable = telemetry.Define(2145, "poison-message-unreadable", "A peer's records of requests under which engines ended could not be decoded and are passed over.")
+	eventCrashed      = telemetry.Define(2140, "engine-ended-under-request", "An engine crashed while it had a request; gives the number of engines that crashed while they had it.")
+	eventHeld         = telemetry.Define(2141, "request-held-back", "A request has crashed so many engines that it is sent to no engine until the given time.")
+	eventReleased     = telemetry.Define(2142, "request-released", "A request is no longer held back: an engine answered it, or its record was removed from the store.")
+	eventNotPublished = telemetry.Define(2143, "poison-not-told", "No data node accepted the records of requests under which engines crashed; this node writes them to the store itself and reports them again.")
+	eventNotStored    = telemetry.Define(2144, "poison-not-kept", "A record of a request under which engines crashed could not be written to the store or removed from it; this is retried.")
+	eventUnreadable   = telemetry.Define(2145, "poison-message-unreadable", "A peer's records of requests under which engines crashed could not be decoded and are ignored.")
 )
 
 const (
-	// gatherTime is how long records wait for others: all that an engine had are told
-	// together.
-	gatherTime = 5 * time.Millisecond
-	// retryPause is the first pause after peers or the store did not take records; that
-	// after the store grows to retryMost, as refused calls cost, too.
-	retryPause = 300 * time.Millisecond
-	retryMost  = 3 * time.Second
-	// reviewInterval is how often records are compared with what the store has, and
-	// old ones forgotten.
-	reviewInterval = 2 * time.Second
-	// standInTime is how long a data node leaves a record to the one that was told first,
-	// which the store may turn away. With 2 to 4 s all nodes were killed 3.4 s after the
-	// third end before one of them had written it.
-	standInTime = 500 * time.Millisecond
-	// callTimeout bounds one call of peers or of the store.
+	// batchDelay is how long records wait before they are published, so that all requests
+	// of a crashed engine go into one message.
+	batchDelay = 5 * time.Millisecond
+	// retryDelay is the delay before failed reports and store writes are retried; for the
+	// store it doubles up to maxRetryDelay.
+	retryDelay    = 300 * time.Millisecond
+	maxRetryDelay = 3 * time.Second
+	// reconcileInterval is how often records are compared with the store and expired ones
+	// deleted.
+	reconcileInterval = 2 * time.Second
+	// takeoverDelay is how long a data node waits for the one that received the report to
+	// write the record before it writes the record itself.
+	takeoverDelay = 500 * time.Millisecond
+	// callTimeout bounds one call to a peer or to the store.
 	callTimeout = time.Second
-	// secondLook is how long after a connection broke its engine is looked at again, if its
-	// address took connections right after: a proxy before an engine, or a busy machine,
-	// refuses some tenths of a second after the engine has ended.
-	secondLook = 300 * time.Millisecond
-	// doubtedMost bounds the requests that wait for a second look.
-	doubtedMost = 256
+	// recheckDelay is when an engine that seemed to run right after a lost connection is
+	// checked again: with a proxy in front of it or on a busy machine, its address may
+	// accept connections for some tenths of a second after the crash.
+	recheckDelay = 300 * time.Millisecond
+	// maxRechecks bounds the requests that wait for a recheck.
+	maxRechecks = 256
 )
 
-// Store keeps records beyond the lives of nodes.
+// Store keeps records across restarts of nodes.
 type Store interface {
 	// Save merges a record into the stored one.
 	Save(ctx context.Context, record Record) error
-	// Remove drops a record, if it is there.
+	// Remove deletes a record if it exists.
 	Remove(ctx context.Context, f Fingerprint) error
 }
 
 // Options configure a Guard.
 type Options struct {
-	// Ended says whether an engine to which a connection broke has ended though it was
-	// not about to leave. It is asked before the request goes on, and must not take long.
+	// Ended reports whether the engine of a lost connection has crashed, that is, ended
+	// without an announced shutdown. It delays the request's retry and must return quickly.
 	Ended func(ctx context.Context, engine catalog.Engine) bool
-	// Report hands records to a data node, which spreads and keeps them; nil on data
-	// nodes, which do so themselves.
+	// Report sends records to a data node, which spreads and stores them; nil on data
+	// nodes.
 	Report func(ctx context.Context, records []Record) error
-	// Spread sends records to the front nodes that this data node tells, and to all
-	// other data nodes if wide.
-	Spread func(records []Record, wide bool)
+	// Spread sends records to the front nodes that this data node serves, and if
+	// toDataNodes is set to all other data nodes. It is only called on data nodes.
+	Spread func(records []Record, toDataNodes bool)
 	Store  Store
-	// Now is the time of day.
+	// Now returns the wall-clock time.
 	Now func() time.Time
 }
 
-// Guard is a node's part in holding requests back that end engines. Its methods may be
-// called concurrently; a nil Guard holds nothing back.
+// Guard holds back poison requests at one node and shares their records with other nodes.
+// Its methods may be called concurrently; a nil Guard holds nothing back.
 type Guard struct {
 	options Options
 	cancel  context.CancelFunc
 	running context.Context
 	tasks   sync.WaitGroup
-	// known and holding say, without the mutex, whether there are records at all, and
-	// any that may hold a request back: only then fingerprints are worth their time.
-	known, holding atomic.Bool
-	// doubting says the same of requests that wait for a second look.
-	doubting atomic.Bool
-	refused  atomic.Int64
-	learnt   atomic.Bool
+	// hasRecords and hasHoldable tell without the mutex whether the table has records, and
+	// holdable ones; if not, no fingerprints are computed.
+	hasRecords, hasHoldable atomic.Bool
+	// hasRechecks tells without the mutex whether rechecks are pending.
+	hasRechecks atomic.Bool
+	refused     atomic.Int64
+	loaded      atomic.Bool
 
-	mutex  sync.Mutex // guards what is below; a leaf
-	table  *Table
-	stored map[Fingerprint]Record // as last read from the store
-	news   map[Fingerprint]bool   // to be told; whether to all data nodes
-	unkept map[Fingerprint]time.Time
-	told   chan struct{} // of capacity 1: there is something in news
-	kept   chan struct{} // of capacity 1: there is something in unkept
-	// doubted are requests whose engines are to be looked at again, and how many engines.
-	doubted map[Fingerprint]int
+	mutex        sync.Mutex // guards the fields below; leaf lock
+	table        *Table
+	stored       map[Fingerprint]Record    // as last loaded from the store
+	unpublished  map[Fingerprint]bool      // to be published; the value says whether to data nodes, too
+	unsynced     map[Fingerprint]time.Time // to be synced with the store, and from when on
+	publishReady chan struct{}             // of capacity 1: unpublished is not empty
+	syncReady    chan struct{}             // of capacity 1: unsynced is not empty
+	// rechecks counts the engines to be rechecked by request.
+	rechecks map[Fingerprint]int
 }
 
-// NewGuard returns a guard; nothing is told or kept before Start.
+// NewGuard returns a guard; it publishes and stores nothing before Start.
 func NewGuard(options Options) *Guard {
 	g := &Guard{
-		options: options, table: NewTable(), stored: map[Fingerprint]Record{}, news: map[Fingerprint]bool{},
-		unkept: map[Fingerprint]time.Time{}, told: make(chan struct{}, 1), kept: make(chan struct{}, 1),
-		doubted: map[Fingerprint]int{},
+		options: options, table: NewTable(), stored: map[Fingerprint]Record{}, unpublished: map[Fingerprint]bool{},
+		unsynced: map[Fingerprint]time.Time{}, publishReady: make(chan struct{}, 1), syncReady: make(chan struct{}, 1),
+		rechecks: map[Fingerprint]int{},
 	}
 	g.running, g.cancel = context.WithCancel(context.Background())
 	return g
 }
 
-// Start begins to tell peers and to keep records.
+// Start starts publishing records and syncing them with the store.
 func (g *Guard) Start() {
-	g.tasks.Go(g.tellLoop)
-	g.tasks.Go(g.keepLoop)
+	g.tasks.Go(g.publishLoop)
+	g.tasks.Go(g.syncLoop)
 }
 
-// Close stops the guard, and waits.
+// Close stops the guard and waits for its goroutines.
 func (g *Guard) Close() {
 	g.mutex.Lock()
-	g.cancel() // from here on there are no new second looks
+	g.cancel() // under the mutex, so that no recheck starts from here on
 	g.mutex.Unlock()
 	g.tasks.Wait()
 }
 
-// Held says for how long a request gets to no engine; false if it may be sent.
+// Held returns how long a request is still held back; false if it may be sent.
 func (g *Guard) Held(fingerprint func() Fingerprint) (time.Duration, bool) {
-	if g == nil || !g.holding.Load() {
+	if g == nil || !g.hasHoldable.Load() {
 		return 0, false
 	}
 	f, now := fingerprint(), g.options.Now()
@@ -138,97 +137,96 @@
 	return until.Sub(now), held
 }
 
-// Break is the break of the connection on which an engine had a request.
+// Break describes the loss of a connection on which an engine had a request.
 type Break struct {
 	Engine  catalog.Engine
-	Request string // its id
-	// Answering says that events of the answer had come.
+	Request string // request id
+	// Answering is set if events of the answer had arrived.
 	Answering   bool
 	Fingerprint func() Fingerprint
 }
 
-// Broke takes that a connection broke, and returns once it is known whether that counts
-// against its request. An engine that seems to be up may be found to have ended later.
-func (g *Guard) Broke(ctx context.Context, broken Break) {
+// Broke records a crash against the request of a lost connection if the engine has
+// crashed. It returns after the first check; an engine that seems to run is rechecked later.
+func (g *Guard) Broke(ctx context.Context, lost Break) {
 	switch {
 	case g == nil:
-	case g.options.Ended(ctx, broken.Engine):
-		g.count(broken.Fingerprint(), broken)
+	case g.options.Ended(ctx, lost.Engine):
+		g.recordCrash(lost.Fingerprint(), lost)
 	default:
-		g.lookAgain(broken)
+		g.scheduleRecheck(lost)
 	}
 }
 
-// lookAgain has an engine looked at a second time. A request that some engine answers
-// meanwhile only stood by, and isn't counted.
-func (g *Guard) lookAgain(broken Break) {
-	f := broken.Fingerprint()
+// scheduleRecheck checks an engine again after recheckDelay. If any engine answers the
+// request by then, no crash is recorded against it.
+func (g *Guard) scheduleRecheck(lost Break) {
+	f := lost.Fingerprint()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if g.running.Err() != nil || len(g.doubted) >= doubtedMost {
+	if g.running.Err() != nil || len(g.rechecks) >= maxRechecks {
 		return
 	}
-	g.doubted[f]++
-	g.doubting.Store(true)
+	g.rechecks[f]++
+	g.hasRechecks.Store(true)
 	g.tasks.Go(func() {
-		clock.Pause(g.running, secondLook)
-		if g.takeDoubt(f) && g.options.Ended(g.running, broken.Engine) {
-			g.count(f, broken)
+		clock.Pause(g.running, recheckDelay)
+		if g.finishRecheck(f) && g.options.Ended(g.running, lost.Engine) {
+			g.recordCrash(f, lost)
 		}
 	})
 }
 
-// takeDoubt ends the wait of a request for one second look, and says whether it still
-// waited.
-func (g *Guard) takeDoubt(f Fingerprint) bool {
+// finishRecheck removes one pending recheck of a request and reports whether there was one.
+func (g *Guard) finishRecheck(f Fingerprint) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	waiting := g.doubted[f]
+	waiting := g.rechecks[f]
 	if waiting > 1 {
-		g.doubted[f] = waiting - 1
+		g.rechecks[f] = waiting - 1
 	} else {
-		delete(g.doubted, f)
+		delete(g.rechecks, f)
 	}
-	g.doubting.Store(len(g.doubted) > 0)
+	g.hasRechecks.Store(len(g.rechecks) > 0)
 	return waiting > 0
 }
 
-// count counts an engine that has ended against its request.
-func (g *Guard) count(f Fingerprint, broken Break) {
+// recordCrash records the crash of an engine against its request.
+func (g *Guard) recordCrash(f Fingerprint, lost Break) {
 	now := g.options.Now()
-	end := End{Engine: broken.Engine.ID, Answering: broken.Answering}
-	record := Record{Fingerprint: f, Ends: []End{end}, Last: now}
+	crash := End{Engine: lost.Engine.ID, Answering: lost.Answering}
+	record := Record{Fingerprint: f, Ends: []End{crash}, Last: now}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if g.merge(record) {
-		g.tell(f, true)
+		g.schedulePublish(f, true)
 	}
 	merged, _ := g.table.Get(f)
-	eventEnded.Info("request", broken.Request, "fingerprint", f, "engine", broken.Engine.ID, "answering", broken.Answering,
-		"ended", len(merged.Ends), "sound", merged.Sound)
+	eventCrashed.Info("request", lost.Request, "fingerprint", f, "engine", lost.Engine.ID, "answering", lost.Answering,
+		"ended", len(merged.Ends), "sound", merged.Served)
 }
 
-// Served takes that an engine answered a request whole.
+// Served records that an engine answered a request completely.
 func (g *Guard) Served(fingerprint func() Fingerprint) {
-	if g == nil || !g.known.Load() && !g.doubting.Load() {
+	if g == nil || !g.hasRecords.Load() && !g.hasRechecks.Load() {
 		return
 	}
 	f := fingerprint()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	delete(g.doubted, f)
+	delete(g.rechecks, f)
 	record, found := g.table.Get(f)
-	if !found || record.Sound {
+	if !found || record.Served {
 		return
 	}
-	if g.merge(Record{Fingerprint: f, Last: g.options.Now(), Sound: true}) {
-		g.tell(f, true)
+	if g.merge(Record{Fingerprint: f, Last: g.options.Now(), Served: true}) {
+		g.schedulePublish(f, true)
 	}
 }
 
-// Receive takes a peer's records. wide says that they come from a front node, and so
-// that the other data nodes don't have them.
-func (g *Guard) Receive(from transport.Address, message []byte, wide bool) error {
+// Receive merges a peer's records. toDataNodes says that other data nodes need them, too,
+// as they come from a front node.
+func (g *Guard) Receive(from transport.Address, message []byte, toDataNodes bool) error {
 	records, err := Unmarshal(message)
 	if err != nil {
 		eventUnreadable.Error(err, "peer", from)
@@ -238,95 +236,95 @@
 	defer g.mutex.Unlock()
 	for i := range records {
 		if g.merge(records[i]) && g.options.Report == nil {
-			g.tell(records[i].Fingerprint, wide)
+			g.schedulePublish(records[i].Fingerprint, toDataNodes)
 		}
 	}
 	return nil
 }
 
-// Learn takes all records that the store has. One that it has no more was dropped, by
-// an operator or as it is over.
+// Learn merges all records of the store. Those that the store no longer has are dropped:
+// an operator removed them or they expired.
 func (g *Guard) Learn(records []Record) {
 	now := g.options.Now()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	defer g.learnt.Store(true)
-	before := g.stored
+	defer g.loaded.Store(true)
+	previous := g.stored
 	g.stored = make(map[Fingerprint]Record, len(records))
 	for i := range records {
 		record := &records[i]
 		g.stored[record.Fingerprint] = *record
-		if now.Before(record.Last.Add(record.memory())) {
+		if now.Before(record.Last.Add(record.retention())) {
 			g.merge(*record)
 		}
 	}
-	for f := range before {
-		_, still := g.stored[f]
+	for f := range previous {
+		_, kept := g.stored[f]
 		known, found := g.table.Get(f)
-		if !still && found && !known.Sound {
-			g.change(func() bool { g.table.Drop(f); return true }, f)
+		if !kept && found && !known.Served {
+			g.update(func() bool { g.table.Drop(f); return true }, f)
 		}
 	}
 }
 
-// Learnt says whether the guard has heard what the store has.
-func (g *Guard) Learnt() bool { return g.learnt.Load() }
+// Learnt reports whether Learn has been called.
+func (g *Guard) Learnt() bool { return g.loaded.Load() }
 
-// merge adds a record to the table, and says whether it holds news. The caller holds
-// the mutex, as those of the functions below do.
+// merge adds a record to the table and reports whether that changed it. The caller holds
+// the mutex, here and in update, schedulePublish, scheduleSync and isSynced.
 func (g *Guard) merge(record Record) bool {
-	return g.change(func() bool { return g.table.Merge(record) }, record.Fingerprint)
+	return g.update(func() bool { return g.table.Merge(record) }, record.Fingerprint)
 }
 
-// change changes what is known of a request, and logs if it is held back since or not
-// any more.
-func (g *Guard) change(change func() bool, f Fingerprint) bool {
+// update applies a change to a request's record and logs if the request becomes held back
+// or is released by it.
+func (g *Guard) update(apply func() bool, f Fingerprint) bool {
 	now := g.options.Now()
 	_, before := g.table.HeldUntil(f, now)
-	news := change()
+	changed := apply()
 	until, after := g.table.HeldUntil(f, now)
-	g.known.Store(g.table.Len() > 0)
-	g.holding.Store(g.table.Holding())
+	g.hasRecords.Store(g.table.Len() > 0)
+	g.hasHoldable.Store(g.table.HasHoldable())
 	record, _ := g.table.Get(f)
 	switch {
 	case after && !before:
 		eventHeld.Info("fingerprint", f, "ends", record.Ends, "until", until)
 	case before && !after:
-		eventReleased.Info("fingerprint", f, "ends", record.Ends, "sound", record.Sound)
+		eventReleased.Info("fingerprint", f, "ends", record.Ends, "sound", record.Served)
 	}
-	return news
+	return changed
 }
 
-// tell notes that peers are to hear of a record, and the store if it is worth it.
-func (g *Guard) tell(f Fingerprint, wide bool) {
-	g.news[f] = g.news[f] || wide
-	signal(g.told)
+// schedulePublish schedules a record for publishing, and on data nodes for a sync with the store.
+func (g *Guard) schedulePublish(f Fingerprint, toDataNodes bool) {
+	g.unpublished[f] = g.unpublished[f] || toDataNodes
+	signal(g.publishReady)
 	switch {
-	case g.options.Report != nil: // data nodes see to the store
-	case wide:
-		g.keep(f, g.options.Now())
+	case g.options.Report != nil: // data nodes write to the store
+	case toDataNodes:
+		g.scheduleSync(f, g.options.Now())
 	default:
-		g.keep(f, g.options.Now().Add(standInTime))
+		g.scheduleSync(f, g.options.Now().Add(takeoverDelay))
 	}
 }
 
-// keep notes that the store is to have what the table has, from a time on.
-func (g *Guard) keep(f Fingerprint, from time.Time) {
-	if g.isKept(f) {
+// scheduleSync schedules a sync of the stored record with the table, not before from.
+func (g *Guard) scheduleSync(f Fingerprint, from time.Time) {
+	if g.isSynced(f) {
 		return
 	}
-	if _, noted := g.unkept[f]; !noted {
-		g.unkept[f] = from
+	if _, scheduled := g.unsynced[f]; !scheduled {
+		g.unsynced[f] = from
 	}
-	signal(g.kept)
+	signal(g.syncReady)
 }
 
-// isKept says whether the store, as last read, has what the table has of a request: a
-// record that is worth keeping, or none.
-func (g *Guard) isKept(f Fingerprint) bool {
+// isSynced reports whether the store, as last loaded, agrees with the table: it has the
+// same crashes, or no record where the table has no persistent one.
+func (g *Guard) isSynced(f Fingerprint) bool {
 	record, found := g.table.Get(f)
 	stored, isStored := g.stored[f]
-	if !found || !record.lasting() {
+	if !found || !record.persistent() {
 		return !isStored
 	}
 	return isStored && slices.Equal(record.Ends, stored.Ends)
@@ -339,12 +337,12 @@
 	}
 }
 
-// HeldBack counts the requests that are held back.
+// HeldBack returns the number of requests that are held back.
 func (g *Guard) HeldBack() int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.table.Held(g.options.Now())
+	return g.table.CountHeld(g.options.Now())
 }
 
-// Refused counts how often a request was kept from an engine.
+// Refused returns how many attempts to send a request were held back.
 func (g *Guard) Refused() int64 { return g.refused.Load() }
--- a/internal/poison/guard_test.go
+++ b/internal/poison/guard_test.go
@@ -11,18 +11,17 @@
 	"chutelock.dev/chutelock/internal/catalog"
 )
 
-// patience bounds what takes time.
-const patience = 10 * time.Second
+const waitTimeout = 10 * time.Second
 
-// fakeStore keeps records as the platform's store does.
+// fakeStore is a Store in memory that reports all its records after each write.
 type fakeStore struct {
-	mutex   sync.Mutex
-	table   *Table
-	refuses bool
-	changed func(records []Record)
+	mutex       sync.Mutex
+	table       *Table
+	unavailable bool
+	onChange    func(records []Record)
 }
 
-var errStore = errors.New("the store refuses")
+var errStore = errors.New("store unavailable")
 
 func (s *fakeStore) Save(_ context.Context, record Record) error {
 	return s.write(func() { s.table.Merge(record) })
@@ -34,21 +33,21 @@
 
 func (s *fakeStore) write(change func()) error {
 	s.mutex.Lock()
-	if s.refuses {
+	if s.unavailable {
 		s.mutex.Unlock()
 		return errStore
 	}
 	change()
 	records := s.table.All()
 	s.mutex.Unlock()
-	s.changed(records)
+	s.onChange(records)
 	return nil
 }
 
-func (s *fakeStore) setRefuses(refuses bool) {
+func (s *fakeStore) setUnavailable(unavailable bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.refuses = refuses
+	s.unavailable = unavailable
 }
 
 func (s *fakeStore) has(f Fingerprint) bool {
@@ -58,148 +57,148 @@
 	return found
 }
 
-// nodes are a data node and front nodes that tell each other directly.
-type nodes struct {
-	store  *fakeStore
-	data   *Guard
-	fronts []*Guard
-	mutex  sync.Mutex
-	deaf   bool // no report gets to the data node
+// testCluster is a data node and front nodes that call each other directly.
+type testCluster struct {
+	store       *fakeStore
+	data        *Guard
+	fronts      []*Guard
+	mutex       sync.Mutex
+	reportsFail bool // reports do not reach the data node
 }
 
-func newNodes(t *testing.T, fronts int) *nodes {
-	n := &nodes{store: &fakeStore{table: NewTable()}}
-	n.store.changed = func(records []Record) {
-		for _, guard := range append([]*Guard{n.data}, n.fronts...) {
+func newTestCluster(t *testing.T, fronts int) *testCluster {
+	c := &testCluster{store: &fakeStore{table: NewTable()}}
+	c.store.onChange = func(records []Record) {
+		for _, guard := range append([]*Guard{c.data}, c.fronts...) {
 			guard.Learn(records)
 		}
 	}
-	n.data = n.open(Options{Spread: func(records []Record, _ bool) {
-		for _, front := range n.fronts {
+	c.data = c.newGuard(Options{Spread: func(records []Record, _ bool) {
+		for _, front := range c.fronts {
 			_ = front.Receive("data", Marshal(records), false)
 		}
 	}})
 	for i := range fronts {
-		n.fronts = append(n.fronts, n.openFront(i))
+		c.fronts = append(c.fronts, c.newFrontGuard(i))
 	}
-	for _, guard := range append([]*Guard{n.data}, n.fronts...) {
+	for _, guard := range append([]*Guard{c.data}, c.fronts...) {
 		guard.Start()
 		t.Cleanup(guard.Close)
 	}
-	return n
+	return c
 }
 
-func (n *nodes) open(options Options) *Guard {
-	options.Store, options.Now = n.store, time.Now
+func (c *testCluster) newGuard(options Options) *Guard {
+	options.Store, options.Now = c.store, time.Now
 	options.Ended = func(_ context.Context, engine catalog.Engine) bool { return engine.Address != "up" }
 	return NewGuard(options)
 }
 
-func (n *nodes) openFront(i int) *Guard {
-	return n.open(Options{Report: func(_ context.Context, records []Record) error {
-		n.mutex.Lock()
-		deaf := n.deaf
-		n.mutex.Unlock()
-		if deaf {
-			return errors.New("not reached")
+func (c *testCluster) newFrontGuard(i int) *Guard {
+	return c.newGuard(Options{Report: func(_ context.Context, records []Record) error {
+		c.mutex.Lock()
+		fail := c.reportsFail
+		c.mutex.Unlock()
+		if fail {
+			return errors.New("data node unreachable")
 		}
-		return n.data.Receive("front", Marshal(records), true)
+		return c.data.Receive("front", Marshal(records), true)
 	}})
 }
 
-func (n *nodes) setDeaf(deaf bool) {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
-	n.deaf = deaf
+func (c *testCluster) setReportsFail(fail bool) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.reportsFail = fail
 }
 
-// end lets engines end under a request at a front node.
-func (n *nodes) end(front, request int, engines ...string) {
+// crash has engines crash under a request at a front node.
+func (c *testCluster) crash(front, request int, engines ...string) {
 	for _, engine := range engines {
-		n.fronts[front].Broke(context.Background(), Break{Engine: catalog.Engine{ID: engine}, Fingerprint: func() Fingerprint { return print(request) }})
+		c.fronts[front].Broke(context.Background(), Break{Engine: catalog.Engine{ID: engine}, Fingerprint: func() Fingerprint { return print(request) }})
 	}
 }
 
-func holds(guard *Guard, request int) bool {
+func isHeld(guard *Guard, request int) bool {
 	_, held := guard.Held(func() Fingerprint { return print(request) })
 	return held
 }
 
-func await(t *testing.T, what string, ok func() bool) {
+func eventually(t *testing.T, condition string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("never came true: " + what)
+	for deadline := time.Now().Add(waitTimeout); !ok(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("timed out waiting until " + condition)
 		}
 	}
 }
 
-func (n *nodes) awaitHeld(t *testing.T, request int) {
+func (c *testCluster) awaitHeld(t *testing.T, request int) {
 	t.Helper()
-	for i, guard := range append([]*Guard{n.data}, n.fronts...) {
-		await(t, fmt.Sprint("node ", i, " holds it back"), func() bool { return holds(guard, request) })
+	for i, guard := range append([]*Guard{c.data}, c.fronts...) {
+		eventually(t, fmt.Sprint("node ", i, " holds the request back"), func() bool { return isHeld(guard, request) })
 	}
 }
 
-func TestEndsAtDifferentNodesAddUp(t *testing.T) {
-	n := newNodes(t, 3)
+func TestGuardSumsCrashesSeenByDifferentNodes(t *testing.T) {
+	c := newTestCluster(t, 3)
 	for front, engine := range []string{"a", "b", "c"} {
-		n.end(front, 1, engine)
+		c.crash(front, 1, engine)
 	}
-	n.awaitHeld(t, 1)
-	await(t, "the store has the record", func() bool { return n.store.has(print(1)) })
+	c.awaitHeld(t, 1)
+	eventually(t, "the store has the record", func() bool { return c.store.has(print(1)) })
 }
 
-func TestABrokenConnectionToAnEngineThatIsUpCountsNothing(t *testing.T) {
-	n := newNodes(t, 1)
+func TestGuardIgnoresLostConnectionToRunningEngine(t *testing.T) {
+	c := newTestCluster(t, 1)
 	for i := range 5 {
-		n.fronts[0].Broke(t.Context(), Break{
+		c.fronts[0].Broke(t.Context(), Break{
 			Engine: catalog.Engine{ID: fmt.Sprint("e", i), Address: "up"}, Fingerprint: func() Fingerprint { return print(1) },
 		})
 	}
-	if n.fronts[0].known.Load() {
-		t.Error("a record was made")
+	if c.fronts[0].hasRecords.Load() {
+		t.Error("record created")
 	}
 }
 
-func TestOneEndIsNotWorthTheStore(t *testing.T) {
-	n := newNodes(t, 1)
-	n.end(0, 1, "a")
-	n.end(0, 2, "a", "b")
-	await(t, "the store has the record of two", func() bool { return n.store.has(print(2)) })
-	if n.store.has(print(1)) {
-		t.Error("the record of one end was written")
+func TestGuardDoesNotStoreRecordWithOneCrash(t *testing.T) {
+	c := newTestCluster(t, 1)
+	c.crash(0, 1, "a")
+	c.crash(0, 2, "a", "b")
+	eventually(t, "the store has the record with two crashes", func() bool { return c.store.has(print(2)) })
+	if c.store.has(print(1)) {
+		t.Error("the record with one crash was written to the store")
 	}
 }
 
-func TestNodesHearOfARequestWhileTheStoreIsDown(t *testing.T) {
-	n := newNodes(t, 2)
-	n.store.setRefuses(true)
-	n.end(0, 1, "a", "b", "c")
-	n.awaitHeld(t, 1)
-	n.store.setRefuses(false)
-	await(t, "the store has the record", func() bool { return n.store.has(print(1)) })
-}
-
-func TestANodeThatReachesNoDataNodeWritesItself(t *testing.T) {
-	n := newNodes(t, 2)
-	n.setDeaf(true)
-	n.end(0, 1, "a", "b", "c")
-	n.awaitHeld(t, 1) // by way of the store
-	n.setDeaf(false)
-	n.end(1, 2, "a")
-	n.end(0, 2, "b", "c")
-	n.awaitHeld(t, 2)
-}
-
-// The data node that was told first may be turned away by the store for long: the others
-// write what they heard from it.
-func TestOtherDataNodesStandInForOneThatTheStoreTurnsAway(t *testing.T) {
-	n := newNodes(t, 0)
-	away := &fakeStore{table: NewTable(), refuses: true}
-	other := n.data
+func TestGuardPublishesWhileStoreIsDown(t *testing.T) {
+	c := newTestCluster(t, 2)
+	c.store.setUnavailable(true)
+	c.crash(0, 1, "a", "b", "c")
+	c.awaitHeld(t, 1)
+	c.store.setUnavailable(false)
+	eventually(t, "the store has the record", func() bool { return c.store.has(print(1)) })
+}
+
+func TestGuardWritesToStoreWhenReportFails(t *testing.T) {
+	c := newTestCluster(t, 2)
+	c.setReportsFail(true)
+	c.crash(0, 1, "a", "b", "c")
+	c.awaitHeld(t, 1) // through the store
+	c.setReportsFail(false)
+	c.crash(1, 2, "a")
+	c.crash(0, 2, "b", "c")
+	c.awaitHeld(t, 2)
+}
+
+// Guards against records that are never stored because the data node that received the
+// report cannot reach the store.
+func TestGuardWritesRecordOfPeerThatCannotReachStore(t *testing.T) {
+	c := newTestCluster(t, 0)
+	unavailable := &fakeStore{table: NewTable(), unavailable: true}
+	other := c.data
 	first := NewGuard(Options{
-		Store: away, Now: time.Now, Ended: func(context.Context, catalog.Engine) bool { return true },
+		Store: unavailable, Now: time.Now, Ended: func(context.Context, catalog.Engine) bool { return true },
 		Spread: func(records []Record, _ bool) { _ = other.Receive("first", Marshal(records), false) },
 	})
 	first.Start()
@@ -207,39 +206,39 @@
 	for _, engine := range []string{"a", "b", "c"} {
 		first.Broke(t.Context(), Break{Engine: catalog.Engine{ID: engine}, Fingerprint: func() Fingerprint { return print(1) }})
 	}
-	told := time.Now()
-	await(t, "the store has the record", func() bool { return n.store.has(print(1)) })
-	if took := time.Since(told); took > reviewInterval {
-		t.Errorf("after %v", took)
+	reported := time.Now()
+	eventually(t, "the store has the record", func() bool { return c.store.has(print(1)) })
+	if took := time.Since(reported); took > reconcileInterval {
+		t.Errorf("stored only after %v", took)
 	}
 }
 
-func TestANodeThatStartsKnowsWhatTheStoreHas(t *testing.T) {
-	n := newNodes(t, 1)
-	n.end(0, 1, "a", "b", "c")
-	await(t, "the store has the record", func() bool { return n.store.has(print(1)) })
-	fresh := n.openFront(1)
-	fresh.Learn(n.store.table.All())
-	if !holds(fresh, 1) {
-		t.Error("not held back")
+func TestGuardLoadsRecordsFromStore(t *testing.T) {
+	c := newTestCluster(t, 1)
+	c.crash(0, 1, "a", "b", "c")
+	eventually(t, "the store has the record", func() bool { return c.store.has(print(1)) })
+	fresh := c.newFrontGuard(1)
+	fresh.Learn(c.store.table.All())
+	if !isHeld(fresh, 1) {
+		t.Error("request not held back after a restart")
 	}
 }
 
-func TestARequestThatWasServedIsReleasedEverywhere(t *testing.T) {
-	n := newNodes(t, 2)
-	n.end(0, 1, "a", "b", "c")
-	n.awaitHeld(t, 1)
-	await(t, "the store has the record", func() bool { return n.store.has(print(1)) })
-	n.fronts[1].Served(func() Fingerprint { return print(1) }) // it was under way
-	await(t, "all release it", func() bool { return !holds(n.data, 1) && !holds(n.fronts[0], 1) && !holds(n.fronts[1], 1) })
-	await(t, "the store drops it", func() bool { return !n.store.has(print(1)) })
+func TestGuardReleasesServedRequestOnAllNodes(t *testing.T) {
+	c := newTestCluster(t, 2)
+	c.crash(0, 1, "a", "b", "c")
+	c.awaitHeld(t, 1)
+	eventually(t, "the store has the record", func() bool { return c.store.has(print(1)) })
+	c.fronts[1].Served(func() Fingerprint { return print(1) }) // was still running at an engine
+	eventually(t, "all nodes release the request", func() bool { return !isHeld(c.data, 1) && !isHeld(c.fronts[0], 1) && !isHeld(c.fronts[1], 1) })
+	eventually(t, "the store removes the record", func() bool { return !c.store.has(print(1)) })
 }
 
-func TestARecordThatAnOperatorDropsHoldsNothingBack(t *testing.T) {
-	n := newNodes(t, 2)
-	n.end(0, 1, "a", "b", "c")
-	n.awaitHeld(t, 1)
-	await(t, "the store has the record", func() bool { return n.store.has(print(1)) })
-	_ = n.store.Remove(t.Context(), print(1))
-	await(t, "all release it", func() bool { return !holds(n.data, 1) && !holds(n.fronts[0], 1) && !holds(n.fronts[1], 1) })
+func TestGuardReleasesRequestRemovedFromStore(t *testing.T) {
+	c := newTestCluster(t, 2)
+	c.crash(0, 1, "a", "b", "c")
+	c.awaitHeld(t, 1)
+	eventually(t, "the store has the record", func() bool { return c.store.has(print(1)) })
+	_ = c.store.Remove(t.Context(), print(1))
+	eventually(t, "all nodes release the request", func() bool { return !isHeld(c.data, 1) && !isHeld(c.fronts[0], 1) && !isHeld(c.fronts[1], 1) })
 }
--- a/internal/poison/message.go
+++ b/internal/poison/message.go
@@ -11,10 +11,10 @@
 type fixedRecord struct {
 	Fingerprint Fingerprint
 	Last        int64 // Unix milliseconds
-	Sound       bool
+	Served      bool
 }
 
-type fixedEnd struct{ Answering bool }
+type fixedCrash struct{ Answering bool }
 
 type fixedRecords struct{}
 
@@ -23,11 +23,11 @@
 	fields := make([][]byte, 0, len(records))
 	for i := range records {
 		record := &records[i]
-		ends := make([][]byte, 0, len(record.Ends))
-		for _, end := range record.Ends {
-			ends = append(ends, mustMarshal(fixedEnd{end.Answering}, []byte(end.Engine)))
+		crashes := make([][]byte, 0, len(record.Ends))
+		for _, crash := range record.Ends {
+			crashes = append(crashes, mustMarshal(fixedCrash{crash.Answering}, []byte(crash.Engine)))
 		}
-		fields = append(fields, mustMarshal(fixedRecord{record.Fingerprint, record.Last.UnixMilli(), record.Sound}, ends...))
+		fields = append(fields, mustMarshal(fixedRecord{record.Fingerprint, record.Last.UnixMilli(), record.Served}, crashes...))
 	}
 	return mustMarshal(fixedRecords{}, fields...)
 }
@@ -35,12 +35,12 @@
 func mustMarshal(fixed any, fields ...[]byte) []byte {
 	encoded, err := wire.Marshal(messageVersion, fixed, fields...)
 	if err != nil {
-		panic(err) // a struct of this package is not of fixed size
+		panic(err) // unreachable: all fixed parts have a fixed size
 	}
 	return encoded
 }
 
-// Unmarshal decodes what Marshal wrote.
+// Unmarshal is the inverse of Marshal.
 func Unmarshal(message []byte) ([]Record, error) {
 	fields, err := wire.Unmarshal(message, messageVersion, &fixedRecords{}, -1)
 	if err != nil {
@@ -63,14 +63,14 @@
 	if err != nil {
 		return Record{}, err
 	}
-	record := Record{Fingerprint: fixed.Fingerprint, Last: time.UnixMilli(fixed.Last), Sound: fixed.Sound}
+	record := Record{Fingerprint: fixed.Fingerprint, Last: time.UnixMilli(fixed.Last), Served: fixed.Served}
 	for _, field := range fields {
-		var end fixedEnd
-		engine, err := wire.Unmarshal(field, messageVersion, &end, 1)
+		var crash fixedCrash
+		engine, err := wire.Unmarshal(field, messageVersion, &crash, 1)
 		if err != nil {
 			return Record{}, err
 		}
-		record.Ends = append(record.Ends, End{Engine: string(engine[0]), Answering: end.Answering})
+		record.Ends = append(record.Ends, End{Engine: string(engine[0]), Answering: crash.Answering})
 	}
 	return record, nil
 }
--- a/internal/poison/table.go
+++ b/internal/poison/table.go
@@ -7,68 +7,63 @@
 )
 
 const (
-	// endedMost is how many engines may end under a request before it is held back.
-	// Each costs the streams of all others there and some seconds of an engine. With
-	// two, too many others would be held back: they go to another engine, as does the
-	// request that ended the first.
-	endedMost = 3
-	// An engine counts half that had begun to answer the request when it ended. Most of
-	// those that only stood by have an event by then: with 30 ends in 6 s among 18 engines
-	// 0.8 % of 100 long items that never come to their end are held back so, and 25 % if
-	// all ends count alike; with 9 ends none and 1 % (20 seeds in virtual time,
-	// TestThoseThatOnlyStoodByAreToldApart).
-	// A request whose first events come before the engine ends gets to three engines more.
+	// crashThreshold is how many engines a request may crash before it is held back. A
+	// threshold of two would hold back too many bystanders, which may be retried on the
+	// same engine as the request that crashed their first one.
+	crashThreshold = 3
+	// A crash counts half if the engine had begun to answer the request, as most bystanders
+	// have received an event by then. A poison request that is answered before the crash
+	// therefore reaches up to three more engines.
 	silentWeight    = 2
 	answeringWeight = 1
-	heldWeight      = endedMost * silentWeight
-	// firstHold is how long a request is held back after endedMost engines ended. One that
-	// only stood by is served after that: the ends that one request brings about come
-	// within a second or two, and engines are back within some four.
+	holdWeight      = crashThreshold * silentWeight
+	// firstHold is how long a request is held back once its weight reaches holdWeight. It
+	// outlasts the crashes caused by one poison request and the restarts of the engines,
+	// so that bystanders are served afterwards.
 	firstHold = 30 * time.Second
-	// nextHold is how long it is held back after one end more that counts whole: what ends
-	// engines may be mended by then, as by a release of their software.
+	// nextHold is how long it is held back after one more crash of full weight. The fault
+	// in the engines may be fixed by then.
 	nextHold = 10 * time.Minute
-	// endedForGood is the number of engines from which on a request gets no further
-	// chance before it is forgotten. At each of the two chances before, some nodes may
-	// send it before they hear from each other: three retries are not exceeded.
-	endedForGood = endedMost + 2
-	// holdMemory is how long a record of a held request is kept after the last
-	// engine ended, and suspectMemory another one.
-	holdMemory    = 24 * time.Hour
-	suspectMemory = time.Hour
-	// endsMost bounds the engines that a record names.
-	endsMost = 16
-	// recordsMost bounds the records of a node, some 2 MB; the oldest ones give way,
-	// those that hold a request back last.
-	recordsMost = 4096
+	// maxCrashes is the number of crashes from which on a request is held back until its
+	// record expires. Before that it is retried after two holds, each time possibly by
+	// several nodes that have not heard from each other yet.
+	maxCrashes = crashThreshold + 2
+	// heldRetention is how long the record of a request that was held back is kept after
+	// the last crash, and suspectRetention that of any other request.
+	heldRetention    = 24 * time.Hour
+	suspectRetention = time.Hour
+	// maxRecordCrashes bounds the crashes listed in a record.
+	maxRecordCrashes = 16
+	// maxRecords bounds the records of a node to some 2 MB; the oldest are evicted first,
+	// holdable ones last.
+	maxRecords = 4096
 )
 
-// End is an engine, by its incarnation, that ended while it had a request.
+// End is the crash of an engine while it had a request.
 type End struct {
-	Engine string
-	// Answering says that events of its answer had come, so that it may well have ended
-	// for another reason.
+	Engine string // with its incarnation
+	// Answering is set if events of the answer had arrived, so that the request may well
+	// be a bystander.
 	Answering bool
 }
 
-// Record is what is known of a request that an engine had when it ended.
+// Record lists the crashes of engines under one request.
 type Record struct {
 	Fingerprint Fingerprint
-	// Ends are in order of the engines.
+	// Ends is sorted by engine.
 	Ends []End
-	// Last is when the last of them ended, or an engine answered the request, by the
-	// time of day of the node that saw it: it has to hold on other machines and across
-	// restarts.
+	// Last is the time of the last crash or of the answer. It is wall-clock time of the node
+	// that saw it, as it must be valid on other machines and across restarts.
 	Last time.Time
-	// Sound says that an engine has answered the request whole. Ends is empty then.
-	Sound bool
+	// Served is set once an engine has answered the request completely; Ends is empty then.
+	Served bool
 }
 
-// weight is what speaks against the request.
+// weight returns the sum of the weights of the crashes.
 func (r *Record) weight() int {
 	weight := 0
-	for _, end := range r.Ends {
-		if end.Answering {
+	for _, crash := range r.Ends {
+		if crash.Answering {
 			weight += answeringWeight
 		} else {
 			weight += silentWeight
@@ -77,80 +72,80 @@
 	return weight
 }
 
-// grave says that the request is or was held back.
-func (r *Record) grave() bool { return r.weight() >= heldWeight }
+// holdable reports whether the weight suffices for a hold, which may be over by now.
+func (r *Record) holdable() bool { return r.weight() >= holdWeight }
 
-// lasting says whether a record is worth keeping beyond the lives of nodes: most of
-// those of one engine belong to requests that only stood by.
-func (r *Record) lasting() bool { return len(r.Ends) > 1 }
+// persistent reports whether the record belongs in the store. Most records with a single
+// crash are those of bystanders.
+func (r *Record) persistent() bool { return len(r.Ends) > 1 }
 
-// memory is how long the record is kept after Last.
-func (r *Record) memory() time.Duration {
-	if r.grave() {
-		return holdMemory
+// retention returns how long the record is kept after Last.
+func (r *Record) retention() time.Duration {
+	if r.holdable() {
+		return heldRetention
 	}
-	return suspectMemory
+	return suspectRetention
 }
 
-// merge adds what another record of the request knows, and says whether that is news.
+// merge adds another record of the same request and reports whether that changed r.
 func (r *Record) merge(other *Record) bool {
-	if r.Sound {
+	if r.Served {
 		return false
 	}
-	if other.Sound {
-		r.Sound, r.Ends, r.Last = true, nil, other.Last
+	if other.Served {
+		r.Served, r.Ends, r.Last = true, nil, other.Last
 		return true
 	}
-	news := false
-	for _, end := range other.Ends {
-		news = r.add(end) || news
+	changed := false
+	for _, crash := range other.Ends {
+		changed = r.add(crash) || changed
 	}
-	if news && other.Last.After(r.Last) {
+	if changed && other.Last.After(r.Last) {
 		r.Last = other.Last
 	}
-	return news
+	return changed
 }
 
-// add adds an end. Where nodes differ in whether the engine was answering, it was not.
-func (r *Record) add(end End) bool {
-	place, found := slices.BinarySearchFunc(r.Ends, end, func(x, y End) int { return cmp.Compare(x.Engine, y.Engine) })
+// add adds a crash and reports whether that changed r. If nodes disagree on whether the
+// engine was answering, it was not.
+func (r *Record) add(crash End) bool {
+	index, found := slices.BinarySearchFunc(r.Ends, crash, func(x, y End) int { return cmp.Compare(x.Engine, y.Engine) })
 	switch {
-	case found && r.Ends[place].Answering && !end.Answering:
-		r.Ends[place].Answering = false
+	case found && r.Ends[index].Answering && !crash.Answering:
+		r.Ends[index].Answering = false
 		return true
-	case found || len(r.Ends) >= endsMost:
+	case found || len(r.Ends) >= maxRecordCrashes:
 		return false
 	}
-	r.Ends = slices.Insert(r.Ends, place, end)
+	r.Ends = slices.Insert(r.Ends, index, crash)
 	return true
 }
 
-// clone returns a copy that shares nothing.
+// clone returns a deep copy.
 func (r *Record) clone() Record {
 	copied := *r
 	copied.Ends = slices.Clone(r.Ends)
 	return copied
 }
 
-// Table holds records and decides which requests are held back. It is pure, and not
+// Table holds records and decides which requests are held back. It does no I/O and is not
 // safe for concurrent use.
 type Table struct {
-	records map[Fingerprint]*Record
-	// graves counts the records of requests that are or were held back.
-	graves int
+	records  map[Fingerprint]*Record
+	holdable int // number of holdable records
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{records: map[Fingerprint]*Record{}} }
 
-// Len is the number of records.
+// Len returns the number of records.
 func (t *Table) Len() int { return len(t.records) }
 
-// Holding says whether any request may be held back.
-func (t *Table) Holding() bool { return t.graves > 0 }
+// HasHoldable reports whether any request may be held back.
+func (t *Table) HasHoldable() bool { return t.holdable > 0 }
 
-// Held counts the requests that are held back.
-func (t *Table) Held(now time.Time) int {
+// CountHeld returns the number of requests that are held back.
+func (t *Table) CountHeld(now time.Time) int {
 	count := 0
 	for f := range t.records {
 		if _, held := t.HeldUntil(f, now); held {
@@ -160,7 +155,7 @@
 	return count
 }
 
-// Get returns a record.
+// Get returns a copy of the record of a request.
 func (t *Table) Get(f Fingerprint) (Record, bool) {
 	known := t.records[f]
 	if known == nil {
@@ -169,7 +164,7 @@
 	return known.clone(), true
 }
 
-// All lists the records.
+// All returns copies of all records, in no order.
 func (t *Table) All() []Record {
 	records := make([]Record, 0, len(t.records))
 	for _, record := range t.records {
@@ -178,79 +173,79 @@
 	return records
 }
 
-// Merge takes a record and says whether it holds news.
+// Merge merges a record and reports whether that changed the table.
 func (t *Table) Merge(record Record) bool {
 	known := t.records[record.Fingerprint]
 	if known == nil {
-		if len(t.records) >= recordsMost {
-			t.makeRoom()
+		if len(t.records) >= maxRecords {
+			t.evict()
 		}
 		known = &Record{Fingerprint: record.Fingerprint}
 		t.records[record.Fingerprint] = known
 	}
-	before := known.grave()
-	news := known.merge(&record)
-	t.count(before, known.grave())
-	return news
+	before := known.holdable()
+	changed := known.merge(&record)
+	t.countHoldable(before, known.holdable())
+	return changed
 }
 
-// Drop forgets a record.
+// Drop deletes the record of a request.
 func (t *Table) Drop(f Fingerprint) {
 	if known := t.records[f]; known != nil {
-		t.count(known.grave(), false)
+		t.countHoldable(known.holdable(), false)
 		delete(t.records, f)
 	}
 }
 
-func (t *Table) count(before, after bool) {
+func (t *Table) countHoldable(before, after bool) {
 	if before {
-		t.graves--
+		t.holdable--
 	}
 	if after {
-		t.graves++
+		t.holdable++
 	}
 }
 
-// HeldUntil says until when a request gets to no engine; false if it may be sent.
+// HeldUntil returns when the hold of a request ends; false if it may be sent.
 func (t *Table) HeldUntil(f Fingerprint, now time.Time) (time.Time, bool) {
 	record := t.records[f]
-	if record == nil || !record.grave() {
+	if record == nil || !record.holdable() {
 		return time.Time{}, false
 	}
-	until := record.Last.Add(record.hold())
+	until := record.Last.Add(record.holdTime())
 	return until, now.Before(until)
 }
 
-// hold is how long a request is held back after the last end.
-func (r *Record) hold() time.Duration {
-	switch ended := len(r.Ends); {
-	case ended >= endedForGood:
-		return holdMemory
-	case r.weight() >= heldWeight+silentWeight: // not by the number of ends: of those that count half it takes more
+// holdTime returns how long the request is held back after the last crash.
+func (r *Record) holdTime() time.Duration {
+	switch crashes := len(r.Ends); {
+	case crashes >= maxCrashes:
+		return heldRetention
+	case r.weight() >= holdWeight+silentWeight: // by weight, as more crashes of half weight are needed
 		return nextHold
 	}
 	return firstHold
 }
 
-// Forget drops the records whose time is over.
+// Forget deletes expired records.
 func (t *Table) Forget(now time.Time) {
 	for f, record := range t.records {
-		if now.After(record.Last.Add(record.memory())) {
+		if now.After(record.Last.Add(record.retention())) {
 			t.Drop(f)
 		}
 	}
 }
 
-// makeRoom drops the oldest eighth of the records, those that hold nothing back first.
-func (t *Table) makeRoom() {
+// evict deletes an eighth of the records: those of low weight first, then the oldest.
+func (t *Table) evict() {
 	records := make([]*Record, 0, len(t.records))
 	for _, record := range t.records {
 		records = append(records, record)
 	}
 	slices.SortFunc(records, func(x, y *Record) int {
-		return cmp.Or(cmp.Compare(min(x.weight(), heldWeight), min(y.weight(), heldWeight)), x.Last.Compare(y.Last))
+		return cmp.Or(cmp.Compare(min(x.weight(), holdWeight), min(y.weight(), holdWeight)), x.Last.Compare(y.Last))
 	})
-	for _, record := range records[:recordsMost/8] {
+	for _, record := range records[:maxRecords/8] {
 		t.Drop(record.Fingerprint)
 	}
 }
