--- a/internal/slowstart/asker.go
+++ b/internal/slowstart/asker.go
@@ -7,152 +7,150 @@
 )
 
 const (
-	// asksAtOnce bounds the asks of a node for one engine that are under way: their answers
-	// come within a millisecond or two.
-	asksAtOnce = 4
-	// busyPause is how long an engine counts as full with so many under way, or as another
-	// granting node is to be asked: about as long as an ask and its answer take.
+	// maxPendingAsks bounds a node's unanswered asks for one engine.
+	maxPendingAsks = 4
+	// busyPause is how long an engine is not asked for if maxPendingAsks are pending or the
+	// next ask goes to another granter: about one round trip.
 	busyPause = 2 * time.Millisecond
-	// silentMost is how many unanswered asks in a row set a granting node aside, as
-	// datagrams may be lost, and asideTime how long. Then one more is enough: a node that
-	// is lost costs an ask of 15 ms each time, and one that is back is found soon.
-	silentMost = 3
-	asideTime  = 500 * time.Millisecond
-	// silentPause is how long a granting node is passed over after a single unanswered ask.
-	// It outlasts the three picks of a request at up to 15 ms each, nearly: a request
-	// waits for a lost node once and not three times. An estimate.
-	silentPause = 40 * time.Millisecond
+	// maxUnanswered is how many consecutive unanswered asks cause a granter to be skipped for
+	// longSkip, as single datagrams may be lost. After that one more is enough, since each
+	// ask to an unreachable granter delays a request until it times out.
+	maxUnanswered = 3
+	longSkip      = 500 * time.Millisecond
+	// shortSkip is how long a granter is skipped after a single unanswered ask, so that a
+	// request that tries several engines waits for an unreachable granter only once.
+	shortSkip = 40 * time.Millisecond
 )
 
-// Asker keeps a front node's asks. It is not safe for concurrent use.
+// Asker tracks a front node's pending asks. It is not safe for concurrent use.
 type Asker struct {
-	number  uint64
-	pending map[uint64]ask
-	engines map[string]int // asks under way
-	silent  map[transport.Address]int
-	aside   map[place]time.Time // until when
+	number          uint64
+	pending         map[uint64]pendingAsk
+	pendingByEngine map[string]int            // number of pending asks
+	unanswered      map[transport.Address]int // consecutive unanswered asks
+	skipUntil       map[skipScope]time.Time
 }
 
-// place is a granting node, or only what it grants for one engine.
-type place struct {
+// skipScope is what is skipped: a granter for all engines or for one.
+type skipScope struct {
 	granter transport.Address
 	engine  string // empty: all engines
 }
 
-type ask struct {
+type pendingAsk struct {
 	engine string
 	to     transport.Address
 	at     time.Time
 }
 
-// Permission is what came of an ask.
+// Permission is the outcome of an ask.
 type Permission struct {
-	// Until is when a given permit ends; zero if none was given.
+	// Until is when the granted permit expires; zero if none was granted.
 	Until time.Time
-	// After is how long the engine is not to be asked for.
+	// After is how long to wait before the next ask for the engine.
 	After time.Duration
-	// Warm says that the engine needs no permits.
+	// Warm is set if the engine needs no permits.
 	Warm bool
 }
 
-// NewAsker returns an asker; its numbers go on from one drawn at random, so that answers
-// to the node's former life are none to this one.
+// NewAsker returns an asker that numbers its asks from number on. The caller draws number at
+// random, so that answers to asks sent before a restart match none of the new ones.
 func NewAsker(number uint64) *Asker {
 	return &Asker{
-		number: number, pending: map[uint64]ask{}, engines: map[string]int{},
-		silent: map[transport.Address]int{}, aside: map[place]time.Time{},
+		number: number, pending: map[uint64]pendingAsk{}, pendingByEngine: map[string]int{},
+		unanswered: map[transport.Address]int{}, skipUntil: map[skipScope]time.Time{},
 	}
 }
 
-// Ask begins an ask for an engine at one of its granting nodes. It is ended by Take or
-// GiveUp. If nobody is to be asked now, to is empty and after tells for how long.
+// Ask starts an ask for an engine at the first of its granters that is not skipped. Take,
+// GiveUp or Drop ends it. If no granter may be asked now, to is empty and after is the time
+// until one may be.
 func (a *Asker) Ask(engine string, granters []transport.Address, now time.Time) (number uint64, to transport.Address, after time.Duration) {
-	if a.engines[engine] >= asksAtOnce {
+	if a.pendingByEngine[engine] >= maxPendingAsks {
 		return 0, "", busyPause
 	}
-	after = asideTime
+	after = longSkip
 	for _, granter := range granters {
-		if left := a.asideFor(granter, engine, now); left > 0 {
+		if left := a.skipTime(granter, engine, now); left > 0 {
 			after = min(after, left)
 			continue
 		}
 		a.number++
-		a.pending[a.number] = ask{engine, granter, now}
-		a.engines[engine]++
+		a.pending[a.number] = pendingAsk{engine, granter, now}
+		a.pendingByEngine[engine]++
 		return a.number, granter, 0
 	}
 	return 0, "", after
 }
 
-// Take takes an answer; false if its ask was ended before.
+// Take ends an ask with its answer; false if it is not pending.
 func (a *Asker) Take(answer Answer, now time.Time) (Permission, bool) {
-	asked, known := a.end(answer.Number)
+	asked, known := a.finish(answer.Number)
 	if !known {
 		return Permission{}, false
 	}
-	delete(a.silent, asked.to)
+	delete(a.unanswered, asked.to)
 	switch answer.Verdict {
 	case Granted:
-		return Permission{Until: asked.at.Add(Life)}, true
+		return Permission{Until: asked.at.Add(PermitTTL)}, true
 	case Warm:
-		return Permission{Until: asked.at.Add(Life), Warm: true}, true
+		return Permission{Until: asked.at.Add(PermitTTL), Warm: true}, true
 	case Closed:
-		a.setAside(place{granter: asked.to}, min(answer.After, window), now)
+		a.skip(skipScope{granter: asked.to}, min(answer.After, window), now)
 		return Permission{After: busyPause}, true
 	case Unknown:
-		a.setAside(place{asked.to, asked.engine}, min(answer.After, window), now)
+		a.skip(skipScope{asked.to, asked.engine}, min(answer.After, window), now)
 		return Permission{After: busyPause}, true
 	}
-	return Permission{After: min(answer.After, afterMost)}, true
+	return Permission{After: min(answer.After, maxRetryAfter)}, true
 }
 
-// GiveUp ends an ask without an answer in time. aside says that its granting node is set
-// aside for long from now on.
-func (a *Asker) GiveUp(number uint64, now time.Time) (permission Permission, aside bool) {
-	asked, known := a.end(number)
+// GiveUp ends an ask that was not answered in time. skipped reports whether its granter is
+// skipped for longSkip from now on.
+func (a *Asker) GiveUp(number uint64, now time.Time) (permission Permission, skipped bool) {
+	asked, known := a.finish(number)
 	if !known {
-		return Permission{After: silentPause}, false
+		return Permission{After: shortSkip}, false
 	}
-	a.silent[asked.to]++
-	if a.silent[asked.to] < silentMost {
-		a.setAside(place{granter: asked.to}, silentPause, now)
+	a.unanswered[asked.to]++
+	if a.unanswered[asked.to] < maxUnanswered {
+		a.skip(skipScope{granter: asked.to}, shortSkip, now)
 		return Permission{After: busyPause}, false
 	}
-	a.silent[asked.to] = silentMost - 1
-	a.setAside(place{granter: asked.to}, asideTime, now)
+	a.unanswered[asked.to] = maxUnanswered - 1
+	a.skip(skipScope{granter: asked.to}, longSkip, now)
 	return Permission{After: busyPause}, true
 }
 
-// Drop ends an ask whose answer nobody awaits any more; that tells nothing of its
-// granting node.
-func (a *Asker) Drop(number uint64) { a.end(number) }
+// Drop ends an ask whose request was cancelled, which does not count against the granter.
+func (a *Asker) Drop(number uint64) { a.finish(number) }
 
-func (a *Asker) end(number uint64) (ask, bool) {
+func (a *Asker) finish(number uint64) (pendingAsk, bool) {
 	asked, known := a.pending[number]
 	if !known {
-		return ask{}, false
+		return pendingAsk{}, false
 	}
 	delete(a.pending, number)
-	if a.engines[asked.engine]--; a.engines[asked.engine] == 0 {
-		delete(a.engines, asked.engine)
+	if a.pendingByEngine[asked.engine]--; a.pendingByEngine[asked.engine] == 0 {
+		delete(a.pendingByEngine, asked.engine)
 	}
 	return asked, true
 }
 
-// asideFor is how long a granting node is still not to be asked for an engine.
-func (a *Asker) asideFor(granter transport.Address, engine string, now time.Time) time.Duration {
-	whole := a.aside[place{granter: granter}].Sub(now)
-	return max(0, whole, a.aside[place{granter, engine}].Sub(now))
+// skipTime returns how long a granter is still skipped for an engine.
+func (a *Asker) skipTime(granter transport.Address, engine string, now time.Time) time.Duration {
+	forAll := a.skipUntil[skipScope{granter: granter}].Sub(now)
+	return max(0, forAll, a.skipUntil[skipScope{granter, engine}].Sub(now))
 }
 
-// setAside never shortens what is told before.
-func (a *Asker) setAside(where place, pause time.Duration, now time.Time) {
-	if until := now.Add(pause); until.After(a.aside[where]) {
-		a.aside[where] = until
+// skip skips a granter for a time; it never shortens an earlier skip.
+func (a *Asker) skip(scope skipScope, pause time.Duration, now time.Time) {
+	if until := now.Add(pause); until.After(a.skipUntil[scope]) {
+		a.skipUntil[scope] = until
 	}
-	for other, until := range a.aside {
+	for other, until := range a.skipUntil {
 		if now.After(until) {
-			delete(a.aside, other)
+			delete(a.skipUntil, other)
 		}
 	}
 }
--- a/internal/slowstart/granter.go
+++ b/internal/slowstart/granter.go
@@ -6,142 +6,143 @@
 )
 
 const (
-	// Span is the time within which the bound on a cold engine's requests holds.
+	// Span is the length of the interval over which the requests to a cold engine are bounded.
 	Span = time.Second
-	// Life is how long a permit is valid after it was asked for: a request is sent within
-	// a millisecond or two of its permit, and some 10 ms where a connection is opened.
-	Life = 100 * time.Millisecond
-	// window is the time within which a granting node keeps to its allowance.
-	window = Span + Life
-	// parts is how many parts of a window get an equal part of its allowance. Given as
-	// asked for, all engines that turned cold together got their 8 requests at once, and
-	// those that came within the next second had to wait.
-	parts = 4
-	// afterLeast and afterMost bound the time after which a denied node asks again: the
-	// first bounds its asks, and what is promised for later is often not asked for.
-	afterLeast = 10 * time.Millisecond
-	afterMost  = Span / 2
+	// PermitTTL is how long a permit is valid after it was asked for. It allows for opening a
+	// connection before the request is sent.
+	PermitTTL = 100 * time.Millisecond
+	// window is the length of the interval over which a granter keeps to its allowance.
+	window = Span + PermitTTL
+	// subwindows is the number of equal parts of a window among which the allowance is
+	// divided, so that an initial burst does not use it up for the rest of the window.
+	subwindows = 4
+	// minRetryAfter and maxRetryAfter bound the time after which a denied node asks again:
+	// the first limits the rate of asks, the second avoids reserving permits far ahead that
+	// are often not asked for.
+	minRetryAfter = 10 * time.Millisecond
+	maxRetryAfter = Span / 2
 )
 
-// Bound says how much more than its rate an engine may get within Span, from all nodes.
+// Bound defines how far the requests of all nodes within Span may exceed an engine's rate.
 type Bound struct {
-	Overage float64 // a factor
+	Overage float64 // factor
 	Slack   float64 // requests
 }
 
-// Of is what an engine that sustains a rate may get within Span.
-func (b Bound) Of(rate float64) float64 { return rate*b.Overage + b.Slack }
+// Limit returns how many requests an engine that sustains a rate may get within Span.
+func (b Bound) Limit(rate float64) float64 { return rate*b.Overage + b.Slack }
 
-// Allowance is how many permits one granting node gives within its window for an engine
-// that sustains a rate: half of the bound, as two may grant, and no more than the rate. One
-// below 1 a second is given one where the bound leaves room for that.
+// Allowance returns how many permits one granter may grant within its window for an engine
+// that sustains a rate: half of the limit, as two may grant, and at most the rate. It is at
+// least one if half of the limit is, even for rates below one request a second.
 func (b Bound) Allowance(rate float64) int {
-	half := b.Of(rate) / grantersMost
+	half := b.Limit(rate) / maxGranters
 	if rate <= 0 || half < 1 {
 		return 0
 	}
 	return max(1, int(min(rate, half)))
 }
 
-// Granter grants permits. It is not safe for concurrent use.
+// Granter grants permits for engines. It is not safe for concurrent use.
 type Granter struct {
-	view       []string // of data nodes
-	quietUntil time.Time
-	engines    map[string]*book
-	sweepAt    time.Time
+	dataNodes   []string // names
+	closedUntil time.Time
+	permits     map[string]*enginePermits
+	nextSweep   time.Time
 }
 
-// book is what was granted for an engine lately, in order of time, and when denied nodes were
-// told to ask again.
-type book struct {
+// enginePermits holds the times of an engine's recent permits, in order, and the future times
+// at which denied nodes were told to ask again.
+type enginePermits struct {
 	granted  []time.Time
-	promised []time.Time
+	reserved []time.Time
 }
 
-// NewGranter returns the granter of a node that starts: what it granted before it
-// doesn't know.
+// NewGranter returns a granter that is closed for a window, as it does not know what the node
+// granted before a restart.
 func NewGranter(now time.Time) *Granter {
-	return &Granter{quietUntil: now.Add(window), engines: map[string]*book{}}
+	return &Granter{closedUntil: now.Add(window), permits: map[string]*enginePermits{}}
 }
 
-// See takes the names of the data nodes. Where one is gone, it may have granted until now
-// what this node grants next. One that came leaves this node less to grant, not more.
-func (g *Granter) See(view []string, now time.Time) {
-	gone := func(name string) bool { return !slices.Contains(view, name) }
-	if slices.ContainsFunc(g.view, gone) {
-		g.quietUntil = now.Add(window)
+// See updates the names of the data nodes. If one has left, the granter closes for a window, as
+// the other may have granted until now for engines that this node takes over. A node that
+// joins takes engines over from this one, so that the granter stays open.
+func (g *Granter) See(dataNodes []string, now time.Time) {
+	gone := func(name string) bool { return !slices.Contains(dataNodes, name) }
+	if slices.ContainsFunc(g.dataNodes, gone) {
+		g.closedUntil = now.Add(window)
 	}
-	if len(view) != len(g.view) || slices.ContainsFunc(g.view, gone) {
-		g.view = slices.Clone(view)
+	if len(dataNodes) != len(g.dataNodes) || slices.ContainsFunc(g.dataNodes, gone) {
+		g.dataNodes = slices.Clone(dataNodes)
 	}
 }
 
-// Grant answers an ask for an engine of which so many permits may be given in a window.
+// Grant grants at most allowance permits in a window; beyond that it returns how long to wait.
 func (g *Granter) Grant(engine string, allowance int, now time.Time) (Verdict, time.Duration) {
-	if now.Before(g.quietUntil) {
-		return Closed, g.quietUntil.Sub(now)
+	if now.Before(g.closedUntil) {
+		return Closed, g.closedUntil.Sub(now)
 	}
 	g.sweep(now)
-	b := g.engines[engine]
-	if b == nil {
-		b = &book{}
-		g.engines[engine] = b
+	p := g.permits[engine]
+	if p == nil {
+		p = &enginePermits{}
+		g.permits[engine] = p
 	}
-	b.expire(now)
-	if !free(b.granted, allowance, now).After(now) {
-		b.granted = append(b.granted, now)
+	p.expire(now)
+	if !nextFree(p.granted, allowance, now).After(now) {
+		p.granted = append(p.granted, now)
 		return Granted, 0
 	}
-	return Denied, b.promise(allowance, now)
+	return Denied, p.reserve(allowance, now)
 }
 
-// sweep forgets engines that got nothing lately.
+// sweep deletes engines without recent permits and reservations.
 func (g *Granter) sweep(now time.Time) {
-	if now.Before(g.sweepAt) {
+	if now.Before(g.nextSweep) {
 		return
 	}
-	g.sweepAt = now.Add(window)
-	for id, b := range g.engines {
-		b.expire(now)
-		if len(b.granted) == 0 && len(b.promised) == 0 {
-			delete(g.engines, id)
+	g.nextSweep = now.Add(window)
+	for id, p := range g.permits {
+		p.expire(now)
+		if len(p.granted) == 0 && len(p.reserved) == 0 {
+			delete(g.permits, id)
 		}
 	}
 }
 
-// expire drops grants that are out of the window, and promises whose time came.
-func (b *book) expire(now time.Time) {
-	b.granted = slices.DeleteFunc(b.granted, func(at time.Time) bool { return now.Sub(at) > window })
-	b.promised = slices.DeleteFunc(b.promised, func(at time.Time) bool { return !now.Before(at) })
+// expire deletes permits that have left the window and reservations whose time has come.
+func (p *enginePermits) expire(now time.Time) {
+	p.granted = slices.DeleteFunc(p.granted, func(at time.Time) bool { return now.Sub(at) > window })
+	p.reserved = slices.DeleteFunc(p.reserved, func(at time.Time) bool { return !now.Before(at) })
 }
 
-// promise is how long until a permit comes free for which nobody was told to ask yet.
-func (b *book) promise(allowance int, now time.Time) time.Duration {
-	taken := append(slices.Clone(b.granted), b.promised...)
-	slices.SortFunc(taken, time.Time.Compare)
-	after := max(free(taken, allowance, now).Sub(now), afterLeast)
-	if after > afterMost {
-		return afterMost
+// reserve reserves the next permit, if free within maxRetryAfter, and returns how long to wait.
+func (p *enginePermits) reserve(allowance int, now time.Time) time.Duration {
+	used := append(slices.Clone(p.granted), p.reserved...)
+	slices.SortFunc(used, time.Time.Compare)
+	after := max(nextFree(used, allowance, now).Sub(now), minRetryAfter)
+	if after > maxRetryAfter {
+		return maxRetryAfter
 	}
-	b.promised = append(b.promised, now.Add(after))
+	p.reserved = append(p.reserved, now.Add(after))
 	return after
 }
 
-// free is when one more permit may be granted after those of the given times, which are in
-// order: no more than the allowance in a window, and evenly in its parts.
-func free(taken []time.Time, allowance int, now time.Time) time.Time {
+// nextFree returns when one more permit may be granted after those at the given times, which
+// are in order: at most the allowance in a window, and at most its share in a subwindow.
+func nextFree(used []time.Time, allowance int, now time.Time) time.Time {
 	at := now
 	for _, bound := range []struct {
-		most int
-		span time.Duration
-	}{{allowance, window}, {(allowance + parts - 1) / parts, window / parts}} {
-		if bound.most <= 0 {
-			return now.Add(2 * afterMost)
+		limit int
+		span  time.Duration
+	}{{allowance, window}, {(allowance + subwindows - 1) / subwindows, window / subwindows}} {
+		if bound.limit <= 0 {
+			return now.Add(2 * maxRetryAfter)
 		}
-		if len(taken) < bound.most {
+		if len(used) < bound.limit {
 			continue
 		}
-		if next := taken[len(taken)-bound.most].Add(bound.span + time.Millisecond); next.After(at) {
+		if next := used[len(used)-bound.limit].Add(bound.span + time.Millisecond); next.After(at) {
 			at = next
 		}
 	}
--- a/internal/slowstart/granters.go
+++ b/internal/slowstart/granters.go
@@ -9,39 +9,39 @@
 	"chutelock.dev/chutelock/internal/mirror"
 )
 
-// grantersMost is how many data nodes grant permits for an engine: one, and another that
-// is asked when the first is lost. Each gives half of what is allowed.
-const grantersMost = 2
+// maxGranters is how many data nodes grant permits for an engine: a first one, and a second
+// that is asked when the first fails. Each may grant half of the limit.
+const maxGranters = 2
 
-// Granters lists the data nodes that grant permits for an engine, the first to ask
-// first: those of its zone and then of its region come before others. The second is of
-// another zone than the first where there is one: nodes of a zone that lost its power and
-// comes back cold have all just started, and grant nothing for a window.
+// Granters returns the data nodes that grant permits for an engine, in the order in which they
+// are asked. Nodes in its zone are preferred, then those in its region. The second node is in
+// another zone than the first if possible: after a zone restarts, all of its nodes are closed
+// for a window.
 func Granters(nodes []mirror.Node, engine catalog.Engine) []mirror.Node {
-	all := make([]ranked, 0, len(nodes))
+	candidates := make([]candidate, 0, len(nodes))
 	for _, node := range nodes {
-		all = append(all, ranked{node, distance(node, engine), membership.RendezvousScore(catalog.Instance(engine.ID), node.Name)})
+		candidates = append(candidates, candidate{node, distance(node, engine), membership.RendezvousScore(catalog.Instance(engine.ID), node.Name)})
 	}
-	slices.SortFunc(all, ranked.compare)
-	if len(all) == 0 {
+	slices.SortFunc(candidates, candidate.compare)
+	if len(candidates) == 0 {
 		return nil
 	}
-	first, rest := all[0], all[1:]
+	first, rest := candidates[0], candidates[1:]
 	if len(rest) == 0 {
 		return []mirror.Node{first.node}
 	}
-	elsewhere := func(r ranked) bool { return r.node.Zone != first.node.Zone }
+	elsewhere := func(r candidate) bool { return r.node.Zone != first.node.Zone }
 	second := max(0, slices.IndexFunc(rest, elsewhere))
 	return []mirror.Node{first.node, rest[second].node}
 }
 
-type ranked struct {
+type candidate struct {
 	node     mirror.Node
 	distance int
 	score    uint64
 }
 
-func (r ranked) compare(other ranked) int {
+func (r candidate) compare(other candidate) int {
 	return cmp.Or(
 		cmp.Compare(r.distance, other.distance), cmp.Compare(other.score, r.score), cmp.Compare(r.node.Name, other.node.Name),
 	)
--- a/internal/slowstart/message.go
+++ b/internal/slowstart/message.go
@@ -11,39 +11,39 @@
 
 // Verdicts.
 const (
-	// Denied: the allowance is used up.
+	// Denied means that the allowance is used up.
 	Denied Verdict = iota
-	// Granted: one request may be sent.
+	// Granted means that one request may be sent.
 	Granted
-	// Warm: the engine needs no permits.
+	// Warm means that the engine needs no permits.
 	Warm
-	// Closed: the node grants nothing for any engine now.
+	// Closed means that the node grants no permits for any engine now.
 	Closed
-	// Unknown: the node grants nothing for this engine, as it doesn't know it, or by its
-	// list of data nodes others grant.
+	// Unknown means that the node does not know the engine, or is not one of its granters by
+	// its own list of data nodes.
 	Unknown
 )
 
 const messageVersion = 1
 
-// Ask asks for a permit.
+// Ask is a front node's message that asks for a permit.
 type Ask struct {
 	Number uint64
 	Engine string
-	// Revision is that of the engine's entry at the asking node.
+	// Revision is the revision of the engine's catalog entry at the front node.
 	Revision uint64
-	// Factor is how many times its cold pace the engine may get, as the asking node knows.
+	// Factor is the multiple of its cold rate that the engine may get, by the front node's state.
 	Factor uint8
-	// MaybePast says that the asking node doesn't know for how long the entry is there.
+	// MaybePast is set if the front node does not know how old the entry is.
 	MaybePast bool
 }
 
-// Answer answers an Ask.
+// Answer is a data node's answer to an Ask.
 type Answer struct {
 	Number  uint64
 	Verdict Verdict
-	// After is how long to ask for the engine not again if it was denied, this node not for
-	// the engine if that is unknown there, or this node for nothing if it is closed.
+	// After is the time before the next ask: for the engine if Denied, to this node for the
+	// engine if Unknown, to this node for any engine if Closed.
 	After time.Duration
 }
 
@@ -64,7 +64,7 @@
 	return marshal(fixedAsk{a.Number, a.Revision, a.Factor, a.MaybePast}, []byte(a.Engine))
 }
 
-// UnmarshalAsk decodes what Ask.Marshal encoded.
+// UnmarshalAsk is the inverse of Ask.Marshal.
 func UnmarshalAsk(encoded []byte) (Ask, error) {
 	var fixed fixedAsk
 	fields, err := wire.Unmarshal(encoded, messageVersion, &fixed, 1)
@@ -79,14 +79,13 @@
 
 // Marshal encodes the answer.
 func (a Answer) Marshal() []byte {
-	return marshal(fixedAnswer{a.Number, uint8(a.Verdict), uint16(min(a.After, afterLimit) / time.Millisecond)})
+	return marshal(fixedAnswer{a.Number, uint8(a.Verdict), uint16(min(a.After, maxEncodedAfter) / time.Millisecond)})
 }
 
-// afterLimit is the longest time that an answer can tell: it fits the 16 bits of
-// milliseconds (65.5 s), and is far beyond any pause that is told (1.1 s).
-const afterLimit = 60 * time.Second
+// maxEncodedAfter bounds After in a message, so that its milliseconds fit into 16 bits.
+const maxEncodedAfter = 60 * time.Second
 
-// UnmarshalAnswer decodes what Answer.Marshal encoded.
+// UnmarshalAnswer is the inverse of Answer.Marshal.
 func UnmarshalAnswer(encoded []byte) (Answer, error) {
 	var fixed fixedAnswer
 	if _, err := wire.Unmarshal(encoded, messageVersion, &fixed, 0); err != nil {
@@ -101,7 +100,7 @@
 func marshal(fixed any, fields ...[]byte) []byte {
 	encoded, err := wire.Marshal(messageVersion, fixed, fields...)
 	if err != nil {
-		panic(err) // a struct of this file is not of fixed size
+		panic(err) // unreachable: all fixed parts have a fixed size
 	}
 	return encoded
 }
--- a/internal/slowstart/slowstart_test.go
+++ b/internal/slowstart/slowstart_test.go
@@ -16,7 +16,7 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// TestMain sets the seed and size of fuzzing; CHUTELOCK_CAMPAIGN fuzzes at length.
+// TestMain fixes the seed and size of rapid's runs; CHUTELOCK_CAMPAIGN runs longer with random seeds.
 func TestMain(m *testing.M) {
 	settings := map[string]string{"rapid.seed": "20261202", "rapid.checks": "3000", "rapid.steps": "100", "rapid.nofailfile": "true"}
 	if os.Getenv("CHUTELOCK_CAMPAIGN") != "" {
@@ -37,16 +37,16 @@
 
 const coldRate = 8.4
 
-func TestAnAllowanceIsHalfOfTheBoundAndAtMostTheRate(t *testing.T) {
+func TestAllowanceIsHalfTheLimitAndAtMostTheRate(t *testing.T) {
 	g := gomega.NewWithT(t)
 	g.Expect(bound.Allowance(8.4)).To(gomega.Equal(8))
 	g.Expect(bound.Allowance(100)).To(gomega.Equal(77))
 	g.Expect(bound.Allowance(0.5)).To(gomega.Equal(1))
 	g.Expect(bound.Allowance(0)).To(gomega.Equal(0))
-	g.Expect(Bound{Overage: 1}.Allowance(1)).To(gomega.Equal(0), "two could give two, where one is allowed")
+	g.Expect(Bound{Overage: 1}.Allowance(1)).To(gomega.Equal(0), "two granters would grant two permits where the limit is one")
 }
 
-func TestTwoNodesGrantThoseOfTheEnginesZoneFirst(t *testing.T) {
+func TestGrantersPrefersEngineZone(t *testing.T) {
 	g := gomega.NewWithT(t)
 	nodes := []mirror.Node{
 		{Name: "a", Zone: "x", Region: "r"}, {Name: "b", Zone: "y", Region: "r"}, {Name: "c", Zone: "z", Region: "q"}, {Name: "d", Zone: "x", Region: "r"},
@@ -64,8 +64,8 @@
 	g.Expect(firsts).To(gomega.Equal(map[string]bool{"a": true, "d": true}))
 }
 
-// A zone that lost its power comes back with granting nodes that have all just started.
-func TestTheTwoThatGrantAreOfTwoZonesWhereThereAreTwo(t *testing.T) {
+// Guards against two closed granters after all nodes of a zone restart.
+func TestGrantersSpansTwoZones(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var nodes []mirror.Node
 	for i := range 12 {
@@ -75,16 +75,16 @@
 		granters := Granters(nodes, catalog.Engine{ID: fmt.Sprint(i), Zone: "z1", Region: "r1"})
 		g.Expect(granters).To(gomega.HaveLen(2))
 		g.Expect(granters[0].Zone).To(gomega.Equal("z1"))
-		g.Expect(granters[1].Zone).To(gomega.Equal("z3"), "the other zone of the region")
+		g.Expect(granters[1].Zone).To(gomega.Equal("z3"), "the second granter is in the other zone of the region")
 	}
-	one := []mirror.Node{{Name: "a", Zone: "z1"}, {Name: "b", Zone: "z1"}, {Name: "c", Zone: "z1"}}
-	g.Expect(Granters(one, catalog.Engine{ID: "e", Zone: "z1"})).To(gomega.HaveLen(2), "there is only one zone")
-	g.Expect(Granters(one[:1], catalog.Engine{ID: "e"})).To(gomega.HaveLen(1))
+	oneZone := []mirror.Node{{Name: "a", Zone: "z1"}, {Name: "b", Zone: "z1"}, {Name: "c", Zone: "z1"}}
+	g.Expect(Granters(oneZone, catalog.Engine{ID: "e", Zone: "z1"})).To(gomega.HaveLen(2), "the second granter is in the only zone")
+	g.Expect(Granters(oneZone[:1], catalog.Engine{ID: "e"})).To(gomega.HaveLen(1))
 	g.Expect(Granters(nil, catalog.Engine{ID: "e"})).To(gomega.BeEmpty())
 }
 
-// Those denied come back one after the other, each when a permit comes free.
-func TestADenialTellsWhenAPermitComesFree(t *testing.T) {
+// Guards against denied nodes that ask again all at once or before a permit is available.
+func TestGranterDenialReturnsRetryTime(t *testing.T) {
 	g := gomega.NewWithT(t)
 	granter := NewGranter(start.Add(-window))
 	grant := func(engine string, at time.Duration) (Verdict, time.Duration) {
@@ -105,8 +105,8 @@
 	g.Expect(verdict).To(gomega.Equal(Granted))
 }
 
-// A pace that falls back, as an engine turned cold again, counts what was granted before.
-func TestALowerAllowanceCountsWhatWasGranted(t *testing.T) {
+// Guards against exceeding a lower allowance, as after an engine turned cold again.
+func TestGranterCountsEarlierPermitsAfterAllowanceDrops(t *testing.T) {
 	g := gomega.NewWithT(t)
 	granter := NewGranter(start.Add(-window))
 	now := start
@@ -120,7 +120,7 @@
 	g.Expect(after).To(gomega.BeNumerically("~", 193*time.Millisecond, time.Millisecond))
 }
 
-func TestANodeThatStartsOrLosesAnotherGrantsNothingForAWindow(t *testing.T) {
+func TestGranterIsClosedAfterStartAndNodeLoss(t *testing.T) {
 	g := gomega.NewWithT(t)
 	granter := NewGranter(start)
 	granter.See([]string{"a"}, start)
@@ -136,46 +136,45 @@
 	g.Expect(verdict).To(gomega.Equal(Closed))
 }
 
-func TestWhoIsSilentOrClosedIsPassedOver(t *testing.T) {
+func TestAskerSkipsUnansweringAndClosedGranters(t *testing.T) {
 	g := gomega.NewWithT(t)
 	asker := NewAsker(7)
 	granters := []transport.Address{"first", "second"}
 	now := start
-	for i := range silentMost {
+	for i := range maxUnanswered {
 		number, to, _ := asker.Ask("e", granters, now)
 		g.Expect(to).To(gomega.BeEquivalentTo("first"))
 		permission, aside := asker.GiveUp(number, now)
-		g.Expect(aside).To(gomega.Equal(i == silentMost-1))
-		g.Expect(permission).To(gomega.Equal(Permission{After: busyPause}), "the next look asks the second")
+		g.Expect(aside).To(gomega.Equal(i == maxUnanswered-1))
+		g.Expect(permission).To(gomega.Equal(Permission{After: busyPause}), "the next ask goes to the second granter")
 		number, to, _ = asker.Ask("other", granters, now)
-		g.Expect(to).To(gomega.BeEquivalentTo("second"), "the next ask of a request doesn't wait for the first, too")
+		g.Expect(to).To(gomega.BeEquivalentTo("second"), "an ask for another engine does not wait for the first granter, too")
 		asker.Drop(number)
 		if !aside {
-			now = now.Add(silentPause)
+			now = now.Add(shortSkip)
 		}
 	}
-	now = now.Add(asideTime - time.Millisecond)
+	now = now.Add(longSkip - time.Millisecond)
 	number, to, _ := asker.Ask("e", granters, now)
 	g.Expect(to).To(gomega.BeEquivalentTo("second"))
-	now = now.Add(time.Millisecond - asideTime)
+	now = now.Add(time.Millisecond - longSkip)
 	permission, known := asker.Take(Answer{Number: number, Verdict: Closed, After: 300 * time.Millisecond}, now)
 	g.Expect(known).To(gomega.BeTrue())
 	g.Expect(permission.Until.IsZero()).To(gomega.BeTrue())
 	_, to, after := asker.Ask("e", granters, now)
 	g.Expect(to).To(gomega.BeEmpty())
 	g.Expect(after).To(gomega.Equal(300 * time.Millisecond))
-	now = now.Add(asideTime)
+	now = now.Add(longSkip)
 	number, to, _ = asker.Ask("e", granters, now)
 	g.Expect(to).To(gomega.BeEquivalentTo("first"))
 	_, aside := asker.GiveUp(number, now)
-	g.Expect(aside).To(gomega.BeTrue(), "one more unanswered ask is enough")
+	g.Expect(aside).To(gomega.BeTrue(), "one more unanswered ask is enough for a long skip")
 	_, to, _ = asker.Ask("e", granters, now)
 	g.Expect(to).To(gomega.BeEquivalentTo("second"))
 }
 
-// What a granting node doesn't know, or leaves to others, says nothing of what it grants
-// for other engines.
-func TestANodeThatDoesNotKnowAnEngineIsPassedOverForThatOnly(t *testing.T) {
+// Guards against skipping a granter for all engines because it does not know one of them.
+func TestAskerSkipsGranterForUnknownEngineOnly(t *testing.T) {
 	g := gomega.NewWithT(t)
 	asker := NewAsker(7)
 	granters := []transport.Address{"first", "second"}
@@ -194,18 +193,18 @@
 	_, to, _ = asker.Ask("new", granters, start.Add(100*time.Millisecond))
 	g.Expect(to).To(gomega.BeEquivalentTo("first"))
 	_, to, _ = asker.Ask("new", granters[1:], start.Add(window))
-	g.Expect(to).To(gomega.BeEquivalentTo("second"), "no pause is longer than a window")
+	g.Expect(to).To(gomega.BeEquivalentTo("second"), "no skip is longer than a window")
 }
 
-// Whoever is closed is asked again after a window, whatever it told.
-func TestNoNodeIsClosedForLongerThanAWindow(t *testing.T) {
+// Guards against a closed granter that demands an excessive wait.
+func TestAskerSkipsClosedGranterAtMostOneWindow(t *testing.T) {
 	g := gomega.NewWithT(t)
 	asker := NewAsker(7)
 	only := []transport.Address{"only"}
 	number, _, _ := asker.Ask("e", only, start)
-	lost, _, _ := asker.Ask("e", only, start)
+	unanswered, _, _ := asker.Ask("e", only, start)
 	asker.Take(Answer{Number: number, Verdict: Closed, After: time.Minute}, start)
-	asker.GiveUp(lost, start) // which tells of a shorter pause
+	asker.GiveUp(unanswered, start) // must not shorten the skip
 	_, to, after := asker.Ask("e", only, start.Add(window-time.Millisecond))
 	g.Expect(to).To(gomega.BeEmpty())
 	g.Expect(after).To(gomega.Equal(time.Millisecond))
@@ -213,12 +212,12 @@
 	g.Expect(to).To(gomega.BeEquivalentTo("only"))
 }
 
-// Who left tells nothing of the granting node, however often.
-func TestADroppedAskDoesNotCountAgainstItsNode(t *testing.T) {
+// Guards against skipping a granter because requests were cancelled.
+func TestAskerDoesNotCountDroppedAsks(t *testing.T) {
 	g := gomega.NewWithT(t)
 	asker := NewAsker(7)
 	only := []transport.Address{"only"}
-	for range 2*silentMost + asksAtOnce {
+	for range 2*maxUnanswered + maxPendingAsks {
 		number, to, _ := asker.Ask("e", only, start)
 		g.Expect(to).To(gomega.BeEquivalentTo("only"))
 		asker.Drop(number)
@@ -227,11 +226,11 @@
 	}
 }
 
-func TestAsksUnderWayAreBounded(t *testing.T) {
+func TestAskerBoundsPendingAsks(t *testing.T) {
 	g := gomega.NewWithT(t)
 	asker := NewAsker(7)
 	var last uint64
-	for range asksAtOnce {
+	for range maxPendingAsks {
 		last, _, _ = asker.Ask("e", []transport.Address{"first"}, start)
 	}
 	_, to, after := asker.Ask("e", []transport.Address{"first"}, start)
@@ -244,7 +243,7 @@
 	g.Expect(to).NotTo(gomega.BeEmpty())
 }
 
-func TestMessagesAreReadAsWritten(t *testing.T) {
+func TestMarshalRoundTrip(t *testing.T) {
 	g := gomega.NewWithT(t)
 	ask := Ask{Number: 1 << 60, Engine: "engine", Revision: 77, Factor: 4, MaybePast: true}
 	read, err := UnmarshalAsk(ask.Marshal())
@@ -262,27 +261,27 @@
 	g.Expect(err).To(gomega.HaveOccurred())
 }
 
-// world is some front nodes and data nodes before cold engines. Datagrams are delivered
-// late, twice or never, in any order; nodes restart, are cut off and pause.
-type world struct {
+// testCluster simulates front nodes and data nodes with cold engines. Datagrams may be
+// delayed, duplicated, lost or reordered; nodes may restart, be partitioned or pause.
+type testCluster struct {
 	now      time.Time
 	engines  []catalog.Engine
 	nodes    []mirror.Node
 	granters []*Granter
 	fronts   []*frontNode
 	asks     []sentAsk
-	// answers are under way, and answered those that may come once more.
-	answers []sentAnswer
+	answers  []sentAnswer // in transit, like asks
+	// arrived holds the arrival times of requests by engine.
 	arrived map[string][]time.Time
-	// byGranter are the same by engine and granting node.
-	byGranter map[[2]string][]time.Time
-	cut       map[[2]int]bool // front node and data node
+	// byGranter holds the same by engine and granter.
+	byGranter   map[[2]string][]time.Time
+	partitioned map[[2]int]bool // front node and data node
 }
 
 type frontNode struct {
-	asker   *Asker
-	lives   int
-	permits []heldPermit
+	asker       *Asker
+	incarnation int
+	permits     []heldPermit
 }
 
 type heldPermit struct {
@@ -292,96 +291,96 @@
 }
 
 type sentAsk struct {
-	front, life, data int
-	ask               Ask
+	front, incarnation, data int
+	ask                      Ask
 }
 
 type sentAnswer struct {
-	front, life, data int
-	engine            string
-	answer            Answer
+	front, incarnation, data int
+	engine                   string
+	answer                   Answer
 }
 
-func newWorld(engines, fronts, datas int) *world {
-	w := &world{now: start, arrived: map[string][]time.Time{}, byGranter: map[[2]string][]time.Time{}, cut: map[[2]int]bool{}}
+func newTestCluster(engines, frontNodes, dataNodes int) *testCluster {
+	c := &testCluster{now: start, arrived: map[string][]time.Time{}, byGranter: map[[2]string][]time.Time{}, partitioned: map[[2]int]bool{}}
 	for i := range engines {
-		w.engines = append(w.engines, catalog.Engine{ID: fmt.Sprint("e", i), Zone: fmt.Sprint("z", i%2)})
+		c.engines = append(c.engines, catalog.Engine{ID: fmt.Sprint("e", i), Zone: fmt.Sprint("z", i%2)})
 	}
-	for i := range datas {
+	for i := range dataNodes {
 		name := fmt.Sprint("d", i)
-		w.nodes = append(w.nodes, mirror.Node{Name: name, Address: transport.Address(fmt.Sprint(i)), Zone: fmt.Sprint("z", i%2)})
-		w.granters = append(w.granters, NewGranter(start.Add(-window)))
+		c.nodes = append(c.nodes, mirror.Node{Name: name, Address: transport.Address(fmt.Sprint(i)), Zone: fmt.Sprint("z", i%2)})
+		c.granters = append(c.granters, NewGranter(start.Add(-window)))
 	}
-	for i := range fronts {
-		w.fronts = append(w.fronts, &frontNode{asker: NewAsker(uint64(i) << 32)})
+	for i := range frontNodes {
+		c.fronts = append(c.fronts, &frontNode{asker: NewAsker(uint64(i) << 32)})
 	}
-	return w
+	return c
 }
 
-func (w *world) pass(step time.Duration) { w.now = w.now.Add(step) }
+func (c *testCluster) advance(step time.Duration) { c.now = c.now.Add(step) }
 
-func (w *world) dataOf(address transport.Address) int {
-	return slices.IndexFunc(w.nodes, func(n mirror.Node) bool { return n.Address == address })
+func (c *testCluster) dataNodeIndex(address transport.Address) int {
+	return slices.IndexFunc(c.nodes, func(n mirror.Node) bool { return n.Address == address })
 }
 
-func (w *world) askFor(front int, engine catalog.Engine) {
+func (c *testCluster) askFor(front int, engine catalog.Engine) {
 	var addresses []transport.Address
-	for _, node := range Granters(w.nodes, engine) {
+	for _, node := range Granters(c.nodes, engine) {
 		addresses = append(addresses, node.Address)
 	}
-	f := w.fronts[front]
-	number, to, _ := f.asker.Ask(engine.ID, addresses, w.now)
+	f := c.fronts[front]
+	number, to, _ := f.asker.Ask(engine.ID, addresses, c.now)
 	if to == "" {
 		return
 	}
-	w.asks = append(w.asks, sentAsk{front, f.lives, w.dataOf(to), Ask{Number: number, Engine: engine.ID}})
+	c.asks = append(c.asks, sentAsk{front, f.incarnation, c.dataNodeIndex(to), Ask{Number: number, Engine: engine.ID}})
 }
 
-// deliverAsk takes an ask to its data node; it stays under way if it comes again.
-func (w *world) deliverAsk(i int, again bool) {
-	sent := w.asks[i]
-	if !again {
-		w.asks = slices.Delete(w.asks, i, i+1)
+// deliverAsk delivers an ask to its data node; it stays in transit if it is duplicated.
+func (c *testCluster) deliverAsk(i int, duplicate bool) {
+	sent := c.asks[i]
+	if !duplicate {
+		c.asks = slices.Delete(c.asks, i, i+1)
 	}
-	if w.cut[[2]int{sent.front, sent.data}] {
+	if c.partitioned[[2]int{sent.front, sent.data}] {
 		return
 	}
-	verdict, after := w.granters[sent.data].Grant(sent.ask.Engine, bound.Allowance(coldRate), w.now)
-	w.answers = append(w.answers, sentAnswer{sent.front, sent.life, sent.data, sent.ask.Engine, Answer{sent.ask.Number, verdict, after}})
+	verdict, after := c.granters[sent.data].Grant(sent.ask.Engine, bound.Allowance(coldRate), c.now)
+	c.answers = append(c.answers, sentAnswer{sent.front, sent.incarnation, sent.data, sent.ask.Engine, Answer{sent.ask.Number, verdict, after}})
 }
 
-func (w *world) deliverAnswer(i int, again bool) {
-	sent := w.answers[i]
-	if !again {
-		w.answers = slices.Delete(w.answers, i, i+1)
+func (c *testCluster) deliverAnswer(i int, duplicate bool) {
+	sent := c.answers[i]
+	if !duplicate {
+		c.answers = slices.Delete(c.answers, i, i+1)
 	}
-	f := w.fronts[sent.front]
-	if sent.life != f.lives {
+	f := c.fronts[sent.front]
+	if sent.incarnation != f.incarnation {
 		return
 	}
-	if permission, known := f.asker.Take(sent.answer, w.now); known && !permission.Until.IsZero() {
+	if permission, known := f.asker.Take(sent.answer, c.now); known && !permission.Until.IsZero() {
 		f.permits = append(f.permits, heldPermit{sent.engine, sent.data, permission.Until})
 	}
 }
 
-// send sends a request for a permit that a front node holds, if it is still valid.
-func (w *world) send(front int) {
-	f := w.fronts[front]
+// send uses up a front node's oldest permit and sends a request if it is still valid.
+func (c *testCluster) send(front int) {
+	f := c.fronts[front]
 	if len(f.permits) == 0 {
 		return
 	}
 	held := f.permits[0]
 	f.permits = f.permits[1:]
-	if w.now.Before(held.until) {
-		w.arrived[held.engine] = append(w.arrived[held.engine], w.now)
-		by := [2]string{held.engine, w.nodes[held.data].Name}
-		w.byGranter[by] = append(w.byGranter[by], w.now)
+	if c.now.Before(held.until) {
+		c.arrived[held.engine] = append(c.arrived[held.engine], c.now)
+		by := [2]string{held.engine, c.nodes[held.data].Name}
+		c.byGranter[by] = append(c.byGranter[by], c.now)
 	}
 }
 
-// mostWithinSpan is the most of all lists of times that lie within any second.
-func mostWithinSpan[K comparable](lists map[K][]time.Time) int {
-	most := 0
+// maxWithinSpan returns the largest number of times of any one list within an interval of Span.
+func maxWithinSpan[K comparable](lists map[K][]time.Time) int {
+	highest := 0
 	for _, times := range lists {
 		for i, from := range times {
 			count := 0
@@ -390,176 +389,176 @@
 					count++
 				}
 			}
-			most = max(most, count)
+			highest = max(highest, count)
 		}
 	}
-	return most
+	return highest
 }
 
-func (w *world) worst() int { return mostWithinSpan(w.arrived) }
+func (c *testCluster) maxRequests() int { return maxWithinSpan(c.arrived) }
 
-// check fails beyond the bound, and where the permits of one granting node are beyond its
-// part: the bound leaves room that would hide that.
-func (w *world) check(t *rapid.T) {
-	if worst := w.worst(); float64(worst) > bound.Of(coldRate) {
-		t.Fatalf("%d requests within a second, %v are allowed", worst, bound.Of(coldRate))
+// checkLimits fails if the requests to an engine exceed the limit, or those with permits of one
+// granter exceed its allowance, which slack in the limit could hide.
+func (c *testCluster) checkLimits(t *rapid.T) {
+	if count := c.maxRequests(); float64(count) > bound.Limit(coldRate) {
+		t.Fatalf("%d requests within a second, limit is %v", count, bound.Limit(coldRate))
 	}
-	if worst := mostWithinSpan(w.byGranter); worst > bound.Allowance(coldRate) {
-		t.Fatalf("%d requests within a second by one node's permits, %v are its part", worst, bound.Allowance(coldRate))
+	if count := maxWithinSpan(c.byGranter); count > bound.Allowance(coldRate) {
+		t.Fatalf("%d requests within a second with permits of one granter, its allowance is %v", count, bound.Allowance(coldRate))
 	}
 }
 
-// TestNeverOverWhateverIsLostOrDoubled: datagrams in any order, restarts, cuts, pauses.
-func TestNeverOverWhateverIsLostOrDoubled(t *testing.T) {
+// Guards against exceeding the limit if datagrams are lost, duplicated or reordered, and if nodes
+// restart, are partitioned or pause.
+func TestLimitHoldsUnderLossDuplicationAndRestarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(2, 4, 3)
+		c := newTestCluster(2, 4, 3)
 		pick := func(label string, n int) int { return rapid.IntRange(0, n-1).Draw(t, label) }
 		t.Repeat(map[string]func(*rapid.T){
 			"ask": func(t *rapid.T) {
-				front, engine := pick("front", len(w.fronts)), pick("engine", len(w.engines))
+				front, engine := pick("front", len(c.fronts)), pick("engine", len(c.engines))
 				for range rapid.IntRange(1, 8).Draw(t, "asks") {
-					w.askFor(front, w.engines[engine])
+					c.askFor(front, c.engines[engine])
 				}
 			},
-			"exchange": func(t *rapid.T) { // answers come all, some twice, and requests follow
-				front, engine := pick("front", len(w.fronts)), pick("engine", len(w.engines))
+			"exchange": func(t *rapid.T) { // all answers arrive, some twice, and requests follow
+				front, engine := pick("front", len(c.fronts)), pick("engine", len(c.engines))
 				lags := rapid.SampledFrom([]time.Duration{0, 0, 0, time.Millisecond, 90 * time.Millisecond})
-				w.exchangeAll(front, w.engines[engine], rapid.IntRange(1, 20).Draw(t, "requests"), exchangeFaults{
-					answer: lags.Draw(t, "answer lag"), send: lags.Draw(t, "send lag"), doubled: rapid.Bool().Draw(t, "doubled"),
+				c.exchangeAll(front, c.engines[engine], rapid.IntRange(1, 20).Draw(t, "requests"), exchangeFaults{
+					answerLag: lags.Draw(t, "answer lag"), sendLag: lags.Draw(t, "send lag"), duplicated: rapid.Bool().Draw(t, "doubled"),
 				})
 			},
 			"take ask": func(t *rapid.T) {
-				if len(w.asks) > 0 {
-					w.deliverAsk(pick("ask", len(w.asks)), rapid.Bool().Draw(t, "twice"))
+				if len(c.asks) > 0 {
+					c.deliverAsk(pick("ask", len(c.asks)), rapid.Bool().Draw(t, "twice"))
 				}
 			},
 			"take answer": func(t *rapid.T) {
-				if len(w.answers) > 0 {
-					w.deliverAnswer(pick("answer", len(w.answers)), rapid.Bool().Draw(t, "twice"))
+				if len(c.answers) > 0 {
+					c.deliverAnswer(pick("answer", len(c.answers)), rapid.Bool().Draw(t, "twice"))
 				}
 			},
 			"lose": func(t *rapid.T) {
-				if len(w.asks) > 0 {
-					w.asks = w.asks[1:]
+				if len(c.asks) > 0 {
+					c.asks = c.asks[1:]
 				}
 			},
 			"give up": func(t *rapid.T) {
-				if len(w.asks) > 0 {
-					sent := w.asks[pick("ask", len(w.asks))]
-					if f := w.fronts[sent.front]; f.lives == sent.life {
-						f.asker.GiveUp(sent.ask.Number, w.now)
+				if len(c.asks) > 0 {
+					sent := c.asks[pick("ask", len(c.asks))]
+					if f := c.fronts[sent.front]; f.incarnation == sent.incarnation {
+						f.asker.GiveUp(sent.ask.Number, c.now)
 					}
 				}
 			},
 			"leave": func(t *rapid.T) {
-				if len(w.asks) > 0 {
-					sent := w.asks[pick("ask", len(w.asks))]
-					if f := w.fronts[sent.front]; f.lives == sent.life {
+				if len(c.asks) > 0 {
+					sent := c.asks[pick("ask", len(c.asks))]
+					if f := c.fronts[sent.front]; f.incarnation == sent.incarnation {
 						f.asker.Drop(sent.ask.Number)
 					}
 				}
 			},
-			"send": func(t *rapid.T) { w.send(pick("front", len(w.fronts))) },
+			"send": func(t *rapid.T) { c.send(pick("front", len(c.fronts))) },
 			"pass": func(t *rapid.T) {
-				w.pass(time.Duration(rapid.SampledFrom([]int{1, 5, 40, 99, 100, 101, 500, 930, 1000, 1100}).Draw(t, "ms")) * time.Millisecond)
+				c.advance(time.Duration(rapid.SampledFrom([]int{1, 5, 40, 99, 100, 101, 500, 930, 1000, 1100}).Draw(t, "ms")) * time.Millisecond)
 			},
 			"restart data node": func(t *rapid.T) {
-				w.granters[pick("data", len(w.granters))] = NewGranter(w.now)
+				c.granters[pick("data", len(c.granters))] = NewGranter(c.now)
 			},
 			"restart front node": func(t *rapid.T) {
-				f := w.fronts[pick("front", len(w.fronts))]
-				f.lives++
+				f := c.fronts[pick("front", len(c.fronts))]
+				f.incarnation++
 				f.asker, f.permits = NewAsker(f.asker.number+1<<20), nil
 			},
 			"cut": func(t *rapid.T) {
-				link := [2]int{pick("front", len(w.fronts)), pick("data", len(w.nodes))}
-				w.cut[link] = !w.cut[link]
+				link := [2]int{pick("front", len(c.fronts)), pick("data", len(c.nodes))}
+				c.partitioned[link] = !c.partitioned[link]
 			},
-			"": w.check,
+			"": c.checkLimits,
 		})
 	})
 }
 
-// TestThirtyEnginesBackTogether: 50 front nodes send as much as they get permits for, at
-// once and for three seconds, as two of them find the first granting nodes silent. All
-// engines get what one granting node gives, and nobody asks without end.
-func TestThirtyEnginesBackTogether(t *testing.T) {
+// Guards against starved engines and excessive asks when 30 engines turn cold together and two
+// of 50 front nodes cannot reach some granters.
+func TestThirtyColdEnginesGetTheirAllowance(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := newWorld(30, 50, 6)
-	w.pass(time.Minute)
-	for data := range w.nodes {
-		w.cut[[2]int{0, data}] = data%3 == 0
-		w.cut[[2]int{1, data}] = data%3 == 0
+	c := newTestCluster(30, 50, 6)
+	c.advance(time.Minute)
+	for data := range c.nodes {
+		c.partitioned[[2]int{0, data}] = data%3 == 0
+		c.partitioned[[2]int{1, data}] = data%3 == 0
 	}
-	again := map[[2]string]time.Time{}
+	retryAt := map[[2]string]time.Time{}
 	asks := 0
 	for range 300 { // steps of 10 ms
-		for front := range w.fronts {
+		for front := range c.fronts {
 			for i := range 3 {
-				engine := w.engines[(front*7+i*11+asks)%len(w.engines)]
-				k := [2]string{fmt.Sprint(front), engine.ID}
-				if w.now.Before(again[k]) {
+				engine := c.engines[(front*7+i*11+asks)%len(c.engines)]
+				key := [2]string{fmt.Sprint(front), engine.ID}
+				if c.now.Before(retryAt[key]) {
 					continue
 				}
-				again[k] = w.now.Add(w.exchange(front, engine))
+				retryAt[key] = c.now.Add(c.exchange(front, engine))
 				asks++
 			}
 		}
-		w.pass(10 * time.Millisecond)
+		c.advance(10 * time.Millisecond)
 	}
-	worst, least := w.worst(), 1000
-	for _, engine := range w.engines {
-		least = min(least, len(w.arrived[engine.ID]))
+	highest, lowest := c.maxRequests(), 1000
+	for _, engine := range c.engines {
+		lowest = min(lowest, len(c.arrived[engine.ID]))
 	}
-	t.Logf("the most in a second %d, the least in 3 s %d, %d asks", worst, least, asks)
-	g.Expect(float64(worst)).To(gomega.BeNumerically("<=", bound.Of(coldRate)))
-	g.Expect(least).To(gomega.BeNumerically(">=", 0.9*3*float64(bound.Allowance(coldRate))/window.Seconds()))
-	g.Expect(asks).To(gomega.BeNumerically("<=", 3*30*50*2), "two asks a second, engine and front node")
+	t.Logf("at most %d requests to an engine within a second, at least %d in 3 s, %d asks", highest, lowest, asks)
+	g.Expect(float64(highest)).To(gomega.BeNumerically("<=", bound.Limit(coldRate)))
+	g.Expect(lowest).To(gomega.BeNumerically(">=", 0.9*3*float64(bound.Allowance(coldRate))/window.Seconds()))
+	g.Expect(asks).To(gomega.BeNumerically("<=", 3*30*50*2), "two asks per second, engine and front node")
 }
 
 type exchangeFaults struct {
-	answer, send time.Duration // lags
-	doubled      bool
+	answerLag, sendLag time.Duration
+	duplicated         bool
 }
 
-// exchangeAll asks for many requests, four at a time, and sends those that may be.
-func (w *world) exchangeAll(front int, engine catalog.Engine, requests int, faults exchangeFaults) {
-	for range (requests + asksAtOnce - 1) / asksAtOnce {
-		asked, answered := len(w.asks), len(w.answers)
-		for range asksAtOnce {
-			w.askFor(front, engine)
+// exchangeAll asks for many permits, maxPendingAsks at a time, and sends a request for each.
+func (c *testCluster) exchangeAll(front int, engine catalog.Engine, requests int, faults exchangeFaults) {
+	for range (requests + maxPendingAsks - 1) / maxPendingAsks {
+		asked, answered := len(c.asks), len(c.answers)
+		for range maxPendingAsks {
+			c.askFor(front, engine)
 		}
-		for len(w.asks) > asked {
-			w.deliverAsk(asked, false)
+		for len(c.asks) > asked {
+			c.deliverAsk(asked, false)
 		}
-		w.pass(faults.answer)
-		for len(w.answers) > answered {
-			if faults.doubled {
-				w.deliverAnswer(answered, true)
+		c.advance(faults.answerLag)
+		for len(c.answers) > answered {
+			if faults.duplicated {
+				c.deliverAnswer(answered, true)
 			}
-			w.deliverAnswer(answered, false)
+			c.deliverAnswer(answered, false)
 		}
 	}
-	w.pass(faults.send)
-	for len(w.fronts[front].permits) > 0 {
-		w.send(front)
+	c.advance(faults.sendLag)
+	for len(c.fronts[front].permits) > 0 {
+		c.send(front)
 	}
 }
 
-// exchange asks, and sends if it may; it returns how long not to ask again.
-func (w *world) exchange(front int, engine catalog.Engine) time.Duration {
-	w.askFor(front, engine)
-	if len(w.asks) == 0 {
-		return asideTime
+// exchange asks for a permit, uses it if granted, and returns how long to wait before the next.
+func (c *testCluster) exchange(front int, engine catalog.Engine) time.Duration {
+	c.askFor(front, engine)
+	if len(c.asks) == 0 {
+		return longSkip
 	}
-	number := w.asks[0].ask.Number
-	w.deliverAsk(0, false)
-	if len(w.answers) == 0 {
-		permission, _ := w.fronts[front].asker.GiveUp(number, w.now)
+	number := c.asks[0].ask.Number
+	c.deliverAsk(0, false)
+	if len(c.answers) == 0 {
+		permission, _ := c.fronts[front].asker.GiveUp(number, c.now)
 		return permission.After
 	}
-	sent := w.answers[0]
-	w.deliverAnswer(0, false)
-	w.send(front)
+	sent := c.answers[0]
+	c.deliverAnswer(0, false)
+	c.send(front)
 	return sent.answer.After
 }
