--- a/internal/mirror/agent.go
+++ b/internal/mirror/agent.go
@@ -11,72 +11,72 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// Events of the mirror.
+// Log events of this package.
 var (
-	eventStoreLost   = telemetry.Define(6101, "store-lost", "The platform's store does not answer this node, or refuses it; peers are asked meanwhile.")
+	eventStoreLost   = telemetry.Define(6101, "store-lost", "The platform's store does not answer this node or rejects its calls; the node pulls from its peers meanwhile.")
 	eventStoreBack   = telemetry.Define(6102, "store-back", "The platform's store answers this node again.")
-	eventChanged     = telemetry.Define(6103, "mirror-changed", "A kind of the platform's objects changed here; says by which way it was learnt and the revision.")
-	eventPeerFailing = telemetry.Define(6105, "peer-failing", "A peer did not answer a pull; others are asked before it.")
-	eventNodeSeen    = telemetry.Define(6104, "data-node-seen", "A data node was heard of for the first time, or at a new address.")
+	eventChanged     = telemetry.Define(6103, "mirror-changed", "A kind of the platform's objects changed in this node's copy; has the source of the change and the revision.")
+	eventPeerFailing = telemetry.Define(6105, "peer-failing", "A peer did not answer a pull; others are preferred until it is known to answer again.")
+	eventNodeSeen    = telemetry.Define(6104, "data-node-seen", "This node learned of a new data node or of a new address of a known one.")
 )
 
 const (
-	// listTimeout bounds a listing, and largeListTimeout one of a kind of many objects,
-	// which takes 50 calls for 10,000: some 0.3 s, and 3 s of a store that is ten times
-	// slower.
+	// listTimeout bounds a listing, and largeListTimeout that of a kind with many objects,
+	// which takes many calls of the store.
 	listTimeout      = 1500 * time.Millisecond
 	largeListTimeout = 6 * time.Second
 )
 
-// ErrHistoryLost says that the store forgot the changes since the revision.
-var ErrHistoryLost = errors.New("mirror: the store has forgotten the history since that revision")
+// ErrHistoryLost says that the store no longer has the changes since a revision.
+var ErrHistoryLost = errors.New("mirror: the store no longer has the changes since that revision")
 
 // Reader reads the platform's store.
 type Reader interface {
-	// List returns all objects of a kind and the store's revision. The list may be seconds
-	// old if it may be stale, which costs less; it is of the revision all the same.
-	List(ctx context.Context, kind string, stale bool) (objects []Object, at uint64, err error)
-	// Changes waits up to wait for changes after a revision, and returns them
-	// with the revision to continue from. It fails with ErrHistoryLost.
-	Changes(ctx context.Context, kind string, after uint64, wait time.Duration) (objects []Object, at uint64, err error)
+	// List returns all objects of a kind and the revision they belong to. With stale set,
+	// the store may return a list that is seconds old, which is cheaper.
+	List(ctx context.Context, kind string, stale bool) (objects []Object, revision uint64, err error)
+	// Changes waits up to wait for changes after a revision. It returns them with the
+	// revision to continue from, or ErrHistoryLost.
+	Changes(ctx context.Context, kind string, after uint64, wait time.Duration) (objects []Object, revision uint64, err error)
 }
 
-// Registry keeps the data nodes' addresses in the platform's store.
+// Registry records the data nodes' addresses in the platform's store.
 type Registry interface {
 	Register(ctx context.Context, node Node) error
-	// Registered lists the nodes; the list may be seconds old.
+	// Registered lists the data nodes; the list may be seconds old.
 	Registered(ctx context.Context) ([]Node, error)
 }
 
-// Node is a data node: one that keeps ledger replicas.
+// Node describes a data node, which stores ledger replicas.
 type Node struct {
 	Name    string
 	Address transport.Address
 	Zone    string
 	Region  string
-	// Started is when the node started, in Unix milliseconds by its own
-	// clock; the latest start of a name counts.
+	// Started is the node's start time in Unix milliseconds by its own clock. Of two
+	// entries with the same name, the one started later wins.
 	Started int64
 }
 
 // Options configure an Agent.
 type Options struct {
-	// Self is this node; it is told to others if DataNode is set.
+	// Self is this node. It is announced to peers if DataNode is set.
 	Self     Node
 	DataNode bool
-	// Kinds are mirrored.
+	// Kinds are the kinds of objects to mirror.
 	Kinds []Kind
-	// Seeds are addresses of peers that may be stale or down.
+	// Seeds are configured addresses of peers, which may be outdated or down.
 	Seeds    []transport.Address
 	Store    Reader
 	Registry Registry
 	Sender   transport.Sender
 	Receiver transport.Receiver
-	// Changed is told of each change of a kind; it must not block.
+	// Changed is called after each change of a kind; it must not block.
 	Changed func(kind string)
 }
 
-// Agent runs a Table. Its methods may be called concurrently.
+// Agent keeps a Table up to date from the store and from peers. Its methods may be called
+// concurrently.
 type Agent struct {
 	options Options
 
@@ -85,43 +85,44 @@
 	cancel  context.CancelFunc
 	tasks   sync.WaitGroup
 
-	// mutex guards what is below; it is a leaf.
+	// mutex guards the fields below up to lastStoreResponse. No other lock is taken while
+	// it is held.
 	mutex   sync.Mutex
 	table   *Table
 	fresh   *freshness
 	nodes   map[string]Node
 	seeds   []transport.Address
-	peers   map[transport.Address]time.Time // who asked this node, and when
+	peers   map[transport.Address]time.Time // nodes that pulled from this one, by time of the last pull
 	failing map[transport.Address]bool      // peers whose last pull failed
-	plain   map[transport.Address]time.Time // peers of an earlier version, and when that was seen
-	// nodesDigest stands for nodes.
+	legacy  map[transport.Address]time.Time // peers of an earlier version, by time of detection
+	// nodesDigest is the digest of nodes.
 	nodesDigest uint64
-	// answeredAt is when a peer answered last, and surveyed says that the registry has.
-	answeredAt time.Time
-	surveyed   bool
-	changed    chan struct{} // closed at each change or confirmation
-	// pulling is the context of pulls, and endPulls ends those that wait.
-	pulling  context.Context
-	endPulls context.CancelCauseFunc
-	heard    time.Time // the store's last answer
+	// lastPeerResponse is when a peer last answered; registryRead is set once the registry has.
+	lastPeerResponse time.Time
+	registryRead     bool
+	changed          chan struct{} // closed and replaced at each change or confirmation
+	// pullCtx is the context of pending pulls, which cancelPulls ends.
+	pullCtx           context.Context
+	cancelPulls       context.CancelCauseFunc
+	lastStoreResponse time.Time
 
-	packed packedWholes
-	leads  chan lead // peers to be asked back
+	snapshots    snapshotCache
+	reversePulls chan peerState // peers to pull from because they are ahead
 }
 
-// New returns an agent; its handlers are registered, nothing runs before Start.
+// New returns an agent with its call handlers registered. Nothing runs before Start.
 func New(options Options) *Agent {
 	a := &Agent{
-		options: options,
-		fresh:   newFreshness(),
-		nodes:   map[string]Node{},
-		seeds:   options.Seeds,
-		peers:   map[transport.Address]time.Time{},
-		failing: map[transport.Address]bool{},
-		plain:   map[transport.Address]time.Time{},
-		changed: make(chan struct{}),
-		packed:  packedWholes{kinds: map[string]packedWhole{}},
-		leads:   make(chan lead, askBackQueue),
+		options:      options,
+		fresh:        newFreshness(),
+		nodes:        map[string]Node{},
+		seeds:        options.Seeds,
+		peers:        map[transport.Address]time.Time{},
+		failing:      map[transport.Address]bool{},
+		legacy:       map[transport.Address]time.Time{},
+		changed:      make(chan struct{}),
+		snapshots:    snapshotCache{kinds: map[string]cachedSnapshot{}},
+		reversePulls: make(chan peerState, reversePullQueue),
 	}
 	names := make([]string, 0, len(options.Kinds))
 	for _, kind := range options.Kinds {
@@ -132,13 +133,13 @@
 		if kind.Place == nil {
 			continue
 		}
-		a.table.PlaceBy(kind.Name, kind.Place)
+		a.table.SetPlaceFunc(kind.Name, kind.Place)
 		if !options.DataNode {
-			a.table.TakePart(kind.Name, options.Self.Name, options.Self.Zone)
+			a.table.KeepSubset(kind.Name, options.Self.Name, options.Self.Zone)
 		}
 	}
 	a.running, a.cancel = context.WithCancel(context.Background())
-	a.pulling, a.endPulls = context.WithCancelCause(a.running)
+	a.pullCtx, a.cancelPulls = context.WithCancelCause(a.running)
 	if options.DataNode {
 		a.nodes[options.Self.Name] = options.Self
 	}
@@ -148,23 +149,23 @@
 	return a
 }
 
-// Start begins to read the store and to ask peers. One peer that is asked is of
-// the node's own zone where there is one, the other is of any.
+// Start begins reading the store and pulling from peers: one loop pulls from this node's zone
+// where possible, the other from any zone.
 func (a *Agent) Start() {
 	a.started = clock.Now()
 	for _, kind := range a.options.Kinds {
-		a.run(func() { a.follow(kind) })
+		a.run(func() { a.followStore(kind) })
 	}
 	a.run(func() { a.pullLoop(a.options.Self.Zone) })
 	a.run(func() { a.pullLoop("") })
-	a.run(a.askBackLoop)
+	a.run(a.reversePullLoop)
 	a.run(a.registryLoop)
 	if a.options.DataNode {
 		a.run(a.register)
 	}
 }
 
-// Close stops the agent.
+// Close stops the agent and waits for its goroutines.
 func (a *Agent) Close() {
 	a.cancel()
 	a.tasks.Wait()
@@ -178,30 +179,30 @@
 	}()
 }
 
-// SetSeeds replaces the addresses of peers that may be stale or down.
+// SetSeeds replaces the configured addresses of peers.
 func (a *Agent) SetSeeds(seeds []transport.Address) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.seeds = seeds
 }
 
-// Objects lists the objects of a kind and the revision they are complete to;
-// a revision of 0 means that nothing is known yet.
+// Objects lists the objects of a kind and the revision up to which they are complete. Revision
+// 0 means that the kind has not been synced yet.
 func (a *Agent) Objects(kind string) ([]Object, uint64) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	return a.table.Objects(kind), a.table.At(kind)
+	return a.table.Objects(kind), a.table.Revision(kind)
 }
 
-// Since returns what changed in a kind after a revision, as Table.Since does; false if
-// nothing is known of the kind.
+// Since returns the changes of a kind after a revision, as Table.Since does. It returns false
+// if the kind has not been synced yet or the revision is newer than this node's.
 func (a *Agent) Since(kind string, revision uint64) (Delta, bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.table.Since(kind, revision)
 }
 
-// Nodes lists the data nodes heard of, this one included if it is one.
+// Nodes lists the known data nodes, including this one if it is one.
 func (a *Agent) Nodes() []Node {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -212,32 +213,32 @@
 	return nodes
 }
 
-// merge takes a delta of all objects, that had all of the store at a time.
-func (a *Agent) merge(way string, delta Delta, confirmed time.Time) {
-	a.mergeWith(way, delta, confirmed, a.table.Merge)
+// merge applies a delta that covers all objects and was up to date with the store at confirmed.
+func (a *Agent) merge(source string, delta Delta, confirmed time.Time) {
+	a.mergeWith(source, delta, confirmed, a.table.Merge)
 }
 
-// take takes what a peer answered to a request.
-func (a *Agent) take(way string, delta agedDelta, request pull, confirmed time.Time) {
-	if delta.all {
-		a.merge(way, delta.Delta, confirmed)
+// mergeResponse applies a delta from a peer's response to a request.
+func (a *Agent) mergeResponse(source string, delta responseDelta, request pullRequest, confirmed time.Time) {
+	if delta.unfiltered {
+		a.merge(source, delta.Delta, confirmed)
 		return
 	}
 	shifts := delta.shifts
-	if asked := request.kinds[delta.Kind]; asked.part == nil {
+	if requested := request.kinds[delta.Kind]; requested.subset == nil {
 		shifts = nil
 	}
-	a.mergeWith(way, delta.Delta, confirmed, func(delta Delta) bool { return a.table.mergePart(delta, shifts) })
+	a.mergeWith(source, delta.Delta, confirmed, func(delta Delta) bool { return a.table.mergeSubset(delta, shifts) })
 }
 
-// mergeWith hands a delta to the table, and tells of what it changed.
-func (a *Agent) mergeWith(way string, delta Delta, confirmed time.Time, merge func(delta Delta) bool) {
+// mergeWith applies a delta to the table and reports the change.
+func (a *Agent) mergeWith(source string, delta Delta, confirmed time.Time, merge func(delta Delta) bool) {
 	a.mutex.Lock()
-	first := a.table.At(delta.Kind) == 0
-	changed := merge(delta) || (first && a.table.At(delta.Kind) > 0)
-	at := a.table.At(delta.Kind)
-	news := at >= delta.At && a.fresh.confirm(delta.Kind, confirmed)
-	if changed || news {
+	first := a.table.Revision(delta.Kind) == 0
+	changed := merge(delta) || (first && a.table.Revision(delta.Kind) > 0)
+	revision := a.table.Revision(delta.Kind)
+	confirmedLater := revision >= delta.At && a.fresh.confirm(delta.Kind, confirmed)
+	if changed || confirmedLater {
 		close(a.changed)
 		a.changed = make(chan struct{})
 	}
@@ -245,7 +246,7 @@
 	if !changed {
 		return
 	}
-	eventChanged.Info("kind", delta.Kind, "way", way, "revision", at, "objects", len(delta.Objects),
+	eventChanged.Info("kind", delta.Kind, "way", source, "revision", revision, "objects", len(delta.Objects),
 		"age", clock.Since(confirmed))
 	if a.options.Changed != nil {
 		a.options.Changed(delta.Kind)
--- a/internal/mirror/agent_test.go
+++ b/internal/mirror/agent_test.go
@@ -14,31 +14,31 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// The tests of agents run in virtual time.
+// Tests of agents run in virtual time.
 
 const (
 	testFresh = 2 * time.Second
-	hop       = 2 * time.Millisecond
+	latency   = 2 * time.Millisecond
 )
 
-var errDown = errors.New("down")
+var errUnavailable = errors.New("down")
 
-// fakeStore keeps one kind, with watches. It counts calls, and refuses or
-// ignores those of some nodes.
+// fakeStore stores one kind of objects and counts calls. It rejects or never answers the calls
+// of some nodes.
 type fakeStore struct {
-	mutex   sync.Mutex
-	model   storeModel
-	changed chan struct{}
-	calls   int
-	refuses map[string]bool
-	ignores map[string]bool
-	horizon uint64 // changes up to here are forgotten
+	mutex       sync.Mutex
+	model       storeModel
+	changed     chan struct{}
+	calls       int
+	rejected    map[string]bool
+	unanswered  map[string]bool
+	compactedTo uint64 // changes up to this revision are no longer available
 }
 
 func newFakeStore() *fakeStore {
 	s := &fakeStore{
 		model: storeModel{objects: map[string]Object{}}, changed: make(chan struct{}),
-		refuses: map[string]bool{}, ignores: map[string]bool{},
+		rejected: map[string]bool{}, unanswered: map[string]bool{},
 	}
 	s.put("first")
 	return s
@@ -60,11 +60,11 @@
 	s.changed = make(chan struct{})
 }
 
-// forget drops the history so far, and ends the watches.
-func (s *fakeStore) forget() {
+// compact drops the history so far and ends the watches.
+func (s *fakeStore) compact() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.horizon = s.model.revision
+	s.compactedTo = s.model.revision
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -75,31 +75,31 @@
 	return s.calls
 }
 
-// seenFrom is the store as one node sees it. It implements Reader and Registry.
-type seenFrom struct {
+// nodeStore is the store as seen by one node. It implements Reader and Registry.
+type nodeStore struct {
 	store *fakeStore
 	node  string
 	fleet *testFleet
 }
 
-func (s seenFrom) begin(ctx context.Context) error {
+func (s nodeStore) simulateCall(ctx context.Context) error {
 	s.store.mutex.Lock()
 	s.store.calls++
-	refuses, ignores := s.store.refuses[s.node], s.store.ignores[s.node]
+	rejected, unanswered := s.store.rejected[s.node], s.store.unanswered[s.node]
 	s.store.mutex.Unlock()
-	if ignores {
+	if unanswered {
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	time.Sleep(2 * hop)
-	if refuses {
-		return errDown
+	time.Sleep(2 * latency)
+	if rejected {
+		return errUnavailable
 	}
 	return nil
 }
 
-func (s seenFrom) List(ctx context.Context, _ string, _ bool) ([]Object, uint64, error) {
-	if err := s.begin(ctx); err != nil {
+func (s nodeStore) List(ctx context.Context, _ string, _ bool) ([]Object, uint64, error) {
+	if err := s.simulateCall(ctx); err != nil {
 		return nil, 0, err
 	}
 	s.store.mutex.Lock()
@@ -108,17 +108,17 @@
 	return delta.Objects, delta.At, nil
 }
 
-func (s seenFrom) Changes(ctx context.Context, _ string, after uint64, wait time.Duration) ([]Object, uint64, error) {
-	if err := s.begin(ctx); err != nil {
+func (s nodeStore) Changes(ctx context.Context, _ string, after uint64, wait time.Duration) ([]Object, uint64, error) {
+	if err := s.simulateCall(ctx); err != nil {
 		return nil, 0, err
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
 		s.store.mutex.Lock()
-		delta, changed, horizon := s.store.model.since(after), s.store.changed, s.store.horizon
+		delta, changed, compactedTo := s.store.model.since(after), s.store.changed, s.store.compactedTo
 		s.store.mutex.Unlock()
-		if after < horizon {
+		if after < compactedTo {
 			return nil, 0, ErrHistoryLost
 		}
 		if len(delta.Objects) > 0 {
@@ -134,10 +134,10 @@
 	}
 }
 
-func (s seenFrom) Register(context.Context, Node) error { return nil }
+func (s nodeStore) Register(context.Context, Node) error { return nil }
 
-func (s seenFrom) Registered(context.Context) ([]Node, error) {
-	time.Sleep(2 * hop)
+func (s nodeStore) Registered(context.Context) ([]Node, error) {
+	time.Sleep(2 * latency)
 	return s.fleet.dataNodes, nil
 }
 
@@ -151,43 +151,42 @@
 	hosts map[transport.Address]*fakeHost
 }
 
-// fakeHost is an agent's transport. It implements transport.Sender and
-// transport.Receiver.
+// fakeHost is an agent's transport. It implements transport.Sender and transport.Receiver.
 type fakeHost struct {
 	fleet   *testFleet
 	address transport.Address
 	down    bool // guarded by the fleet's mutex
-	calls   int  // made from here; guarded by the fleet's mutex
-	// called are the peers that were called from here; guarded by the fleet's mutex.
-	called map[transport.Address]bool
-	// plain hosts are of an earlier version, which knows no fetches; guarded by the fleet's
-	// mutex.
-	plain    bool
+	calls   int  // calls made by this host; guarded by the fleet's mutex
+	// peersCalled are the peers that this host called; guarded by the fleet's mutex.
+	peersCalled map[transport.Address]bool
+	// legacy hosts are of an earlier version, which doesn't know fetches; guarded by the
+	// fleet's mutex.
+	legacy   bool
 	handlers map[transport.Kind]transport.CallHandler
 }
 
 func (h *fakeHost) Call(ctx context.Context, to transport.Address, kind transport.Kind, payload []byte) ([]byte, error) {
-	time.Sleep(hop)
+	time.Sleep(latency)
 	h.fleet.mutex.Lock()
 	peer := h.fleet.hosts[to]
-	silent := peer == nil || peer.down || h.down
-	unknown := kind == kindFetch && (h.plain || !silent && peer.plain)
+	unreachable := peer == nil || peer.down || h.down
+	unhandled := kind == kindFetch && (h.legacy || !unreachable && peer.legacy)
 	h.calls++
-	if h.called == nil {
-		h.called = map[transport.Address]bool{}
+	if h.peersCalled == nil {
+		h.peersCalled = map[transport.Address]bool{}
 	}
-	h.called[to] = true
+	h.peersCalled[to] = true
 	h.fleet.mutex.Unlock()
-	if silent {
+	if unreachable {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	if unknown {
+	if unhandled {
 		return nil, &transport.RemoteError{Peer: to, Code: transport.CodeNoHandler}
 	}
-	answered, err := peer.handlers[kind](ctx, h.address, payload)
-	time.Sleep(hop)
-	return answered, err
+	response, err := peer.handlers[kind](ctx, h.address, payload)
+	time.Sleep(latency)
+	return response, err
 }
 
 func (h *fakeHost) Send(transport.Address, transport.Kind, []byte)           {}
@@ -201,10 +200,10 @@
 func (h *fakeHost) HandleMessage(transport.Kind, transport.MessageHandler)      {}
 func (h *fakeHost) HandleDatagram(_ transport.Kind, _ transport.MessageHandler) {}
 
-func newTestFleet(dataNodes, fronts int) *testFleet { return newFleetIn(dataNodes, fronts, zone) }
+func newTestFleet(dataNodes, fronts int) *testFleet { return newFleetInZones(dataNodes, fronts, zone) }
 
-// newFleetIn starts a fleet whose data nodes lie in zones by their numbers.
-func newFleetIn(dataNodes, fronts int, zoneOf func(int) string) *testFleet {
+// newFleetInZones starts a fleet in which zoneOf gives the zone of the data node with a number.
+func newFleetInZones(dataNodes, fronts int, zoneOf func(int) string) *testFleet {
 	f := &testFleet{store: newFakeStore(), agents: map[string]*Agent{}, hosts: map[transport.Address]*fakeHost{}}
 	for i := range dataNodes {
 		name := fmt.Sprintf("data-%02d", i)
@@ -228,15 +227,15 @@
 func (f *testFleet) add(node Node, data bool) {
 	host := &fakeHost{fleet: f, address: node.Address}
 	f.hosts[node.Address] = host
-	seen := seenFrom{f.store, node.Name, f}
+	store := nodeStore{f.store, node.Name, f}
 	f.agents[node.Name] = New(Options{
-		Self: node, DataNode: data, Kinds: []Kind{{Name: kind, Fresh: testFresh}}, Store: seen, Registry: seen, Sender: host, Receiver: host,
+		Self: node, DataNode: data, Kinds: []Kind{{Name: kind, Fresh: testFresh}}, Store: store, Registry: store, Sender: host, Receiver: host,
 	})
 }
 
-// startLate adds a front node that the store ignores, named late.
-func (f *testFleet) startLate(seeds ...transport.Address) {
-	f.affect(f.store.ignores, "late")
+// startWithoutStore starts a front node named late that the store doesn't answer.
+func (f *testFleet) startWithoutStore(seeds ...transport.Address) {
+	f.markNodes(f.store.unanswered, "late")
 	f.add(Node{Name: "late", Address: "late", Zone: "zone-0"}, false)
 	f.agents["late"].SetSeeds(seeds)
 	f.agents["late"].Start()
@@ -254,21 +253,21 @@
 	f.hosts[transport.Address(name)].down = down
 }
 
-// loseZone takes all nodes of a zone away for good.
-func (f *testFleet) loseZone(zone string) map[string]bool {
-	lost := map[string]bool{}
+// stopZone permanently stops all nodes of a zone and returns their names.
+func (f *testFleet) stopZone(zone string) map[string]bool {
+	stopped := map[string]bool{}
 	for name, agent := range f.agents {
 		if agent.options.Self.Zone == zone {
-			lost[name] = true
+			stopped[name] = true
 			f.setDown(name, true)
-			f.affect(f.store.ignores, name)
+			f.markNodes(f.store.unanswered, name)
 			agent.Close()
 		}
 	}
-	return lost
+	return stopped
 }
 
-func (f *testFleet) affect(set map[string]bool, names ...string) {
+func (f *testFleet) markNodes(set map[string]bool, names ...string) {
 	f.store.mutex.Lock()
 	defer f.store.mutex.Unlock()
 	for _, name := range names {
@@ -276,8 +275,8 @@
 	}
 }
 
-// ignorant are the nodes that don't know an object.
-func (f *testFleet) ignorant(name string, except ...string) []string {
+// nodesMissing lists the nodes that don't have an object.
+func (f *testFleet) nodesMissing(name string, except ...string) []string {
 	var nodes []string
 	for node, agent := range f.agents {
 		objects, _ := agent.Objects(kind)
@@ -289,51 +288,51 @@
 	return nodes
 }
 
-const settle = 10 * time.Second
+const settleTime = 10 * time.Second
 
-// In calm times the calls of the store don't grow with the number of nodes.
-func TestCallsOfTheStoreDoNotGrowWithNodes(t *testing.T) {
+// Guards against store calls growing with the number of nodes while nothing fails.
+func TestStoreCallRateIndependentOfFleetSize(t *testing.T) {
 	rates := map[int]float64{}
 	for _, fronts := range []int{8, 100} {
 		synctest.Test(t, func(t *testing.T) {
 			fleet := newTestFleet(10, fronts)
 			defer fleet.close()
-			time.Sleep(settle)
+			time.Sleep(settleTime)
 			before := fleet.store.callCount()
 			time.Sleep(time.Minute)
 			rates[fronts] = float64(fleet.store.callCount()-before) / 60
 		})
 	}
 	g := gomega.NewWithT(t)
-	g.Expect(rates[8]).To(gomega.BeNumerically("<", 3), "three watchers, a call each 1.5 s")
+	g.Expect(rates[8]).To(gomega.BeNumerically("<", 3), "three watchers with one call every 1.5 s each")
 	g.Expect(rates[100]).To(gomega.BeNumerically("<", rates[8]+1))
 }
 
-func TestAChangeIsKnownEverywhereAtOnce(t *testing.T) {
+func TestChangeReachesAllNodesQuickly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newTestFleet(10, 50)
 		defer fleet.close()
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		fleet.store.put("news")
 		time.Sleep(testFresh / 4)
-		gomega.NewWithT(t).Expect(fleet.ignorant("news")).To(gomega.BeEmpty())
+		gomega.NewWithT(t).Expect(fleet.nodesMissing("news")).To(gomega.BeEmpty())
 	})
 }
 
-// Whoever the store refuses or ignores, and whatever watchers fall silent,
-// changes are known within Fresh, at each moment after the trouble began.
-func TestAChangeIsKnownInTimeDespiteTrouble(t *testing.T) {
+// A change must reach all nodes within Fresh while the store rejects or doesn't answer some
+// nodes or all watchers are down, at any time after the failure.
+func TestChangeReachesAllNodesDespiteFailures(t *testing.T) {
 	watchers := []string{"data-00", "data-01", "data-02"}
-	for name, trouble := range map[string]func(f *testFleet){
-		"the store refuses the watchers": func(f *testFleet) { f.affect(f.store.refuses, watchers...) },
-		"the store ignores the watchers": func(f *testFleet) { f.affect(f.store.ignores, watchers...) },
-		"the store ignores a front":      func(f *testFleet) { f.affect(f.store.ignores, "front-00") },
-		"the store refuses a front":      func(f *testFleet) { f.affect(f.store.refuses, "front-00") },
-		"all watchers fall silent": func(f *testFleet) {
+	for name, fail := range map[string]func(f *testFleet){
+		"store rejects watchers":           func(f *testFleet) { f.markNodes(f.store.rejected, watchers...) },
+		"store does not answer watchers":   func(f *testFleet) { f.markNodes(f.store.unanswered, watchers...) },
+		"store does not answer front node": func(f *testFleet) { f.markNodes(f.store.unanswered, "front-00") },
+		"store rejects front node":         func(f *testFleet) { f.markNodes(f.store.rejected, "front-00") },
+		"all watchers down": func(f *testFleet) {
 			for _, watcher := range watchers {
 				f.setDown(watcher, true)
 			}
-			f.affect(f.store.ignores, watchers...)
+			f.markNodes(f.store.unanswered, watchers...)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -341,18 +340,18 @@
 				synctest.Test(t, func(t *testing.T) {
 					fleet := newTestFleet(5, 12)
 					defer fleet.close()
-					time.Sleep(settle + after)
-					trouble(fleet)
+					time.Sleep(settleTime + after)
+					fail(fleet)
 					time.Sleep(after)
 					fleet.store.put("news")
 					time.Sleep(testFresh)
-					ignorant := fleet.ignorant("news")
-					for _, node := range ignorant {
+					missing := fleet.nodesMissing("news")
+					for _, node := range missing {
 						fleet.mutex.Lock()
 						down := fleet.hosts[transport.Address(node)].down
 						fleet.mutex.Unlock()
 						if !down {
-							t.Errorf("%s: %s doesn't know the news %v after the trouble", name, node, after)
+							t.Errorf("%s: %s lacks a change made %v after the failure", name, node, after)
 						}
 					}
 				})
@@ -361,64 +360,64 @@
 	}
 }
 
-// byBlocks puts the data nodes that are first by name into one zone.
-func byBlocks(i int) string { return zone(i / 3) }
+// zoneInBlocks puts the data nodes that are first by name into one zone.
+func zoneInBlocks(i int) string { return zone(i / 3) }
 
-// A lost zone takes one watcher of three with it, though its data nodes are first by
-// name; a change is known in time, and few turn to the store.
-func TestALostZoneLeavesWatchers(t *testing.T) {
-	const plays = 12
-	allCalm, allLost := 0, 0
-	for play := range plays {
-		after := []time.Duration{0, 700 * time.Millisecond, 4 * time.Second}[play%3]
+// The loss of the zone with the first data nodes by name must cost only one of the three
+// watchers: changes still arrive in time, and few nodes fall back to the store.
+func TestZoneLossLeavesWatchers(t *testing.T) {
+	const runs = 12
+	callsBefore, callsAfter := 0, 0
+	for run := range runs {
+		after := []time.Duration{0, 700 * time.Millisecond, 4 * time.Second}[run%3]
 		synctest.Test(t, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			fleet := newFleetIn(9, 30, byBlocks)
+			fleet := newFleetInZones(9, 30, zoneInBlocks)
 			defer fleet.close()
-			time.Sleep(settle)
-			calm := fleet.store.callCount()
-			time.Sleep(settle)
-			calm = fleet.store.callCount() - calm
-			watching := map[string]bool{}
+			time.Sleep(settleTime)
+			baseline := fleet.store.callCount()
+			time.Sleep(settleTime)
+			baseline = fleet.store.callCount() - baseline
+			watcherZones := map[string]bool{}
 			for _, agent := range fleet.agents {
 				agent.mutex.Lock()
-				if _, watches := agent.rank(); watches {
-					watching[agent.options.Self.Zone] = true
+				if _, isWatcher := agent.rank(); isWatcher {
+					watcherZones[agent.options.Self.Zone] = true
 				}
 				agent.mutex.Unlock()
 			}
-			g.Expect(watching).To(gomega.HaveLen(watcherCount), "zones with a watcher")
-			lost := fleet.loseZone("zone-0")
+			g.Expect(watcherZones).To(gomega.HaveLen(watcherCount), "zones with a watcher")
+			stopped := fleet.stopZone("zone-0")
 			before := fleet.store.callCount()
 			time.Sleep(after)
 			fleet.store.put("news")
 			time.Sleep(testFresh)
-			for _, node := range fleet.ignorant("news") {
-				g.Expect(lost).To(gomega.HaveKey(node))
+			for _, node := range fleet.nodesMissing("news") {
+				g.Expect(stopped).To(gomega.HaveKey(node))
 			}
-			time.Sleep(settle - testFresh - after)
-			allCalm += calm
-			allLost += fleet.store.callCount() - before
+			time.Sleep(settleTime - testFresh - after)
+			callsBefore += baseline
+			callsAfter += fleet.store.callCount() - before
 		})
 	}
-	t.Logf("calls in %v: %d in calm, %d with the zone lost", settle, allCalm/plays, allLost/plays)
-	gomega.NewWithT(t).Expect(allLost).To(gomega.BeNumerically("<=", 17*allCalm/10), "38 to 40 with the watchers in one zone")
+	t.Logf("store calls in %v: %d before and %d after the loss of the zone", settleTime, callsBefore/runs, callsAfter/runs)
+	gomega.NewWithT(t).Expect(callsAfter).To(gomega.BeNumerically("<=", 17*callsBefore/10), "the limit is exceeded if all watchers are in the lost zone")
 }
 
-// When watchers die for good, others take their place, and the calls fall back
-// to what they were.
-func TestWatchersAreReplaced(t *testing.T) {
+// When watchers fail permanently, others must replace them, and the store's call rate must
+// return to normal.
+func TestFailedWatchersAreReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		fleet := newTestFleet(8, 30)
 		defer fleet.close()
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		for _, watcher := range []string{"data-00", "data-02"} {
 			fleet.setDown(watcher, true)
-			fleet.affect(fleet.store.ignores, watcher)
+			fleet.markNodes(fleet.store.unanswered, watcher)
 			fleet.agents[watcher].Close()
 		}
-		time.Sleep(2 * settle)
+		time.Sleep(2 * settleTime)
 		before := fleet.store.callCount()
 		time.Sleep(time.Minute)
 		g.Expect(float64(fleet.store.callCount()-before) / 60).To(gomega.BeNumerically("<", 4))
@@ -427,51 +426,50 @@
 	})
 }
 
-// A node that starts while the store is down learns from its peers.
-func TestANodeThatStartsWithoutTheStoreLearnsFromPeers(t *testing.T) {
+// A node that starts while the store doesn't answer it must sync from its peers.
+func TestNodeStartingWithoutStoreSyncsFromPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		fleet := newTestFleet(3, 3)
 		defer fleet.close()
-		time.Sleep(settle)
-		fleet.startLate("nobody", "front-00")
-		time.Sleep(settle)
-		g.Expect(fleet.ignorant("first")).To(gomega.BeEmpty())
+		time.Sleep(settleTime)
+		fleet.startWithoutStore("nobody", "front-00")
+		time.Sleep(settleTime)
+		g.Expect(fleet.nodesMissing("first")).To(gomega.BeEmpty())
 		g.Expect(fleet.agents["late"].Age(kind)).To(gomega.BeNumerically("<", testFresh))
 	})
 }
 
-// Seeds that are down, as after a loss of power everywhere, hold a node that
-// knows nothing up for a moment only.
-func TestSilentSeedsHoldAStartUpForAMomentOnly(t *testing.T) {
+// Unreachable seeds must not delay a starting node beyond the short first timeouts.
+func TestUnreachableSeedsDelayStartOnlyBriefly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		fleet := newTestFleet(3, 3)
 		defer fleet.close()
-		time.Sleep(settle)
-		fleet.startLate("nobody", "nobody else")
+		time.Sleep(settleTime)
+		fleet.startWithoutStore("nobody", "nobody else")
 		time.Sleep(300 * time.Millisecond)
-		g.Expect(fleet.ignorant("first")).To(gomega.BeEmpty())
+		g.Expect(fleet.nodesMissing("first")).To(gomega.BeEmpty())
 	})
 }
 
-// A slow peer is still heard: each try of a node that knows nothing waits longer.
-func TestTheWaitOfAFirstPullGrows(t *testing.T) {
+// The timeout of an unsynced node must grow with failures, so that slow peers can answer.
+func TestInitialPullTimeoutGrowsWithFailures(t *testing.T) {
 	g := gomega.NewWithT(t)
-	g.Expect(pullTime(pull{wait: pullWait}, true, 3, pullSlack)).To(gomega.Equal(pullWait + pullSlack))
-	g.Expect(pullTime(pull{}, false, 0, pullSlack)).To(gomega.Equal(firstPullSlack))
-	g.Expect(pullTime(pull{}, false, 1, pullSlack)).To(gomega.Equal(2 * firstPullSlack))
-	g.Expect(pullTime(pull{}, false, 60, pullSlack)).To(gomega.Equal(pullSlack))
+	g.Expect(pullTimeout(pullRequest{wait: pullWait}, true, 3, pullSlack)).To(gomega.Equal(pullWait + pullSlack))
+	g.Expect(pullTimeout(pullRequest{}, false, 0, pullSlack)).To(gomega.Equal(initialPullTimeout))
+	g.Expect(pullTimeout(pullRequest{}, false, 1, pullSlack)).To(gomega.Equal(2 * initialPullTimeout))
+	g.Expect(pullTimeout(pullRequest{}, false, 60, pullSlack)).To(gomega.Equal(pullSlack))
 }
 
-func TestWatchersEndTheirWatchesAtEvenDistances(t *testing.T) {
+func TestWatchesEndEvenlySpaced(t *testing.T) {
 	g := gomega.NewWithT(t)
 	watched := Kind{Name: kind, Fresh: testFresh}
-	period := watched.share(watchShare)
+	period := watched.fraction(watchFraction)
 	for start := time.Duration(0); start < 2*period; start += 70 * time.Millisecond {
 		for rank := range watcherCount {
 			now := time.Unix(1000, 0).Add(start)
-			hold := watchTime(watched, rank, now)
+			hold := watchHold(watched, rank, now)
 			g.Expect(hold).To(gomega.BeNumerically(">=", period/(2*watcherCount)))
 			g.Expect(hold).To(gomega.BeNumerically("<=", period+period/(2*watcherCount)))
 			end := time.Duration(now.Add(hold).UnixNano()) % period
--- a/internal/mirror/fetchmessage.go
+++ b/internal/mirror/fetchmessage.go
@@ -8,71 +8,71 @@
 	"chutelock.dev/chutelock/internal/wire"
 )
 
-// The messages of kindFetch. A fetch is a pull that may be of a part of a kind's objects,
-// and whose answer is packed: entries of engines are alike.
+// Encoding of kindFetch. A fetch is a pull that may ask for a subset of a kind's objects; its
+// response is compressed, as objects of a kind are alike.
 
 type fixedFetch struct {
 	WaitMilliseconds uint32
 	NodesDigest      uint64
-	HeadsOnly        bool
+	RevisionsOnly    bool
 }
 
-type fixedWanted struct {
+type fixedKindRequest struct {
 	At              uint64
 	AgeMilliseconds uint32
-	Part            bool
+	Subset          bool
 }
 
 type fixedShift struct{ Shift uint8 }
 
-type fixedFetched struct {
+type fixedFetchedDelta struct {
 	At, Since       uint64
 	AgeMilliseconds uint32
-	Whole, Held     bool
+	Whole, Withheld bool
 }
 
-func (p pull) marshalFetch(node, zone string) []byte {
+func (p pullRequest) marshalFetch(node, zone string) []byte {
 	fields := [][]byte{marshalNodes(p.nodes), []byte(node), []byte(zone)}
-	for kind, asked := range p.kinds {
-		fixed := fixedWanted{asked.at, uint32(asked.age.Milliseconds()), asked.part != nil}
-		wanted := [][]byte{[]byte(kind)}
-		if asked.part != nil {
-			wanted = append(wanted, marshalShifts(asked.part.shifts)...)
+	for kind, requested := range p.kinds {
+		fixed := fixedKindRequest{requested.revision, uint32(requested.age.Milliseconds()), requested.subset != nil}
+		parts := [][]byte{[]byte(kind)}
+		if requested.subset != nil {
+			parts = append(parts, marshalShifts(requested.subset.shifts)...)
 		}
-		fields = append(fields, mustMarshal(fixed, wanted...))
+		fields = append(fields, mustMarshal(fixed, parts...))
 	}
-	return mustMarshal(fixedFetch{uint32(p.wait.Milliseconds()), p.nodesDigest, p.headsOnly}, fields...)
+	return mustMarshal(fixedFetch{uint32(p.wait.Milliseconds()), p.nodesDigest, p.revisionsOnly}, fields...)
 }
 
 const fetchFields = 3
 
-func unmarshalFetch(message []byte) (pull, error) {
+func unmarshalFetch(message []byte) (pullRequest, error) {
 	var fixed fixedFetch
 	fields, err := wire.Unmarshal(message, messageVersion, &fixed, -1)
 	if err != nil {
-		return pull{}, err
+		return pullRequest{}, err
 	}
 	if len(fields) < fetchFields {
-		return pull{}, wire.ErrLength
+		return pullRequest{}, wire.ErrLength
 	}
-	request := pull{
-		wait: milliseconds(fixed.WaitMilliseconds), kinds: map[string]position{}, nodesDigest: fixed.NodesDigest, headsOnly: fixed.HeadsOnly,
+	request := pullRequest{
+		wait: milliseconds(fixed.WaitMilliseconds), kinds: map[string]position{}, nodesDigest: fixed.NodesDigest, revisionsOnly: fixed.RevisionsOnly,
 	}
 	if request.nodes, err = unmarshalNodes(fields[0]); err != nil {
-		return pull{}, err
+		return pullRequest{}, err
 	}
 	for _, field := range fields[fetchFields:] {
-		kind, asked, err := unmarshalWanted(field, string(fields[1]), string(fields[2]))
+		kind, requested, err := unmarshalKindRequest(field, string(fields[1]), string(fields[2]))
 		if err != nil {
-			return pull{}, err
+			return pullRequest{}, err
 		}
-		request.kinds[kind] = asked
+		request.kinds[kind] = requested
 	}
 	return request, nil
 }
 
-func unmarshalWanted(message []byte, node, zone string) (kind string, asked position, err error) {
-	var fixed fixedWanted
+func unmarshalKindRequest(message []byte, node, zone string) (kind string, requested position, err error) {
+	var fixed fixedKindRequest
 	fields, err := wire.Unmarshal(message, messageVersion, &fixed, -1)
 	if err != nil {
 		return "", position{}, err
@@ -80,12 +80,12 @@
 	if len(fields) == 0 {
 		return "", position{}, wire.ErrLength
 	}
-	asked = position{at: fixed.At, age: milliseconds(fixed.AgeMilliseconds)}
-	if fixed.Part {
-		asked.part = &selection{node: node, zone: zone}
-		asked.part.shifts, err = unmarshalShifts(fields[1:])
+	requested = position{revision: fixed.At, age: milliseconds(fixed.AgeMilliseconds)}
+	if fixed.Subset {
+		requested.subset = &subset{node: node, zone: zone}
+		requested.subset.shifts, err = unmarshalShifts(fields[1:])
 	}
-	return string(fields[0]), asked, err
+	return string(fields[0]), requested, err
 }
 
 func marshalShifts(shifts map[Place]uint8) [][]byte {
@@ -104,7 +104,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if fixed.Shift > shiftMost {
+		if fixed.Shift > maxShift {
 			return nil, wire.ErrLength
 		}
 		shifts[Place{string(parts[0]), string(parts[1])}] = fixed.Shift
@@ -112,65 +112,65 @@
 	return shifts, nil
 }
 
-// marshalFetched encodes an answer, whose deltas have their blocks.
-func (a answer) marshalFetched() []byte {
-	fields := [][]byte{pack(marshalNodes(a.nodes))}
-	for _, delta := range a.deltas {
-		fixed := fixedFetched{delta.At, delta.Since, uint32(delta.age.Milliseconds()), delta.Whole, delta.held}
-		parts := append([][]byte{[]byte(delta.Kind), delta.block}, marshalShifts(delta.shifts)...)
+// marshalFetched encodes a response whose deltas have been encoded by snapshotCache.encode.
+func (r pullResponse) marshalFetched() []byte {
+	fields := [][]byte{pack(marshalNodes(r.nodes))}
+	for _, delta := range r.deltas {
+		fixed := fixedFetchedDelta{delta.At, delta.Since, uint32(delta.age.Milliseconds()), delta.Whole, delta.withheld}
+		parts := append([][]byte{[]byte(delta.Kind), delta.encoded}, marshalShifts(delta.shifts)...)
 		fields = append(fields, mustMarshal(fixed, parts...))
 	}
-	return mustMarshal(fixedAnswer{}, fields...)
+	return mustMarshal(fixedEmpty{}, fields...)
 }
 
-func unmarshalFetched(message []byte) (answer, error) {
-	fields, err := wire.Unmarshal(message, messageVersion, &fixedAnswer{}, -1)
+func unmarshalFetched(message []byte) (pullResponse, error) {
+	fields, err := wire.Unmarshal(message, messageVersion, &fixedEmpty{}, -1)
 	if err != nil {
-		return answer{}, err
+		return pullResponse{}, err
 	}
 	if len(fields) == 0 {
-		return answer{}, wire.ErrLength
+		return pullResponse{}, wire.ErrLength
 	}
 	nodes, err := unpack(fields[0])
 	if err != nil {
-		return answer{}, err
+		return pullResponse{}, err
 	}
-	var a answer
-	if a.nodes, err = unmarshalNodes(nodes); err != nil {
-		return answer{}, err
+	var response pullResponse
+	if response.nodes, err = unmarshalNodes(nodes); err != nil {
+		return pullResponse{}, err
 	}
 	for _, field := range fields[1:] {
 		delta, err := unmarshalFetchedDelta(field)
 		if err != nil {
-			return answer{}, err
+			return pullResponse{}, err
 		}
-		a.deltas = append(a.deltas, delta)
+		response.deltas = append(response.deltas, delta)
 	}
-	return a, nil
+	return response, nil
 }
 
-func unmarshalFetchedDelta(message []byte) (agedDelta, error) {
-	var fixed fixedFetched
+func unmarshalFetchedDelta(message []byte) (responseDelta, error) {
+	var fixed fixedFetchedDelta
 	fields, err := wire.Unmarshal(message, messageVersion, &fixed, -1)
 	if err != nil {
-		return agedDelta{}, err
+		return responseDelta{}, err
 	}
 	if len(fields) < 2 {
-		return agedDelta{}, wire.ErrLength
+		return responseDelta{}, wire.ErrLength
 	}
-	delta := agedDelta{
+	delta := responseDelta{
 		Delta: Delta{Kind: string(fields[0]), At: fixed.At, Since: fixed.Since, Whole: fixed.Whole},
-		age:   time.Duration(fixed.AgeMilliseconds) * time.Millisecond, held: fixed.Held,
+		age:   time.Duration(fixed.AgeMilliseconds) * time.Millisecond, withheld: fixed.Withheld,
 	}
 	if delta.shifts, err = unmarshalShifts(fields[2:]); err != nil {
-		return agedDelta{}, err
+		return responseDelta{}, err
 	}
 	delta.Objects, err = unpackObjects(fields[1])
 	return delta, err
 }
 
-// unpackedMost bounds what a packed part of an answer may be unpacked, in bytes.
-const unpackedMost = 256 << 20
+// maxUnpackedSize bounds the decompressed size of a part of a response, in bytes.
+const maxUnpackedSize = 256 << 20
 
 func pack(plain []byte) []byte { return s2.EncodeBetter(nil, plain) }
 
@@ -179,13 +179,13 @@
 	if err != nil {
 		return nil, err
 	}
-	if size > unpackedMost {
+	if size > maxUnpackedSize {
 		return nil, wire.ErrLength
 	}
 	return s2.Decode(nil, packed)
 }
 
-// packObjects encodes objects; none are nothing.
+// packObjects encodes and compresses objects; the result for no objects is nil.
 func packObjects(objects []Object) []byte {
 	if len(objects) == 0 {
 		return nil
@@ -194,18 +194,18 @@
 	for _, object := range objects {
 		fields = append(fields, marshalObject(object))
 	}
-	return pack(mustMarshal(fixedAnswer{}, fields...))
+	return pack(mustMarshal(fixedEmpty{}, fields...))
 }
 
-func unpackObjects(block []byte) ([]Object, error) {
-	if len(block) == 0 {
+func unpackObjects(packed []byte) ([]Object, error) {
+	if len(packed) == 0 {
 		return nil, nil
 	}
-	plain, err := unpack(block)
+	plain, err := unpack(packed)
 	if err != nil {
 		return nil, err
 	}
-	fields, err := wire.Unmarshal(plain, messageVersion, &fixedAnswer{}, -1)
+	fields, err := wire.Unmarshal(plain, messageVersion, &fixedEmpty{}, -1)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/mirror/freshness.go
+++ b/internal/mirror/freshness.go
@@ -2,68 +2,67 @@
 
 import "time"
 
-// The shares of a kind's Fresh bound that its parts may take. Together they
-// leave room for the last call itself.
+// Fractions of a kind's Fresh that the steps of propagating a change may take. Together they
+// leave room for the last call.
 const (
-	// watchShare is the period of a watcher's calls: with watcherCount watchers
-	// at even distances, one of them hears from the store every quarter of Fresh.
-	watchShare = 0.75
-	// watchSlackShare is how much longer than asked a watch may take before the
-	// path to the store counts as broken.
-	watchSlackShare = 0.2
-	// staleShare is the age from which on a node reads the store by itself,
-	// whoever should have told it; jitterShare spreads the nodes after that.
-	staleShare  = 0.6
-	jitterShare = 0.15
-	// firstShare is how long a node that is no data node lets its peers tell it
-	// what there is, before it lists that itself.
-	firstShare = 0.4
-	// patienceShare is how much longer it does while peers answer that know nothing yet.
-	patienceShare = 0.6
-	// newsShare is how long a watcher rests after news before it asks for more, so
-	// that changes that follow each other closely cost one call together.
-	newsShare = 0.05
-	// tellShare is the least gain in age that is worth an answer to a data node, and
-	// frontTellShare one to another node: data nodes hand ages on.
-	tellShare      = 0.1
-	frontTellShare = 0.2
+	// watchFraction is the period of a watcher's calls. As watcherCount watchers are evenly
+	// spaced, one of them hears from the store every quarter of Fresh.
+	watchFraction = 0.75
+	// watchSlackFraction is how much longer than its hold a watch may take before it fails.
+	watchSlackFraction = 0.2
+	// staleFraction is the age from which a node reads the store itself; jitterFraction spreads
+	// the nodes' reads after that.
+	staleFraction  = 0.6
+	jitterFraction = 0.15
+	// listDelayFraction is how long an unsynced node that is no watcher waits for its peers
+	// before it lists a kind itself.
+	listDelayFraction = 0.4
+	// extraListDelayFraction is added while peers answer that are unsynced too.
+	extraListDelayFraction = 0.6
+	// changePauseFraction is how long a watcher pauses after changes, so that changes in quick
+	// succession are read by one call.
+	changePauseFraction = 0.05
+	// minAgeGainFraction is the least reduction of age that ends a data node's pull, and
+	// frontMinAgeGainFraction that for a front node. It is less for data nodes as they pass
+	// confirmations on.
+	minAgeGainFraction      = 0.1
+	frontMinAgeGainFraction = 0.2
 )
 
 const (
-	// surveyTime is how long a data node that knows of no other one waits for them to be
-	// heard of before it takes itself for a watcher: all nodes start within 0.3 s.
-	surveyTime = 500 * time.Millisecond
-	// answeredLately is how long ago a peer's last answer may be for its node to wait on
-	// peers.
-	answeredLately = time.Second
+	// registryGrace is how long a data node that knows no other one waits to learn of them
+	// before it acts as a watcher.
+	registryGrace = 500 * time.Millisecond
+	// recentPeerResponse is the age up to which a peer's last response counts as recent.
+	recentPeerResponse = time.Second
 )
 
 // watcherCount is the number of data nodes that watch the store at a time.
 const watcherCount = 3
 
-// Kind is a kind of objects that an agent mirrors.
+// Kind configures the mirroring of a kind of objects.
 type Kind struct {
 	Name string
-	// Fresh is the time within which a change in the store is to be known on
-	// every node that can reach the store or a peer.
+	// Fresh is the time within which a change in the store must be known on every node that
+	// can reach the store or a peer.
 	Fresh time.Duration
-	// Place reads of an object's content which nodes are to know it; nil if all are to
-	// know all objects. See selection.
+	// Place reads an object's place from its content, which decides which nodes mirror the
+	// object; nil if all nodes mirror all objects. See subset.
 	Place func(content []byte) Place
 }
 
-func (k Kind) share(of float64) time.Duration { return time.Duration(of * float64(k.Fresh)) }
+func (k Kind) fraction(f float64) time.Duration { return time.Duration(f * float64(k.Fresh)) }
 
-// freshness holds, by kind, when a table was last known to have all that the
-// store had. It is not safe for concurrent use.
+// freshness holds, by kind, the time at which the table was last known to match the store. It
+// is not safe for concurrent use.
 type freshness struct {
 	confirmed map[string]time.Time
 }
 
 func newFreshness() *freshness { return &freshness{confirmed: map[string]time.Time{}} }
 
-// confirm notes that the table had all at a time. It returns whether that is
-// news.
+// confirm records that the table matched the store at a time, and reports whether that is later
+// than recorded before.
 func (f *freshness) confirm(kind string, at time.Time) bool {
 	if !at.After(f.confirmed[kind]) {
 		return false
@@ -72,37 +71,36 @@
 	return true
 }
 
-// known says whether a kind was ever confirmed.
-func (f *freshness) known(kind string) bool { return !f.confirmed[kind].IsZero() }
+// everConfirmed says whether a kind was ever confirmed.
+func (f *freshness) everConfirmed(kind string) bool { return !f.confirmed[kind].IsZero() }
 
-// age is how old the newest confirmation is; ages beyond ageMost, and those of
-// kinds that were never confirmed, are ageMost.
+// age returns the time since the last confirmation, at most maxAge. It is maxAge for kinds that
+// were never confirmed.
 func (f *freshness) age(kind string, now time.Time) time.Duration {
 	at, known := f.confirmed[kind]
 	if !known {
-		return ageMost
+		return maxAge
 	}
-	return min(max(0, now.Sub(at)), ageMost)
+	return min(max(0, now.Sub(at)), maxAge)
 }
 
-// ageMost is the oldest age that is told.
-const ageMost = time.Hour
+// maxAge is the largest age that is reported to peers.
+const maxAge = time.Hour
 
-// stale says whether a node whose draw is in [0, 1) must read the store itself.
-func stale(kind Kind, age time.Duration, draw float64) bool {
-	return age >= kind.share(staleShare+jitterShare*draw)
+// stale says whether a node must read the store itself; its jitter is in [0, 1).
+func stale(kind Kind, age time.Duration, jitter float64) bool {
+	return age >= kind.fraction(staleFraction+jitterFraction*jitter)
 }
 
-// watchTime is how long the watcher of a rank holds its next watch. Watchers
-// end theirs at even distances within the period, so that one of them hears
-// from the store soon after the other, also after a change has ended all
-// watches at once.
-func watchTime(kind Kind, rank int, now time.Time) time.Duration {
-	period := kind.share(watchShare)
-	slot := period * time.Duration(rank) / watcherCount
-	left := (slot - time.Duration(now.UnixNano())%period + 2*period) % period
-	if left < period/(2*watcherCount) {
-		left += period
+// watchHold returns how long the watcher of a rank asks the store to hold its next watch.
+// Watchers end their watches at evenly spaced times of the period, also after a change has
+// ended all watches at once.
+func watchHold(kind Kind, rank int, now time.Time) time.Duration {
+	period := kind.fraction(watchFraction)
+	offset := period * time.Duration(rank) / watcherCount
+	hold := (offset - time.Duration(now.UnixNano())%period + 2*period) % period
+	if hold < period/(2*watcherCount) {
+		hold += period
 	}
-	return left
+	return hold
 }
--- a/internal/mirror/message.go
+++ b/internal/mirror/message.go
@@ -7,10 +7,10 @@
 	"chutelock.dev/chutelock/internal/wire"
 )
 
-// Message kinds between nodes.
+// Transport kinds of the calls between nodes.
 const (
-	// kindPull is what builds ask that don't know kindFetch; its answers have all objects
-	// that changed, as they are.
+	// kindPull is used by peers of an earlier version, which don't know kindFetch. Its
+	// responses are uncompressed and never restricted to a subset.
 	kindPull transport.Kind = transport.KindMirror + iota
 	kindFetch
 )
@@ -22,7 +22,7 @@
 	NodesDigest      uint64
 }
 
-type fixedAnswer struct{}
+type fixedEmpty struct{}
 
 type fixedPosition struct {
 	At              uint64
@@ -40,115 +40,115 @@
 	Gone     bool
 }
 
-// position is how far a node is with a kind.
+// position is a node's state of a kind: its revision and the age of its last confirmation.
 type position struct {
-	at  uint64
-	age time.Duration
-	// part is what the node takes of the kind; nil is all. Only a fetch tells it.
-	part *selection
+	revision uint64
+	age      time.Duration
+	// subset is the part of the kind that the node keeps; nil if all. Sent in fetches only.
+	subset *subset
 }
 
-// pull asks a peer for what it knows beyond the given positions.
-type pull struct {
+// pullRequest asks a peer for what it has beyond the given positions.
+type pullRequest struct {
 	wait  time.Duration
 	kinds map[string]position
 	// nodes are data nodes that the peer may not know.
 	nodes []Node
-	// nodesDigest stands for the data nodes that the asking node knows.
+	// nodesDigest is the digest of the data nodes that the sender knows.
 	nodesDigest uint64
-	// headsOnly asks how far the peer is, and for no objects. Only a fetch tells it.
-	headsOnly bool
+	// revisionsOnly asks for revisions without objects. Sent in fetches only.
+	revisionsOnly bool
 }
 
-func (p pull) marshal() []byte {
+func (p pullRequest) marshal() []byte {
 	fields := [][]byte{marshalNodes(p.nodes)}
 	for kind, position := range p.kinds {
-		fixed := fixedPosition{position.at, uint32(position.age.Milliseconds())}
+		fixed := fixedPosition{position.revision, uint32(position.age.Milliseconds())}
 		fields = append(fields, mustMarshal(fixed, []byte(kind)))
 	}
 	return mustMarshal(fixedPull{uint32(p.wait.Milliseconds()), p.nodesDigest}, fields...)
 }
 
-func unmarshalPull(message []byte) (pull, error) {
+func unmarshalPull(message []byte) (pullRequest, error) {
 	var fixed fixedPull
 	fields, err := wire.Unmarshal(message, messageVersion, &fixed, -1)
 	if err != nil {
-		return pull{}, err
+		return pullRequest{}, err
 	}
 	if len(fields) == 0 {
-		return pull{}, wire.ErrLength
+		return pullRequest{}, wire.ErrLength
 	}
-	request := pull{
+	request := pullRequest{
 		wait: milliseconds(fixed.WaitMilliseconds), kinds: map[string]position{}, nodesDigest: fixed.NodesDigest,
 	}
 	if request.nodes, err = unmarshalNodes(fields[0]); err != nil {
-		return pull{}, err
+		return pullRequest{}, err
 	}
 	for _, field := range fields[1:] {
-		var asked fixedPosition
-		kind, err := wire.Unmarshal(field, messageVersion, &asked, 1)
+		var fixedPos fixedPosition
+		kind, err := wire.Unmarshal(field, messageVersion, &fixedPos, 1)
 		if err != nil {
-			return pull{}, err
+			return pullRequest{}, err
 		}
-		request.kinds[string(kind[0])] = position{at: asked.At, age: milliseconds(asked.AgeMilliseconds)}
+		request.kinds[string(kind[0])] = position{revision: fixedPos.At, age: milliseconds(fixedPos.AgeMilliseconds)}
 	}
 	return request, nil
 }
 
 func milliseconds(count uint32) time.Duration { return time.Duration(count) * time.Millisecond }
 
-// agedDelta is a delta with the age of its confirmation.
-type agedDelta struct {
+// responseDelta is a delta with the age of its confirmation.
+type responseDelta struct {
 	Delta
 	age time.Duration
-	// shifts are of the part that the objects belong to, if the asking node takes one.
+	// shifts are those of the subset that the objects belong to, if the requester keeps one.
 	shifts map[Place]uint8
-	// held says that there are objects that were not asked for.
-	held bool
-	// all says that the objects are not only those of the asking node's part: the peer is
-	// of an earlier version.
-	all bool
-	// block holds the objects as they are encoded already; nil if they are not.
-	block []byte
+	// withheld says that objects were left out because only revisions were requested.
+	withheld bool
+	// unfiltered says that the objects are not restricted to the requester's subset, as the
+	// peer is of an earlier version.
+	unfiltered bool
+	// encoded holds the compressed objects in a response to a fetch; nil if there are none.
+	encoded []byte
 }
 
-// answer carries what the asking node lacks.
-type answer struct {
+// pullResponse carries what the requester lacks.
+type pullResponse struct {
 	nodes  []Node
-	deltas []agedDelta
+	deltas []responseDelta
 }
 
-func (a answer) marshal() []byte {
-	fields := [][]byte{marshalNodes(a.nodes)}
-	for _, delta := range a.deltas {
+func (r pullResponse) marshal() []byte {
+	fields := [][]byte{marshalNodes(r.nodes)}
+	for _, delta := range r.deltas {
 		fields = append(fields, marshalDelta(delta))
 	}
-	return mustMarshal(fixedAnswer{}, fields...)
+	return mustMarshal(fixedEmpty{}, fields...)
 }
 
-func unmarshalAnswer(message []byte) (answer, error) {
-	fields, err := wire.Unmarshal(message, messageVersion, &fixedAnswer{}, -1)
+func unmarshalPullResponse(message []byte) (pullResponse, error) {
+	fields, err := wire.Unmarshal(message, messageVersion, &fixedEmpty{}, -1)
 	if err != nil {
-		return answer{}, err
+		return pullResponse{}, err
 	}
 	if len(fields) == 0 {
-		return answer{}, wire.ErrLength
+		return pullResponse{}, wire.ErrLength
 	}
-	var a answer
-	if a.nodes, err = unmarshalNodes(fields[0]); err != nil {
-		return answer{}, err
+	var response pullResponse
+	if response.nodes, err = unmarshalNodes(fields[0]); err != nil {
+		return pullResponse{}, err
 	}
 	for _, field := range fields[1:] {
 		delta, err := unmarshalDelta(field)
 		if err != nil {
-			return answer{}, err
+			return pullResponse{}, err
 		}
-		a.deltas = append(a.deltas, delta)
+		response.deltas = append(response.deltas, delta)
 	}
-	return a, nil
+	return response, nil
 }
 
-func marshalDelta(delta agedDelta) []byte {
+func marshalDelta(delta responseDelta) []byte {
 	fields := [][]byte{[]byte(delta.Kind)}
 	for _, object := range delta.Objects {
 		fields = append(fields, marshalObject(object))
@@ -156,23 +156,23 @@
 	return mustMarshal(fixedDelta{delta.At, delta.Since, uint32(delta.age.Milliseconds()), delta.Whole}, fields...)
 }
 
-func unmarshalDelta(message []byte) (agedDelta, error) {
+func unmarshalDelta(message []byte) (responseDelta, error) {
 	var fixed fixedDelta
 	fields, err := wire.Unmarshal(message, messageVersion, &fixed, -1)
 	if err != nil {
-		return agedDelta{}, err
+		return responseDelta{}, err
 	}
 	if len(fields) == 0 {
-		return agedDelta{}, wire.ErrLength
+		return responseDelta{}, wire.ErrLength
 	}
-	delta := agedDelta{
+	delta := responseDelta{
 		Delta: Delta{Kind: string(fields[0]), At: fixed.At, Since: fixed.Since, Whole: fixed.Whole},
 		age:   milliseconds(fixed.AgeMilliseconds),
 	}
 	for _, field := range fields[1:] {
 		object, err := unmarshalObject(field)
 		if err != nil {
-			return agedDelta{}, err
+			return responseDelta{}, err
 		}
 		delta.Objects = append(delta.Objects, object)
 	}
@@ -205,11 +205,11 @@
 	for _, node := range nodes {
 		fields = append(fields, marshalNode(node))
 	}
-	return mustMarshal(fixedAnswer{}, fields...)
+	return mustMarshal(fixedEmpty{}, fields...)
 }
 
 func unmarshalNodes(message []byte) ([]Node, error) {
-	fields, err := wire.Unmarshal(message, messageVersion, &fixedAnswer{}, -1)
+	fields, err := wire.Unmarshal(message, messageVersion, &fixedEmpty{}, -1)
 	if err != nil {
 		return nil, err
 	}
@@ -231,7 +231,7 @@
 func mustMarshal(fixed any, fields ...[]byte) []byte {
 	encoded, err := wire.Marshal(messageVersion, fixed, fields...)
 	if err != nil {
-		panic(err) // a struct of this file is not of fixed size
+		panic(err) // the struct is not of fixed size
 	}
 	return encoded
 }
--- a/internal/mirror/pulls.go
+++ b/internal/mirror/pulls.go
@@ -15,35 +15,35 @@
 )
 
 const (
-	// pullWait is how long a peer holds a pull that has nothing to answer.
+	// pullWait is how long a peer holds a pull while it has nothing to send.
 	pullWait = 2 * time.Second
-	// staleWait is the same for a node whose facts are old, or soon will be: the
-	// peer may have no way to the store either, while others do.
-	staleWait = pullWait / 4
-	// pullSlack is how much longer a pull may take.
+	// stalePullWait is the same for a node whose data is stale or about to be: the peer may
+	// not reach the store either, while others do.
+	stalePullWait = pullWait / 4
+	// pullSlack is added to a pull's wait to get its timeout.
 	pullSlack = 600 * time.Millisecond
 	// pullRetry is the pause after a failed pull.
 	pullRetry = 150 * time.Millisecond
-	// firstPullSlack is how long the first pull of a node that knows nothing may
-	// take, and firstPullRetry the pause after it: such a node serves nobody, and
-	// its seeds may be down.
-	firstPullSlack = 150 * time.Millisecond
-	firstPullRetry = 40 * time.Millisecond
-	// fillTimeMost bounds a pull of a data node that knows nothing, after others failed: one
-	// data node may hand 10,000 entries to thirty others at once. An estimate.
-	fillTimeMost = 4 * time.Second
-	// headsGrace is how long a node that hears that there is news waits for it from the
-	// peer of its zone before it asks who told it, and fillGrace the same for a data node
-	// that knows nothing, which gets all there is.
-	headsGrace = 100 * time.Millisecond
-	fillGrace  = 600 * time.Millisecond
-	// peerMemory is how long a node remembers a peer that asked it, and plainMemory that
-	// one is of an earlier version.
-	peerMemory  = 30 * time.Second
-	plainMemory = 10 * time.Second
+	// initialPullTimeout bounds the first pull of an unsynced node, and initialPullRetry is
+	// the pause after its failure. Both are short because such a node can't serve and its
+	// seeds may be down.
+	initialPullTimeout = 150 * time.Millisecond
+	initialPullRetry   = 40 * time.Millisecond
+	// dataNodeInitialPullTimeout bounds an unsynced data node's pulls after failures: one data
+	// node may send large snapshots to many others at once.
+	dataNodeInitialPullTimeout = 4 * time.Second
+	// relayGrace is how long a node that learns of a later revision waits to get it from its
+	// zone's upstream before it pulls from the peer that reported it. initialRelayGrace is the
+	// same for an unsynced data node, which gets a snapshot.
+	relayGrace        = 100 * time.Millisecond
+	initialRelayGrace = 600 * time.Millisecond
+	// peerTTL is how long a node remembers a peer that pulled from it, and legacyPeerTTL that
+	// a peer is of an earlier version.
+	peerTTL       = 30 * time.Second
+	legacyPeerTTL = 10 * time.Second
 )
 
-// digest is equal for equal sets of nodes.
+// digest returns a hash that is equal for equal sets of nodes.
 func digest(nodes map[string]Node) uint64 {
 	names := make([]string, 0, len(nodes))
 	for name := range nodes {
@@ -57,9 +57,9 @@
 	return hash.Sum64()
 }
 
-func (a *Agent) learnNodes(nodes []Node) {
+func (a *Agent) addNodes(nodes []Node) {
 	a.mutex.Lock()
-	var news []Node
+	var added []Node
 	for _, node := range nodes {
 		known, found := a.nodes[node.Name]
 		if node.Name == a.options.Self.Name || (found && known.Started >= node.Started) {
@@ -68,168 +68,167 @@
 		a.nodes[node.Name] = node
 		delete(a.failing, node.Address)
 		if !found || known.Address != node.Address {
-			news = append(news, node)
+			added = append(added, node)
 		}
 	}
 	if len(nodes) > 0 {
 		a.nodesDigest = digest(a.nodes)
 	}
 	a.mutex.Unlock()
-	for _, node := range news {
+	for _, node := range added {
 		eventNodeSeen.Info("node", node.Name, "peer", node.Address, "zone", node.Zone)
 	}
 }
 
-// Askers lists the nodes that asked this one lately.
+// Askers lists the nodes that pulled from this one within peerTTL.
 func (a *Agent) Askers() []transport.Address {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	askers := make([]transport.Address, 0, len(a.peers))
 	for peer, at := range a.peers {
-		if clock.Since(at) <= peerMemory {
+		if clock.Since(at) <= peerTTL {
 			askers = append(askers, peer)
 		}
 	}
 	return askers
 }
 
-func (a *Agent) rememberPeer(peer transport.Address) {
+func (a *Agent) recordPeer(peer transport.Address) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.peers[peer] = clock.Now()
 	delete(a.failing, peer)
 	for other, at := range a.peers {
-		if clock.Since(at) > peerMemory {
+		if clock.Since(at) > peerTTL {
 			delete(a.peers, other)
 		}
 	}
 }
 
-// pullLoop waits on one peer after the other: of a zone, from which news is taken, or of
-// any if no zone is given, which tells only that there is some.
+// pullLoop pulls from one peer at a time. With a zone it takes objects from upstreams of that
+// zone. Without one it pulls from any zone and asks for revisions only.
 func (a *Agent) pullLoop(zone string) {
 	failures := 0
 	for a.running.Err() == nil {
 		peer, found := a.pickPeer(zone)
 		if !found {
-			a.pause(firstPullRetry)
+			a.pause(initialPullRetry)
 			continue
 		}
-		request, known := a.pullRequest()
-		request.headsOnly = zone == ""
-		err := a.pullFrom(peer, request, known, failures)
-		a.notePull(peer, err)
+		request, synced := a.newPullRequest()
+		request.revisionsOnly = zone == ""
+		err := a.pullFrom(peer, request, synced, failures)
+		a.recordPullResult(peer, err)
 		switch {
 		case err == nil:
 			failures = 0
-		case errors.Is(err, errOwnNews):
-		case known:
+		case errors.Is(err, errPositionsAdvanced):
+		case synced:
 			a.pause(pullRetry)
 		default:
 			failures++
-			a.pause(firstPullRetry)
+			a.pause(initialPullRetry)
 		}
 	}
 }
 
-// pullTime bounds a pull: a node that knows nothing waits shortly at first, and
-// longer with each failure in a row, up to most.
-func pullTime(request pull, known bool, failures int, most time.Duration) time.Duration {
-	if known {
+// pullTimeout bounds a pull. An unsynced node starts with a short timeout, which doubles with
+// each failure in a row up to limit.
+func pullTimeout(request pullRequest, synced bool, failures int, limit time.Duration) time.Duration {
+	if synced {
 		return request.wait + pullSlack
 	}
-	return min(firstPullSlack<<min(failures, 8), most)
+	return min(initialPullTimeout<<min(failures, 8), limit)
 }
 
-// fillTime is the most that a pull of this node may take while it knows nothing.
-func (a *Agent) fillTime() time.Duration {
+// maxInitialPullTimeout bounds this node's pulls while it is unsynced.
+func (a *Agent) maxInitialPullTimeout() time.Duration {
 	if a.options.DataNode {
-		return fillTimeMost
+		return dataNodeInitialPullTimeout
 	}
 	return pullSlack
 }
 
-// errKnowsNothing says that a peer answered but left this node without some kind.
-var errKnowsNothing = errors.New("the peer doesn't know all yet")
+// errPeerIncomplete says that a peer answered but this node still lacks some kind.
+var errPeerIncomplete = errors.New("the peer does not have every kind yet")
 
-// notePull remembers whether a peer answers.
-func (a *Agent) notePull(peer transport.Address, err error) {
-	if errors.Is(err, errOwnNews) {
+// recordPullResult records whether a peer answers.
+func (a *Agent) recordPullResult(peer transport.Address, err error) {
+	if errors.Is(err, errPositionsAdvanced) {
 		return
 	}
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	was := a.failing[peer]
-	if err == nil || errors.Is(err, errKnowsNothing) {
-		a.answeredAt = clock.Now()
+	alreadyFailing := a.failing[peer]
+	if err == nil || errors.Is(err, errPeerIncomplete) {
+		a.lastPeerResponse = clock.Now()
 		delete(a.failing, peer)
 		return
 	}
 	a.failing[peer] = true
-	if !was && a.running.Err() == nil {
+	if !alreadyFailing && a.running.Err() == nil {
 		eventPeerFailing.Info("peer", peer, "cause", err)
 	}
 }
 
-// holdTime is how long a peer may hold a pull: not beyond the moment at which
-// this node's facts are so old that others should be asked. The caller holds the
-// mutex.
-func (a *Agent) holdTime(now time.Time) time.Duration {
+// maxHold returns how long a peer may hold a pull: at most until this node's data gets stale,
+// when it should ask others. The caller holds the mutex.
+func (a *Agent) maxHold(now time.Time) time.Duration {
 	hold := pullWait
 	for _, kind := range a.options.Kinds {
-		hold = min(hold, kind.share(staleShare)-a.fresh.age(kind.Name, now))
+		hold = min(hold, kind.fraction(staleFraction)-a.fresh.age(kind.Name, now))
 	}
-	return max(hold, staleWait)
+	return max(hold, stalePullWait)
 }
 
-// pullFrom asks a peer. known says whether this node knew something before;
-// failures is how many pulls failed in a row.
-func (a *Agent) pullFrom(peer transport.Address, request pull, known bool, failures int) error {
-	asked := clock.Now()
-	pulling := a.pullContext()
-	reply, err := a.ask(pulling, peer, request, pullTime(request, known, failures, a.fillTime()))
-	if errors.Is(context.Cause(pulling), errOwnNews) && err != nil {
-		return errOwnNews
+// pullFrom pulls from a peer. synced says whether this node was synced before; failures counts
+// the failed pulls in a row.
+func (a *Agent) pullFrom(peer transport.Address, request pullRequest, synced bool, failures int) error {
+	started := clock.Now()
+	ctx := a.currentPullContext()
+	response, err := a.sendPull(ctx, peer, request, pullTimeout(request, synced, failures, a.maxInitialPullTimeout()))
+	if errors.Is(context.Cause(ctx), errPositionsAdvanced) && err != nil {
+		return errPositionsAdvanced
 	}
 	if err != nil {
 		return trace.Wrap(err, "pull from peer %s", peer)
 	}
-	// An answer that lay here while this process stood still is no newer than what the
-	// peer knew when it had held the pull for as long as it may.
-	answered := asked.Add(min(clock.Since(asked), request.wait+pullSlack))
-	a.learnNodes(reply.nodes)
-	for _, delta := range reply.deltas {
-		if !delta.held {
-			a.take("peer", delta, request, answered.Add(-delta.age))
+	// If this process was paused after the response arrived, the response may be old: assume
+	// that the peer held the pull no longer than it was allowed to.
+	answered := started.Add(min(clock.Since(started), request.wait+pullSlack))
+	a.addNodes(response.nodes)
+	for _, delta := range response.deltas {
+		if !delta.withheld {
+			a.mergeResponse("peer", delta, request, answered.Add(-delta.age))
 		}
 	}
-	if a.lacks(reply, known) {
-		rest, _ := a.pullRequest()
-		rest.wait = 0
-		return a.pullFrom(peer, rest, known, failures)
+	if a.stillMissing(response, synced) {
+		retry, _ := a.newPullRequest()
+		retry.wait = 0
+		return a.pullFrom(peer, retry, synced, failures)
 	}
-	// A peer may know some kinds only, or mirror fewer: it isn't asked again at once.
-	if !known && !a.knowsAll() {
-		return trace.Wrap(errKnowsNothing, "pull from peer %s", peer)
+	// A peer may be unsynced or mirror fewer kinds. The error makes the caller pause first.
+	if !synced && !a.isSynced() {
+		return trace.Wrap(errPeerIncomplete, "pull from peer %s", peer)
 	}
 	return nil
 }
 
-// lacks says whether this node still has not what a peer has told to be there, once it
-// had time to come from another one.
-func (a *Agent) lacks(reply answer, known bool) bool {
-	grace := headsGrace
-	if !known && a.options.DataNode {
-		grace = fillGrace
+// stillMissing says whether this node still lacks something that a peer withheld, after a grace
+// time in which it may come from another peer.
+func (a *Agent) stillMissing(response pullResponse, synced bool) bool {
+	grace := relayGrace
+	if !synced && a.options.DataNode {
+		grace = initialRelayGrace
 	}
 	behind := func() bool {
-		return slices.ContainsFunc(reply.deltas, func(delta agedDelta) bool { return delta.held && a.position(delta.Kind) < delta.At })
+		return slices.ContainsFunc(response.deltas, func(delta responseDelta) bool { return delta.withheld && a.revision(delta.Kind) < delta.At })
 	}
 	return !a.awaitUntil(clock.Now().Add(grace), func() bool { return !behind() })
 }
 
-// awaitUntil waits until a condition holds that a change here may bring about; false if the
-// time is over before. It ends with the agent.
+// awaitUntil waits for a condition that depends on the table. It returns false if the condition
+// doesn't hold by end, and true if the agent stops.
 func (a *Agent) awaitUntil(end time.Time, holds func() bool) bool {
 	for !holds() && a.running.Err() == nil {
 		left := clock.Until(end)
@@ -241,12 +240,12 @@
 	return true
 }
 
-// awaitChange waits until something changed or was confirmed here, for a time at most.
-func (a *Agent) awaitChange(most time.Duration) {
+// awaitChange waits for a change or a confirmation, up to limit.
+func (a *Agent) awaitChange(limit time.Duration) {
 	a.mutex.Lock()
 	changed := a.changed
 	a.mutex.Unlock()
-	timer := time.NewTimer(most)
+	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
 	case <-changed:
@@ -255,87 +254,87 @@
 	}
 }
 
-// ask sends a request as the peer understands it.
-func (a *Agent) ask(ctx context.Context, peer transport.Address, request pull, timeout time.Duration) (answer, error) {
+// sendPull sends a request in the encoding that the peer understands.
+func (a *Agent) sendPull(ctx context.Context, peer transport.Address, request pullRequest, timeout time.Duration) (pullResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	if a.isPlain(peer) {
-		return a.askPlain(ctx, peer, request)
+	if a.isLegacy(peer) {
+		return a.pullLegacy(ctx, peer, request)
 	}
 	self := a.options.Self
 	encoded, err := a.options.Sender.Call(ctx, peer, kindFetch, request.marshalFetch(self.Name, self.Zone))
 	if transport.Unhandled(err) {
-		a.notePlain(peer)
-		return a.askPlain(ctx, peer, request)
+		a.markLegacy(peer)
+		return a.pullLegacy(ctx, peer, request)
 	}
 	if err != nil {
-		return answer{}, err
+		return pullResponse{}, err
 	}
 	return unmarshalFetched(encoded)
 }
 
-// askPlain asks a peer of an earlier version, which tells all objects.
-func (a *Agent) askPlain(ctx context.Context, peer transport.Address, request pull) (answer, error) {
+// pullLegacy pulls from a peer of an earlier version, which sends all objects.
+func (a *Agent) pullLegacy(ctx context.Context, peer transport.Address, request pullRequest) (pullResponse, error) {
 	encoded, err := a.options.Sender.Call(ctx, peer, kindPull, request.marshal())
 	if err != nil {
-		return answer{}, err
+		return pullResponse{}, err
 	}
-	reply, err := unmarshalAnswer(encoded)
-	for i := range reply.deltas {
-		reply.deltas[i].all = true
+	response, err := unmarshalPullResponse(encoded)
+	for i := range response.deltas {
+		response.deltas[i].unfiltered = true
 	}
-	return reply, err
+	return response, err
 }
 
-func (a *Agent) isPlain(peer transport.Address) bool {
+func (a *Agent) isLegacy(peer transport.Address) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	at, plain := a.plain[peer]
-	if plain && clock.Since(at) > plainMemory {
-		delete(a.plain, peer)
+	at, legacy := a.legacy[peer]
+	if legacy && clock.Since(at) > legacyPeerTTL {
+		delete(a.legacy, peer)
 		return false
 	}
-	return plain
+	return legacy
 }
 
-func (a *Agent) notePlain(peer transport.Address) {
+func (a *Agent) markLegacy(peer transport.Address) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.plain[peer] = clock.Now()
+	a.legacy[peer] = clock.Now()
 }
 
-// knowsAll says whether this node knows something of each kind.
-func (a *Agent) knowsAll() bool {
+// isSynced says whether this node has some revision of each kind.
+func (a *Agent) isSynced() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	return a.hasAll()
+	return a.isSyncedLocked()
 }
 
-// hasAll is knowsAll; the caller holds the mutex.
-func (a *Agent) hasAll() bool {
-	return !slices.ContainsFunc(a.options.Kinds, func(kind Kind) bool { return a.table.At(kind.Name) == 0 })
+// isSyncedLocked is isSynced for callers that hold the mutex.
+func (a *Agent) isSyncedLocked() bool {
+	return !slices.ContainsFunc(a.options.Kinds, func(kind Kind) bool { return a.table.Revision(kind.Name) == 0 })
 }
 
-// pullRequest says what this node has. known is false while it has nothing,
-// and then the peer is not to hold the pull.
-func (a *Agent) pullRequest() (request pull, known bool) {
+// newPullRequest builds a request from this node's positions. An unsynced node's request has no
+// wait, so that the peer answers at once.
+func (a *Agent) newPullRequest() (request pullRequest, synced bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	request.kinds = map[string]position{}
 	request.nodesDigest = a.nodesDigest
-	known = true
+	synced = true
 	now := clock.Now()
 	for _, kind := range a.options.Kinds {
 		request.kinds[kind.Name] = position{
-			at: a.table.At(kind.Name), age: a.fresh.age(kind.Name, now), part: a.table.Part(kind.Name),
+			revision: a.table.Revision(kind.Name), age: a.fresh.age(kind.Name, now), subset: a.table.Subset(kind.Name),
 		}
-		known = known && a.table.At(kind.Name) > 0
+		synced = synced && a.table.Revision(kind.Name) > 0
 	}
-	if known {
-		request.wait = a.holdTime(now)
+	if synced {
+		request.wait = a.maxHold(now)
 	}
 	if a.options.DataNode {
 		request.nodes = append(request.nodes, a.options.Self)
 	}
-	return request, known
+	return request, synced
 }
--- a/internal/mirror/registry.go
+++ b/internal/mirror/registry.go
@@ -7,51 +7,51 @@
 )
 
 const (
-	// registryInterval is the time between two looks at the data nodes that
-	// are registered in the store.
+	// registryInterval is the mean time between reads of the data nodes registered in the
+	// store.
 	registryInterval = 4 * time.Second
-	// registerRetry is the pause after a failed registration.
+	// registerRetry is the pause after a failed call of the registry.
 	registerRetry = 500 * time.Millisecond
 )
 
-// registryLoop looks for data nodes in the store. Once a node knows some, its
-// peers tell it of others, and only watchers go on looking.
+// registryLoop reads the registered data nodes from the store. Once a node knows some, it
+// learns of others from its peers, and only watchers keep reading.
 func (a *Agent) registryLoop() {
 	for a.running.Err() == nil {
 		ctx, cancel := context.WithTimeout(a.running, listTimeout)
 		nodes, err := a.options.Registry.Registered(ctx)
 		cancel()
 		if err == nil {
-			a.learnNodes(nodes)
-			a.noteSurveyed()
+			a.addNodes(nodes)
+			a.markRegistryRead()
 		}
 		if err != nil || len(a.Nodes()) == 0 {
 			a.pause(registerRetry)
 			continue
 		}
 		a.pause(registryInterval/2 + rand.N(registryInterval))
-		for !a.readsRegistry() && a.running.Err() == nil {
+		for !a.mustReadRegistry() && a.running.Err() == nil {
 			a.pause(registryInterval)
 		}
 	}
 }
 
-func (a *Agent) noteSurveyed() {
+func (a *Agent) markRegistryRead() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.surveyed = true
+	a.registryRead = true
 }
 
-// readsRegistry says whether this node is to look for data nodes in the store:
-// it watches, or no peer answers it.
-func (a *Agent) readsRegistry() bool {
+// readsRegistry says whether this node is to read the registered data nodes: it is a watcher, or
+// no data node answers it.
+func (a *Agent) mustReadRegistry() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	_, watches := a.rank()
-	return watches || len(a.candidates("")) == 0
+	_, isWatcher := a.rank()
+	return isWatcher || len(a.candidates("")) == 0
 }
 
-// register enters this data node into the store, until it is in.
+// register registers this data node in the store, with retries until it succeeds.
 func (a *Agent) register() {
 	for a.running.Err() == nil {
 		ctx, cancel := context.WithTimeout(a.running, listTimeout)
--- a/internal/mirror/serve.go
+++ b/internal/mirror/serve.go
@@ -12,65 +12,64 @@
 )
 
 const (
-	// gatherTime is how long a peer waits for the confirmations of other kinds
-	// before it tells of one.
-	gatherTime = 20 * time.Millisecond
-	// wholeCacheLeast is the number of objects from which on an encoded collection is kept
-	// for others that ask for all of it, and wholeCacheTime how old it may be: thirty data
-	// nodes of a zone that start together ask the same one.
-	wholeCacheLeast = 500
-	wholeCacheTime  = time.Second
+	// coalesceTime is how long a response that only reports a confirmation is delayed, to
+	// include confirmations of other kinds.
+	coalesceTime = 20 * time.Millisecond
+	// minCachedObjects is the number of objects from which an encoded snapshot is cached, and
+	// snapshotCacheTTL how old it may be. Data nodes that start together pull the same one.
+	minCachedObjects = 500
+	snapshotCacheTTL = time.Second
 )
 
-// handlePull answers a peer of an earlier version.
+// handlePull answers a pull of a peer of an earlier version.
 func (a *Agent) handlePull(ctx context.Context, from transport.Address, payload []byte) ([]byte, error) {
 	request, err := unmarshalPull(payload)
 	if err != nil {
-		return nil, trace.Wrap(err, "pull of peer %s", from)
+		return nil, trace.Wrap(err, "decode pull from peer %s", from)
 	}
 	if err := a.holdPull(ctx, from, &request); err != nil {
 		return nil, err
 	}
-	return a.answerTo(&request).marshal(), nil
+	return a.newResponse(&request).marshal(), nil
 }
 
-// handleFetch answers a peer, at once if it lacks an object, else as soon as
-// this node has younger confirmations.
+// handleFetch answers a fetch: at once if the peer lacks changes, else as soon as this node has
+// changes or sufficiently newer confirmations, or when the request's wait ends.
 func (a *Agent) handleFetch(ctx context.Context, from transport.Address, payload []byte) ([]byte, error) {
 	request, err := unmarshalFetch(payload)
 	if err != nil {
-		return nil, trace.Wrap(err, "fetch of peer %s", from)
+		return nil, trace.Wrap(err, "decode fetch from peer %s", from)
 	}
 	if err := a.holdPull(ctx, from, &request); err != nil {
 		return nil, err
 	}
-	reply := a.answerTo(&request)
-	for i := range reply.deltas {
-		delta := &reply.deltas[i]
-		if request.headsOnly && (len(delta.Objects) > 0 || delta.Whole) {
-			delta.Objects, delta.held = nil, true
+	response := a.newResponse(&request)
+	for i := range response.deltas {
+		delta := &response.deltas[i]
+		if request.revisionsOnly && (len(delta.Objects) > 0 || delta.Whole) {
+			delta.Objects, delta.withheld = nil, true
 			continue
 		}
-		a.packed.encode(delta, request.kinds[delta.Kind], clock.Now())
+		a.snapshots.encode(delta, request.kinds[delta.Kind], clock.Now())
 	}
-	return reply.marshalFetched(), nil
+	return response.marshalFetched(), nil
 }
 
-// holdPull waits until there is something to tell a peer, or it waits no longer.
-func (a *Agent) holdPull(ctx context.Context, from transport.Address, request *pull) error {
+// holdPull waits until there is an update for the peer or the request's wait ends.
+func (a *Agent) holdPull(ctx context.Context, from transport.Address, request *pullRequest) error {
 	received := clock.Now()
-	a.learnNodes(request.nodes)
-	a.rememberPeer(from)
-	a.noteLead(from, request, received)
+	a.addNodes(request.nodes)
+	a.recordPeer(from)
+	a.queueReversePull(from, request, received)
 	timer := time.NewTimer(request.wait)
 	defer timer.Stop()
 	for {
-		news, changed := a.newsFor(request, received)
-		if news == newsObjects || request.wait == 0 {
+		found, changed := a.updateFor(request, received)
+		if found == updateObjects || request.wait == 0 {
 			return nil
 		}
-		if news == newsAge {
-			a.pause(gatherTime)
+		if found == updateAge {
+			a.pause(coalesceTime)
 			return nil
 		}
 		select {
@@ -85,94 +84,94 @@
 	}
 }
 
-// news is what this node can tell a peer.
-type news uint8
+// update classifies what this node can send to a peer.
+type update uint8
 
 const (
-	newsNone news = iota
-	newsAge
-	newsObjects
+	updateNone update = iota
+	updateAge
+	updateObjects
 )
 
-// newsFor says what there is to tell, and returns what is closed when that may
+// updateFor returns the present update for a request, and a channel that is closed when that may
 // have changed.
-func (a *Agent) newsFor(request *pull, received time.Time) (news, <-chan struct{}) {
+func (a *Agent) updateFor(request *pullRequest, received time.Time) (update, <-chan struct{}) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	found := newsNone
+	found := updateNone
 	now := clock.Now()
-	least := frontTellShare
-	if len(request.nodes) > 0 { // data nodes tell of themselves
-		least = tellShare
+	minGain := frontMinAgeGainFraction
+	if len(request.nodes) > 0 { // only data nodes announce nodes
+		minGain = minAgeGainFraction
 	}
 	for _, kind := range a.options.Kinds {
-		asked, wanted := request.kinds[kind.Name]
-		if !wanted || a.table.At(kind.Name) == 0 || a.table.Partial(kind.Name) {
+		position, wanted := request.kinds[kind.Name]
+		if !wanted || a.table.Revision(kind.Name) == 0 || a.table.Partial(kind.Name) {
 			continue
 		}
-		if asked.at == 0 || a.table.changedFor(kind.Name, asked.at, asked.part) {
-			return newsObjects, a.changed
+		if position.revision == 0 || a.table.changedInSubset(kind.Name, position.revision, position.subset) {
+			return updateObjects, a.changed
 		}
-		theirs := asked.age + now.Sub(received)
-		if a.table.At(kind.Name) >= asked.at && theirs-a.fresh.age(kind.Name, now) >= kind.share(least) {
-			found = newsAge
+		peerAge := position.age + now.Sub(received)
+		if a.table.Revision(kind.Name) >= position.revision && peerAge-a.fresh.age(kind.Name, now) >= kind.fraction(minGain) {
+			found = updateAge
 		}
 	}
 	return found, a.changed
 }
 
-// answerTo tells all that this node has beyond the request. It tells nothing of kinds of
-// which it has a part only.
-func (a *Agent) answerTo(request *pull) answer {
+// newResponse builds a response with all that this node has beyond the request. It leaves out
+// kinds of which this node keeps a subset.
+func (a *Agent) newResponse(request *pullRequest) pullResponse {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	var reply answer
+	var response pullResponse
 	if a.nodesDigest != request.nodesDigest {
 		for _, node := range a.nodes {
-			reply.nodes = append(reply.nodes, node)
+			response.nodes = append(response.nodes, node)
 		}
 	}
 	now := clock.Now()
-	for kind, asked := range request.kinds {
+	for kind, position := range request.kinds {
 		if a.table.Partial(kind) {
 			continue
 		}
-		if delta, shifts, known := a.table.sinceFor(kind, asked.at, asked.part); known {
-			reply.deltas = append(reply.deltas, agedDelta{Delta: delta, age: a.fresh.age(kind, now), shifts: shifts})
+		if delta, shifts, known := a.table.subsetSince(kind, position.revision, position.subset); known {
+			response.deltas = append(response.deltas, responseDelta{Delta: delta, age: a.fresh.age(kind, now), shifts: shifts})
 		}
 	}
-	return reply
+	return response
 }
 
-// packedWholes keeps collections as they were encoded last, by kind.
-type packedWholes struct {
-	mutex sync.Mutex // guards kinds, and is held while one is encoded; a leaf
-	kinds map[string]packedWhole
+// snapshotCache holds the last encoded snapshot of each kind.
+type snapshotCache struct {
+	mutex sync.Mutex // guards kinds, also during encoding; no other lock is taken while it is held
+	kinds map[string]cachedSnapshot
 }
 
-type packedWhole struct {
-	at        uint64
-	made      time.Time
-	confirmed time.Time // when the collection had all up to at
-	block     []byte
+type cachedSnapshot struct {
+	revision  uint64
+	encodedAt time.Time
+	confirmed time.Time // when the snapshot matched the store
+	encoded   []byte
 }
 
-// encode encodes the objects of a delta. One of all objects may be replaced by another one
-// that is a little older, but not than what the asking node has.
-func (p *packedWholes) encode(delta *agedDelta, asked position, now time.Time) {
-	if !delta.Whole || asked.part != nil || len(delta.Objects) < wholeCacheLeast {
-		delta.block = packObjects(delta.Objects)
+// encode encodes a delta's objects. A snapshot may be replaced by a cached one that is slightly
+// older, but not older than what the requester has.
+func (c *snapshotCache) encode(delta *responseDelta, requested position, now time.Time) {
+	if !delta.Whole || requested.subset != nil || len(delta.Objects) < minCachedObjects {
+		delta.encoded = packObjects(delta.Objects)
 		return
 	}
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	kept, found := p.kinds[delta.Kind]
-	if !found || kept.at < asked.at || (kept.at != delta.At && now.Sub(kept.made) > wholeCacheTime) {
-		kept = packedWhole{at: delta.At, made: now, confirmed: now.Add(-delta.age), block: packObjects(delta.Objects)}
-		p.kinds[delta.Kind] = kept
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	cached, found := c.kinds[delta.Kind]
+	if !found || cached.revision < requested.revision || (cached.revision != delta.At && now.Sub(cached.encodedAt) > snapshotCacheTTL) {
+		cached = cachedSnapshot{revision: delta.At, encodedAt: now, confirmed: now.Add(-delta.age), encoded: packObjects(delta.Objects)}
+		c.kinds[delta.Kind] = cached
 	}
-	if kept.at != delta.At {
-		delta.At, delta.age = kept.at, now.Sub(kept.confirmed)
+	if cached.revision != delta.At {
+		delta.At, delta.age = cached.revision, now.Sub(cached.confirmed)
 	}
-	delta.block = kept.block
+	delta.encoded = cached.encoded
 }
--- a/internal/mirror/calls_test.go
+++ b/internal/mirror/store_calls_test.go
@@ -9,14 +9,13 @@
 	"github.com/onsi/gomega"
 )
 
-// TestManyChangesAreReadTogether: changes that follow each other closely cost a
-// watcher a call now and then, not one each.
-func TestManyChangesAreReadTogether(t *testing.T) {
+// Changes in quick succession must not cost a watcher one call each.
+func TestRapidChangesShareStoreCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		fleet := newTestFleet(10, 20)
 		defer fleet.close()
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		before := fleet.store.callCount()
 		const changes, apart = 100, 10 * time.Millisecond
 		for i := range changes {
@@ -24,8 +23,8 @@
 			time.Sleep(apart)
 		}
 		calls := fleet.store.callCount() - before
-		g.Expect(calls).To(gomega.BeNumerically("<=", watcherCount*12), "one each would be %d", watcherCount*changes)
+		g.Expect(calls).To(gomega.BeNumerically("<=", watcherCount*12), "one call per change would be %d", watcherCount*changes)
 		time.Sleep(testFresh / 4)
-		g.Expect(fleet.ignorant(fmt.Sprint("change-", changes-1))).To(gomega.BeEmpty())
+		g.Expect(fleet.nodesMissing(fmt.Sprint("change-", changes-1))).To(gomega.BeEmpty())
 	})
 }
--- a/internal/mirror/suspended_test.go
+++ b/internal/mirror/suspended_test.go
@@ -10,26 +10,25 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// pausedSender is a transport on which an answer lies unread while its reader's process
-// stands still.
-type pausedSender struct {
+// pausingSender pauses the process between the arrival of a response and its reading.
+type pausingSender struct {
 	*fakeHost
-	pause func() // runs once an answer is there
+	pause func() // called when a response has arrived
 }
 
-func (s *pausedSender) Call(ctx context.Context, to transport.Address, kind transport.Kind, payload []byte) ([]byte, error) {
-	answered, err := s.fakeHost.Call(ctx, to, kind, payload)
+func (s *pausingSender) Call(ctx context.Context, to transport.Address, kind transport.Kind, payload []byte) ([]byte, error) {
+	response, err := s.fakeHost.Call(ctx, to, kind, payload)
 	if s.pause != nil {
 		s.pause()
 	}
-	return answered, err
+	return response, err
 }
 
-// What a peer told before this process stood still is not new after it, be it that it was
-// frozen or that its machine was suspended.
-func TestAnAnswerThatLayWhileTheProcessStoodStillIsOld(t *testing.T) {
+// A response that was received before the process was frozen, or its machine suspended, must not
+// count as fresh afterwards.
+func TestResponseReadAfterProcessPauseIsOld(t *testing.T) {
 	const pause = 20 * time.Second
-	for name, standStill := range map[string]func(){
+	for name, pauseProcess := range map[string]func(){
 		"frozen":    func() { time.Sleep(pause) },
 		"suspended": func() { clock.Skip(pause) },
 	} {
@@ -37,24 +36,24 @@
 			synctest.Test(t, func(t *testing.T) {
 				fleet := newTestFleet(3, 1)
 				defer fleet.close()
-				time.Sleep(settle)
+				time.Sleep(settleTime)
 				front := fleet.agents["front-00"]
-				fleet.affect(fleet.store.ignores, "front-00")
-				sender := &pausedSender{fakeHost: fleet.hosts["front-00"], pause: standStill}
+				fleet.markNodes(fleet.store.unanswered, "front-00")
+				sender := &pausingSender{fakeHost: fleet.hosts["front-00"], pause: pauseProcess}
 				reader := New(Options{
 					Self: front.options.Self, Kinds: front.options.Kinds, Store: front.options.Store, Registry: front.options.Registry,
 					Sender: sender, Receiver: front.options.Receiver,
 				})
 				defer reader.Close()
-				request, known := reader.pullRequest()
-				if err := reader.pullFrom("data-00", request, known, 0); err != nil {
+				request, synced := reader.newPullRequest()
+				if err := reader.pullFrom("data-00", request, synced, 0); err != nil {
 					t.Fatal(err)
 				}
 				if name == "suspended" {
 					defer clock.Skip(-pause)
 				}
 				if age := reader.Age(kind); age < pause-pullWait-pullSlack {
-					t.Errorf("the facts are said to be %v old", age)
+					t.Errorf("the reported age is %v", age)
 				}
 			})
 		})
--- a/internal/mirror/table.go
+++ b/internal/mirror/table.go
@@ -5,57 +5,56 @@
 	"sort"
 )
 
-// removalsKept bounds the removed names that a collection remembers. A peer
-// that is further behind gets the whole collection.
-const removalsKept = 4096
+// maxTombstones bounds a collection's tombstones. A peer that is further behind gets a
+// snapshot.
+const maxTombstones = 4096
 
-// Object is a stored object as the mirror keeps it.
+// Object is a mirrored object or a tombstone.
 type Object struct {
 	Name string
 	// Revision is the store's revision of the object's last change.
 	Revision uint64
-	// Content is the object's encoded body; the mirror does not look into it.
+	// Content is the object's encoded body, which this package does not interpret.
 	Content []byte
-	// Gone marks a removal; Content is empty then.
+	// Gone marks a tombstone; Content is empty then.
 	Gone bool
 }
 
-// Delta is a change of one collection.
+// Delta carries changes of a collection, or a snapshot of it.
 type Delta struct {
 	Kind string
-	// Whole says that Objects are all there are; else they are changes.
+	// Whole says that Objects is a snapshot of the collection; else they are changes.
 	Whole bool
-	// At is the store's revision up to which the receiver is complete with
-	// this delta.
+	// At is the store's revision up to which the receiver is complete after the merge.
 	At uint64
 	// Since is the revision that the receiver must have reached, unless Whole.
 	Since   uint64
 	Objects []Object
 }
 
-// stored is an object with its place.
-type stored struct {
+// placedObject is an object with its place.
+type placedObject struct {
 	Object
 	place Place
 }
 
-// collection is one kind of objects.
+// collection holds the objects of one kind.
 type collection struct {
-	at      uint64
-	objects map[string]stored
-	removed map[string]uint64
-	// horizon is the revision from which all removals are remembered.
+	revision   uint64
+	objects    map[string]placedObject
+	tombstones map[string]uint64
+	// horizon is the revision from which all tombstones are kept.
 	horizon uint64
 	log     changeLog
-	// placeOf is the kind's Place, and counts are the objects of each place; nil if all
-	// nodes know all objects.
+	// placeOf is the kind's Place function, and counts the number of objects at each place;
+	// nil if all nodes mirror all objects.
 	placeOf func(content []byte) Place
 	counts  map[Place]int
-	// part is what a node takes of the kind that doesn't take all.
-	part *selection
+	// subset is the part of the kind that this node keeps; nil if all.
+	subset *subset
 }
 
-// Table holds a collection a kind. It is not safe for concurrent use.
+// Table holds a collection for each kind. It is not safe for concurrent use.
 type Table struct {
 	collections map[string]*collection
 }
@@ -64,47 +63,48 @@
 func NewTable(kinds []string) *Table {
 	table := &Table{collections: map[string]*collection{}}
 	for _, kind := range kinds {
-		table.collections[kind] = &collection{objects: map[string]stored{}, removed: map[string]uint64{}}
+		table.collections[kind] = &collection{objects: map[string]placedObject{}, tombstones: map[string]uint64{}}
 	}
 	return table
 }
 
-// PlaceBy has the objects of a kind told apart by their places; the table must be empty.
-func (t *Table) PlaceBy(kind string, placeOf func(content []byte) Place) {
+// SetPlaceFunc sets the function that reads the places of a kind's objects. The table must be
+// empty.
+func (t *Table) SetPlaceFunc(kind string, placeOf func(content []byte) Place) {
 	c := t.collections[kind]
 	c.placeOf, c.counts = placeOf, map[Place]int{}
 }
 
-// TakePart has the table keep a part of a kind only; see selection. The table must be empty.
-func (t *Table) TakePart(kind, node, zone string) {
-	t.collections[kind].part = &selection{node: node, zone: zone}
+// KeepSubset makes the table keep a node's subset of a kind only. The table must be empty.
+func (t *Table) KeepSubset(kind, node, zone string) {
+	t.collections[kind].subset = &subset{node: node, zone: zone}
 }
 
-// Partial says whether the table keeps a part of a kind only.
+// Partial says whether the table keeps only some of a kind's objects.
 func (t *Table) Partial(kind string) bool {
 	c := t.collections[kind]
-	return c != nil && c.part.partial()
+	return c != nil && c.subset.partial()
 }
 
-// Part returns the part of a kind that the table keeps; nil if it keeps all.
-func (t *Table) Part(kind string) *selection {
+// Subset returns a copy of the subset of a kind that the table keeps; nil if it keeps all.
+func (t *Table) Subset(kind string) *subset {
 	c := t.collections[kind]
-	if c == nil || c.part == nil {
+	if c == nil || c.subset == nil {
 		return nil
 	}
-	part := *c.part
-	return &part
+	subset := *c.subset
+	return &subset
 }
 
-// At returns the revision up to which the kind is complete; 0 when unknown.
-func (t *Table) At(kind string) uint64 {
+// Revision returns the revision up to which a kind is complete; 0 if the kind is unsynced.
+func (t *Table) Revision(kind string) uint64 {
 	if c := t.collections[kind]; c != nil {
-		return c.at
+		return c.revision
 	}
 	return 0
 }
 
-// Objects lists the objects of a kind, by name.
+// Objects lists the objects of a kind, sorted by name.
 func (t *Table) Objects(kind string) []Object {
 	c := t.collections[kind]
 	if c == nil {
@@ -118,76 +118,77 @@
 	return objects
 }
 
-// Changed says whether any object of the kind changed after the revision, as
-// far as this table reaches.
-func (t *Table) Changed(kind string, revision uint64) bool { return t.changedFor(kind, revision, nil) }
+// Changed says whether objects of a kind may have changed after a revision, as far as this table
+// is complete.
+func (t *Table) Changed(kind string, revision uint64) bool {
+	return t.changedInSubset(kind, revision, nil)
+}
 
-// changedFor is Changed for a node that takes a part.
-func (t *Table) changedFor(kind string, revision uint64, part *selection) bool {
+// changedInSubset is Changed for a receiver that keeps a subset.
+func (t *Table) changedInSubset(kind string, revision uint64, sub *subset) bool {
 	c := t.collections[kind]
-	if c == nil || c.at <= revision {
+	if c == nil || c.revision <= revision {
 		return false
 	}
-	if part != nil && !sameShifts(part.shifts, part.fit(c.counts)) {
+	if sub != nil && !sameShifts(sub.shifts, sub.fitShifts(c.counts)) {
 		return true
 	}
 	changes, all := c.log.since(revision)
 	if !all || revision < c.horizon {
 		return true
 	}
-	return slices.ContainsFunc(changes, func(one change) bool { return one.moved || part.has(one.name, one.place) })
+	return slices.ContainsFunc(changes, func(entry change) bool { return entry.moved || sub.contains(entry.name, entry.place) })
 }
 
-// Since returns what changed in a kind after the revision, and false when the
-// receiver is further than this table or nothing is known. A receiver that is
-// as far gets an empty delta.
+// Since returns the changes of a kind after a revision. It returns false if the kind is unsynced
+// or the revision is newer than this table's. The delta for the table's own revision is empty.
 func (t *Table) Since(kind string, revision uint64) (Delta, bool) {
-	delta, _, known := t.sinceFor(kind, revision, nil)
+	delta, _, known := t.subsetSince(kind, revision, nil)
 	return delta, known
 }
 
-// sinceFor is Since for a node that takes a part, and returns the shifts of the part that
-// the delta is of: those that the node has, unless it is whole.
-func (t *Table) sinceFor(kind string, revision uint64, part *selection) (Delta, map[Place]uint8, bool) {
+// subsetSince is Since for a receiver that keeps a subset. It also returns the shifts that the
+// delta is for: the receiver's own ones, unless the delta is a snapshot.
+func (t *Table) subsetSince(kind string, revision uint64, sub *subset) (Delta, map[Place]uint8, bool) {
 	c := t.collections[kind]
-	if c == nil || c.at == 0 || c.at < revision {
+	if c == nil || c.revision == 0 || c.revision < revision {
 		return Delta{}, nil, false
 	}
-	delta := Delta{Kind: kind, At: c.at, Since: revision, Whole: revision == 0 || revision < c.horizon}
-	if part != nil {
-		if shifts := part.fit(c.counts); delta.Whole || !sameShifts(shifts, part.shifts) {
+	delta := Delta{Kind: kind, At: c.revision, Since: revision, Whole: revision == 0 || revision < c.horizon}
+	if sub != nil {
+		if shifts := sub.fitShifts(c.counts); delta.Whole || !sameShifts(shifts, sub.shifts) {
 			delta.Whole = true
-			part = &selection{node: part.node, zone: part.zone, shifts: shifts}
+			sub = &subset{node: sub.node, zone: sub.zone, shifts: shifts}
 		}
 	}
 	changes, all := c.log.since(revision)
 	switch {
-	case delta.Whole || (!all && part != nil):
+	case delta.Whole || (!all && sub != nil):
 		delta.Whole = true
-		delta.Objects = c.selected(part)
+		delta.Objects = c.objectsIn(sub)
 	case !all:
 		delta.Objects = c.scan(revision)
 	default:
-		delta.Objects = c.latest(changes, part)
+		delta.Objects = c.latest(changes, sub)
 	}
-	if part == nil {
+	if sub == nil {
 		return delta, nil, true
 	}
-	return delta, part.shifts, true
+	return delta, sub.shifts, true
 }
 
-// selected lists the objects of a part.
-func (c *collection) selected(part *selection) []Object {
+// objectsIn lists the objects of a subset.
+func (c *collection) objectsIn(sub *subset) []Object {
 	var objects []Object
 	for _, object := range c.objects {
-		if part.has(object.Name, object.place) {
+		if sub.contains(object.Name, object.place) {
 			objects = append(objects, object.Object)
 		}
 	}
 	return objects
 }
 
-// scan looks at each object for what changed after a revision.
+// scan lists the changes after a revision by looking at every object.
 func (c *collection) scan(revision uint64) []Object {
 	var objects []Object
 	for _, object := range c.objects {
@@ -195,7 +196,7 @@
 			objects = append(objects, object.Object)
 		}
 	}
-	for name, removedAt := range c.removed {
+	for name, removedAt := range c.tombstones {
 		if removedAt > revision {
 			objects = append(objects, Object{Name: name, Revision: removedAt, Gone: true})
 		}
@@ -203,92 +204,93 @@
 	return objects
 }
 
-// latest turns changes into the objects of a part as they are now. One that left the part
-// is gone for it.
-func (c *collection) latest(changes []change, part *selection) []Object {
+// latest returns the present state of changed objects for a subset. An object that left the
+// subset becomes a tombstone.
+func (c *collection) latest(changes []change, sub *subset) []Object {
 	var objects []Object
-	told := make(map[string]bool, len(changes))
+	seen := make(map[string]bool, len(changes))
 	for i := len(changes) - 1; i >= 0; i-- {
-		one := changes[i]
-		if told[one.name] || !(one.moved || part.has(one.name, one.place)) {
+		entry := changes[i]
+		if seen[entry.name] || !(entry.moved || sub.contains(entry.name, entry.place)) {
 			continue
 		}
-		told[one.name] = true
-		object, found := c.objects[one.name]
+		seen[entry.name] = true
+		object, found := c.objects[entry.name]
 		switch {
-		case found && part.has(one.name, object.place):
+		case found && sub.contains(entry.name, object.place):
 			objects = append(objects, object.Object)
 		case found:
-			objects = append(objects, Object{Name: one.name, Revision: object.Revision, Gone: true})
+			objects = append(objects, Object{Name: entry.name, Revision: object.Revision, Gone: true})
 		default:
-			objects = append(objects, Object{Name: one.name, Revision: one.revision, Gone: true})
+			objects = append(objects, Object{Name: entry.name, Revision: entry.revision, Gone: true})
 		}
 	}
 	return objects
 }
 
-// narrow leaves of a delta of all objects what belongs to the table's part. A whole one
-// has the part fitted to how many there are.
-func (t *Table) narrow(delta Delta) (Delta, map[Place]uint8) {
+// restrictToSubset reduces a delta of all objects to the table's subset. A snapshot also adjusts
+// the subset to the number of objects.
+func (t *Table) restrictToSubset(delta Delta) (Delta, map[Place]uint8) {
 	c := t.collections[delta.Kind]
-	if c == nil || c.part == nil {
+	if c == nil || c.subset == nil {
 		return delta, nil
 	}
-	part := c.part
+	sub := c.subset
 	if delta.Whole {
 		counts := map[Place]int{}
 		for _, object := range delta.Objects {
 			counts[c.placeOf(object.Content)]++
 		}
-		part = &selection{node: part.node, zone: part.zone, shifts: part.fit(counts)}
+		sub = &subset{node: sub.node, zone: sub.zone, shifts: sub.fitShifts(counts)}
 	}
 	kept := make([]Object, 0, len(delta.Objects))
 	for _, object := range delta.Objects {
 		_, present := c.objects[object.Name]
 		switch {
-		case object.Gone || part.has(object.Name, c.placeOf(object.Content)):
+		case object.Gone || sub.contains(object.Name, c.placeOf(object.Content)):
 			kept = append(kept, object)
 		case present && !delta.Whole:
 			kept = append(kept, Object{Name: object.Name, Revision: object.Revision, Gone: true})
 		}
 	}
 	delta.Objects = kept
-	return delta, part.shifts
+	return delta, sub.shifts
 }
 
-// Merge takes a delta and says whether any object changed. A delta that
-// starts later than this table reaches, or that ends earlier, is ignored.
+// Merge applies a delta and says whether any object changed. A delta that starts after this
+// table's revision, or ends before it, is ignored.
 func (t *Table) Merge(delta Delta) bool {
-	delta, shifts := t.narrow(delta)
-	return t.mergePart(delta, shifts)
+	delta, shifts := t.restrictToSubset(delta)
+	return t.mergeSubset(delta, shifts)
 }
 
-// mergePart takes a delta that is of the part with the shifts, if the table takes a part.
-func (t *Table) mergePart(delta Delta, shifts map[Place]uint8) bool {
+// mergeSubset applies a delta that was computed for the subset with the given shifts, if the
+// table keeps a subset.
+func (t *Table) mergeSubset(delta Delta, shifts map[Place]uint8) bool {
 	c := t.collections[delta.Kind]
-	if c == nil || delta.At < c.at || (!delta.Whole && delta.Since > c.at) {
+	if c == nil || delta.At < c.revision || (!delta.Whole && delta.Since > c.revision) {
 		return false
 	}
-	if c.part != nil {
-		if !delta.Whole && !sameShifts(shifts, c.part.shifts) {
-			return false // of another part than this node takes by now
+	if c.subset != nil {
+		if !delta.Whole && !sameShifts(shifts, c.subset.shifts) {
+			return false // computed for shifts that are out of date
 		}
-		c.part.shifts = shifts
+		c.subset.shifts = shifts
 	}
 	var changed bool
 	if delta.Whole {
 		changed = c.replace(delta)
 	} else {
-		changed = c.change(delta)
+		changed = c.applyChanges(delta)
 	}
-	c.at = delta.At
+	c.revision = delta.At
 	return changed
 }
 
 func (c *collection) replace(delta Delta) bool {
 	changed := false
-	// What came and went before this listing was never seen here.
-	clear(c.removed)
+	// Tombstones don't cover objects that came and went before this snapshot.
+	clear(c.tombstones)
 	c.horizon = delta.At
 	listed := make(map[string]bool, len(delta.Objects))
 	for _, object := range delta.Objects {
@@ -305,7 +307,7 @@
 	return changed
 }
 
-func (c *collection) change(delta Delta) bool {
+func (c *collection) applyChanges(delta Delta) bool {
 	changed := false
 	for _, object := range delta.Objects {
 		if !object.Gone {
@@ -316,37 +318,37 @@
 		if found && present.Revision > object.Revision {
 			continue
 		}
-		// Also what was never seen here is remembered as removed, for peers.
-		c.remove(object.Name, max(object.Revision, c.removed[object.Name]))
+		// Keep a tombstone also for unknown objects, as peers may have them.
+		c.remove(object.Name, max(object.Revision, c.tombstones[object.Name]))
 		changed = changed || found
 	}
 	return changed
 }
 
-// put keeps the newer of two states of an object.
+// put stores an object unless a newer state of it is known.
 func (c *collection) put(object Object) bool {
 	present, found := c.objects[object.Name]
 	if found && present.Revision >= object.Revision {
 		return false
 	}
-	if removedAt, gone := c.removed[object.Name]; gone {
+	if removedAt, gone := c.tombstones[object.Name]; gone {
 		if removedAt >= object.Revision {
 			return false
 		}
-		delete(c.removed, object.Name)
+		delete(c.tombstones, object.Name)
 	}
 	var place Place
 	if c.placeOf != nil {
 		place = c.placeOf(object.Content)
 	}
 	c.drop(object.Name)
-	c.objects[object.Name] = stored{object, place}
+	c.objects[object.Name] = placedObject{object, place}
 	c.count(place, 1)
 	c.log.add(change{revision: object.Revision, name: object.Name, place: place, moved: found && present.place != place})
 	return true
 }
 
-// drop takes an object out.
+// drop deletes an object without a tombstone.
 func (c *collection) drop(name string) {
 	if present, found := c.objects[name]; found {
 		c.count(present.place, -1)
@@ -366,11 +368,11 @@
 func (c *collection) remove(name string, revision uint64) {
 	present, found := c.objects[name]
 	c.drop(name)
-	c.removed[name] = revision
-	// Who has it at a place that isn't known here is told, too.
+	c.tombstones[name] = revision
+	// If the object is unknown here, its place is too: receivers of any subset get the removal.
 	c.log.add(change{revision: revision, name: name, place: present.place, moved: !found})
-	if len(c.removed) > removalsKept {
-		clear(c.removed)
+	if len(c.tombstones) > maxTombstones {
+		clear(c.tombstones)
 		c.horizon = revision
 	}
 }
--- a/internal/mirror/table_test.go
+++ b/internal/mirror/table_test.go
@@ -19,17 +19,17 @@
 	return result
 }
 
-func TestADeltaThatStartsTooLateIsIgnored(t *testing.T) {
+func TestMergeIgnoresDeltaWithGap(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := NewTable([]string{kind})
 	g.Expect(table.Merge(Delta{Kind: kind, Since: 5, At: 9, Objects: []Object{{Name: "a", Revision: 7}}})).To(gomega.BeFalse())
-	g.Expect(table.At(kind)).To(gomega.BeZero())
+	g.Expect(table.Revision(kind)).To(gomega.BeZero())
 	g.Expect(table.Merge(Delta{Kind: kind, Whole: true, At: 9, Objects: []Object{{Name: "a", Revision: 7}}})).To(gomega.BeTrue())
-	g.Expect(table.Merge(Delta{Kind: kind, Whole: true, At: 8})).To(gomega.BeFalse(), "an older listing takes nothing back")
+	g.Expect(table.Merge(Delta{Kind: kind, Whole: true, At: 8})).To(gomega.BeFalse(), "an older snapshot must not remove objects")
 	g.Expect(table.Objects(kind)).To(gomega.HaveLen(1))
 }
 
-func TestARemovedObjectDoesNotComeBackWithAnOldDelta(t *testing.T) {
+func TestOldDeltaDoesNotRestoreRemovedObject(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := NewTable([]string{kind})
 	table.Merge(Delta{Kind: kind, Whole: true, At: 5, Objects: []Object{{Name: "a", Revision: 4}}})
@@ -41,7 +41,7 @@
 	g.Expect(table.Objects(kind)).To(gomega.HaveLen(1))
 }
 
-// storeModel is the oracle: the store with its whole history.
+// storeModel is the oracle: a store with its complete history.
 type storeModel struct {
 	revision uint64
 	objects  map[string]Object
@@ -86,7 +86,7 @@
 	return delta
 }
 
-// stateAt is what the store held at a revision.
+// stateAt returns the objects that the store held at a revision.
 func (s *storeModel) stateAt(revision uint64) map[string]string {
 	state := map[string]string{}
 	for _, object := range s.history {
@@ -102,14 +102,14 @@
 	return state
 }
 
-// TestTablesAgreeWithTheStoreAtTheirRevision lets tables read the store and
-// each other in any order, with deltas that arrive late and again.
-func TestTablesAgreeWithTheStoreAtTheirRevision(t *testing.T) {
+// Tables that read the store and each other in any order, with late and repeated deltas, must
+// match the store's state at their revision.
+func TestTablesMatchStoreAtTheirRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := &storeModel{objects: map[string]Object{}}
 		store.put("first")
 		tables := []*Table{NewTable([]string{kind}), NewTable([]string{kind}), NewTable([]string{kind})}
-		var late []Delta
+		var sent []Delta
 		pick := func() *Table { return tables[rapid.IntRange(0, 2).Draw(t, "table")] }
 		t.Repeat(map[string]func(*rapid.T){
 			"put":    func(t *rapid.T) { store.put(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name")) },
@@ -117,30 +117,30 @@
 			"list":   func(t *rapid.T) { pick().Merge(store.list()) },
 			"watch": func(t *rapid.T) {
 				table := pick()
-				if table.At(kind) > 0 {
-					table.Merge(store.since(table.At(kind)))
+				if table.Revision(kind) > 0 {
+					table.Merge(store.since(table.Revision(kind)))
 				}
 			},
 			"pull": func(t *rapid.T) {
 				from, to := pick(), pick()
-				if delta, newer := from.Since(kind, to.At(kind)); newer {
-					late = append(late, delta)
+				if delta, newer := from.Since(kind, to.Revision(kind)); newer {
+					sent = append(sent, delta)
 					to.Merge(delta)
 				}
 			},
 			"repeat": func(t *rapid.T) {
-				if len(late) > 0 {
-					pick().Merge(late[rapid.IntRange(0, len(late)-1).Draw(t, "late")])
+				if len(sent) > 0 {
+					pick().Merge(sent[rapid.IntRange(0, len(sent)-1).Draw(t, "late")])
 				}
 			},
 			"": func(t *rapid.T) {
 				for i, table := range tables {
-					if table.At(kind) == 0 {
+					if table.Revision(kind) == 0 {
 						continue
 					}
-					wanted := store.stateAt(table.At(kind))
-					if got := names(table.Objects(kind)); fmt.Sprint(got) != fmt.Sprint(wanted) {
-						t.Fatalf("table %d at %d holds %v, the store held %v", i, table.At(kind), got, wanted)
+					want := store.stateAt(table.Revision(kind))
+					if got := names(table.Objects(kind)); fmt.Sprint(got) != fmt.Sprint(want) {
+						t.Fatalf("table %d at revision %d holds %v, the store held %v", i, table.Revision(kind), got, want)
 					}
 				}
 			},
@@ -148,27 +148,27 @@
 	})
 }
 
-func TestMessagesKeepTheirContent(t *testing.T) {
+func TestPullMessagesRoundTrip(t *testing.T) {
 	g := gomega.NewWithT(t)
-	sent := answer{
+	sent := pullResponse{
 		nodes: []Node{{Name: "n", Address: "1.2.3.4:5", Zone: "z", Region: "r", Started: 7}},
-		deltas: []agedDelta{{age: 70 * time.Millisecond, Delta: Delta{Kind: kind, At: 9, Since: 3, Whole: true, Objects: []Object{
+		deltas: []responseDelta{{age: 70 * time.Millisecond, Delta: Delta{Kind: kind, At: 9, Since: 3, Whole: true, Objects: []Object{
 			{Name: "a", Revision: 4, Content: []byte("x")}, {Name: "b", Revision: 5, Gone: true, Content: []byte{}},
 		}}}},
 	}
-	got, err := unmarshalAnswer(sent.marshal())
+	got, err := unmarshalPullResponse(sent.marshal())
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(got.nodes).To(gomega.Equal(sent.nodes))
 	g.Expect(got.deltas[0].Objects[0]).To(gomega.Equal(sent.deltas[0].Objects[0]))
 	g.Expect(got.deltas[0].Objects[1].Gone).To(gomega.BeTrue())
 	g.Expect(got.deltas[0].age).To(gomega.Equal(sent.deltas[0].age))
-	request := pull{wait: 5 * time.Millisecond, kinds: map[string]position{kind: {at: 3, age: time.Second}}, nodes: sent.nodes, nodesDigest: 9}
-	asked, err := unmarshalPull(request.marshal())
+	request := pullRequest{wait: 5 * time.Millisecond, kinds: map[string]position{kind: {revision: 3, age: time.Second}}, nodes: sent.nodes, nodesDigest: 9}
+	decoded, err := unmarshalPull(request.marshal())
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(asked).To(gomega.Equal(request))
-	// The fixed part, the first field's length, and a byte short of the end.
+	g.Expect(decoded).To(gomega.Equal(request))
+	// Truncate within the fixed part, within the first field's length, and one byte before the end.
 	for _, cut := range []int{0, 3, 7, len(request.marshal()) - 1} {
 		_, err := unmarshalPull(request.marshal()[:cut])
-		g.Expect(err).To(gomega.HaveOccurred(), "cut at %d", cut)
+		g.Expect(err).To(gomega.HaveOccurred(), "truncated at %d", cut)
 	}
 }
