--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -16,48 +16,45 @@
 )
 
 const (
-	// surplusMost bounds the body of an answer to another request that is
-	// skipped to reach the awaited one.
-	surplusMost = 1 << 20
-	// surplusAnswers bounds how many are skipped.
-	surplusAnswers = 4
-	// directWrite is the size up to which a request is written before its
-	// answer is read; it fits the smallest socket buffers.
-	directWrite = 16 << 10
-	// writeGrace is how long the rest of a request's body may take after its
-	// answer is complete, before the connection is given up.
-	writeGrace = 20 * time.Millisecond
+	// maxSurplusBody bounds the body of a skipped response to another request.
+	maxSurplusBody = 1 << 20
+	// maxSurplusResponses bounds the responses read in search of the request's own.
+	maxSurplusResponses = 4
+	// maxDirectWrite is the size up to which a request is written before its response is
+	// read; it fits the smallest socket buffers.
+	maxDirectWrite = 16 << 10
+	// writeGracePeriod is how long the request's body may still take to write after the
+	// response is complete, before the connection is closed.
+	writeGracePeriod = 20 * time.Millisecond
 )
 
-// errForeign says that what came is no answer to the request.
-var errForeign = errors.New("bytes that are no answer to this request")
+// errForeignResponse reports received bytes that are no response to the request.
+var errForeignResponse = errors.New("received data is not a response to this request")
 
-// Answer is the head of an engine's answer; its body is still to be read. It
-// must be closed.
+// Answer is an engine's response with its body still unread. It must be closed.
 type Answer struct {
 	Status int
 	Header http.Header
 	Facts
 	// Length is the body's length, or -1.
 	Length int64
-	// Framed says that the body's end is told. Without that the end of its engine looks
-	// like the end of the answer.
+	// Framed reports a body of known length or in chunks. Without either, a crash of the
+	// engine looks like the end of the body.
 	Framed bool
 
-	pool    *Pool
-	conn    *connection
-	body    io.ReadCloser
-	written <-chan error
-	release func() bool
-	whole   bool
-	dead    bool
+	pool       *Pool
+	conn       *connection
+	body       io.ReadCloser
+	written    <-chan error
+	stopCancel func() bool
+	complete   bool
+	readFailed bool
 }
 
-// Exchange sends a call to the engine at address, and returns the head of its
-// answer. The connection is closed as soon as ctx ends, also while the answer
-// is read.
+// Exchange sends a call to the engine at address and returns its response once the head is
+// read. The connection is closed when ctx ends, also while the body is read.
 func (p *Pool) Exchange(ctx context.Context, address string, call *Call) (*Answer, error) {
-	conn, err := p.take(ctx, address, call.Engine)
+	conn, err := p.get(ctx, address, call.Engine)
 	if err != nil {
 		return nil, &Error{Fate: FateNotSent, Step: "dial", Peer: address, Cause: err}
 	}
@@ -65,25 +62,25 @@
 		conn.Close()
 		return nil, &Error{Fate: FateNotSent, Step: "dial", Peer: address, Cause: err}
 	}
-	if err := call.mayProceed(); err != nil {
-		p.putBack(conn)
+	if err := call.checkProceed(); err != nil {
+		p.releaseUnused(conn)
 		return nil, &Error{Fate: FateNotSent, Step: "proceed", Peer: address, Cause: err}
 	}
-	release := context.AfterFunc(ctx, func() { conn.Close() })
-	answer, step, err := p.exchange(conn, call)
+	stopCancel := context.AfterFunc(ctx, func() { conn.Close() })
+	response, step, err := p.exchange(conn, call)
 	if err != nil {
-		release()
+		stopCancel()
 		conn.Close()
 		return nil, &Error{Fate: FateUnknown, Step: step, Peer: address, Cause: err}
 	}
-	answer.release = release
-	return answer, nil
+	response.stopCancel = stopCancel
+	return response, nil
 }
 
-func (p *Pool) exchange(conn *connection, call *Call) (answer *Answer, step string, err error) {
+func (p *Pool) exchange(conn *connection, call *Call) (response *Answer, step string, err error) {
 	message := p.encode(call)
 	written := make(chan error, 1)
-	if len(message) <= directWrite {
+	if len(message) <= maxDirectWrite {
 		_, err := conn.Write(message)
 		if err != nil {
 			return nil, "send", err
@@ -95,18 +92,18 @@
 			written <- err
 		}()
 	}
-	answer, err = p.readHead(conn, call)
+	response, err = p.readHead(conn, call)
 	if err != nil {
 		return nil, "head", err
 	}
-	answer.written = written
-	return answer, "", nil
+	response.written = written
+	return response, "", nil
 }
 
-// readHead reads heads until one belongs to the call.
+// readHead reads response heads until one belongs to the call.
 func (p *Pool) readHead(conn *connection, call *Call) (*Answer, error) {
 	request := &http.Request{Method: call.Method}
-	for range surplusAnswers {
+	for range maxSurplusResponses {
 		response, err := http.ReadResponse(conn.reader, request)
 		if err != nil {
 			return nil, err
@@ -117,67 +114,66 @@
 		facts := p.dialect.Facts(response.StatusCode, response.Header)
 		switch {
 		case facts.ID == call.ID || (facts.ID == "" && facts.NotRun):
-			restoreFraming(response)
+			restoreConnectionHeader(response)
 			return &Answer{
 				Status: response.StatusCode, Header: response.Header, Facts: facts, Length: response.ContentLength,
 				Framed: response.ContentLength >= 0 || len(response.TransferEncoding) > 0,
 				pool:   p, conn: conn, body: response.Body,
 			}, nil
 		case facts.ID == "":
-			return nil, errForeign
+			return nil, errForeignResponse
 		}
 		if err := skipBody(response); err != nil {
 			return nil, err
 		}
 	}
-	return nil, errForeign
+	return nil, errForeignResponse
 }
 
 func skipBody(response *http.Response) error {
-	skipped, err := io.Copy(io.Discard, io.LimitReader(response.Body, surplusMost))
-	if err == nil && skipped == surplusMost {
-		return errForeign
+	skipped, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxSurplusBody))
+	if err == nil && skipped == maxSurplusBody {
+		return errForeignResponse
 	}
 	return err
 }
 
-// restoreFraming undoes what the parser takes out of the header and what this
-// side needs to know when a connection may rest.
-func restoreFraming(response *http.Response) {
+// restoreConnectionHeader puts back the Connection header, which the parser removes and
+// idleTimeout needs.
+func restoreConnectionHeader(response *http.Response) {
 	if response.Close {
 		response.Header.Set("Connection", "close")
 	}
 }
 
-// Read implements io.Reader: it reads the body. io.EOF means that the body is
-// whole; anything else that it is not.
+// Read implements io.Reader for the body. It returns io.EOF only if the body is complete.
 func (a *Answer) Read(buffer []byte) (int, error) {
 	n, err := a.body.Read(buffer)
 	if errors.Is(err, io.EOF) {
-		a.whole = true
+		a.complete = true
 	} else if err != nil {
-		a.dead = true
+		a.readFailed = true
 	}
 	return n, err
 }
 
-// SetReadDeadline bounds the next reads of the body.
+// SetReadDeadline sets the deadline for reading the body.
 func (a *Answer) SetReadDeadline(at time.Time) { _ = a.conn.SetReadDeadline(at) }
 
-// Close ends the exchange. The connection rests if the answer was read whole
-// and the request is out; else it is closed, which tells the engine to stop.
+// Close ends the exchange. The connection is kept if the response was read and the request
+// written completely; else it is closed, which tells the engine to stop.
 func (a *Answer) Close() {
-	stillOwned := a.release()
-	if !a.whole || a.dead || !stillOwned || !a.sent() {
+	notCanceled := a.stopCancel()
+	if !a.complete || a.readFailed || !notCanceled || !a.requestSent() {
 		a.conn.Close()
 		return
 	}
-	a.pool.put(a.conn, a.Header)
+	a.pool.release(a.conn, a.Header)
 }
 
-// sent says whether the whole request is out, and waits a moment for it.
-func (a *Answer) sent() bool {
-	timer := time.NewTimer(writeGrace)
+// requestSent reports whether the whole request was written, and waits briefly for it.
+func (a *Answer) requestSent() bool {
+	timer := time.NewTimer(writeGracePeriod)
 	defer timer.Stop()
 	select {
 	case err := <-a.written:
@@ -187,7 +183,7 @@
 	}
 }
 
-// encode writes the request as it goes over the wire.
+// encode returns the request in wire format.
 func (p *Pool) encode(call *Call) []byte {
 	header := p.dialect.Header(call, clock.Now())
 	message := bytes.NewBuffer(make([]byte, 0, 1024+len(call.Body)))
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -15,7 +15,7 @@
 	"github.com/onsi/gomega"
 )
 
-// plainDialect spells identifiers as the tests do.
+// plainDialect uses the headers of the test engines.
 type plainDialect struct{}
 
 func (plainDialect) Header(call *Call, _ time.Time) http.Header {
@@ -26,8 +26,8 @@
 	return Facts{ID: header.Get("Id"), Signed: true, NotRun: header.Get("Not-Run") != ""}
 }
 
-// engine answers each connection by a script.
-func engine(t *testing.T, script func(conn net.Conn, reader *bufio.Reader)) string {
+// startEngine starts a server that runs script for each connection, and returns its address.
+func startEngine(t *testing.T, script func(conn net.Conn, reader *bufio.Reader)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -49,14 +49,14 @@
 	return listener.Addr().String()
 }
 
-// request reads one request and returns its identifier.
-func request(reader *bufio.Reader) (string, error) {
-	read, err := http.ReadRequest(reader)
+// readRequest reads one request and returns its identifier.
+func readRequest(reader *bufio.Reader) (string, error) {
+	received, err := http.ReadRequest(reader)
 	if err != nil {
 		return "", err
 	}
-	_, _ = io.Copy(io.Discard, read.Body)
-	return read.Header.Get("Id"), nil
+	_, _ = io.Copy(io.Discard, received.Body)
+	return received.Header.Get("Id"), nil
 }
 
 func respond(conn io.Writer, id, body string) {
@@ -66,12 +66,12 @@
 func exchange(pool *Pool, address, id string) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	answer, err := pool.Exchange(ctx, address, &Call{ID: id, Method: http.MethodPost, URI: "/x", Host: "h", Body: []byte("b")})
+	response, err := pool.Exchange(ctx, address, &Call{ID: id, Method: http.MethodPost, URI: "/x", Host: "h", Body: []byte("b")})
 	if err != nil {
 		return "", err
 	}
-	defer answer.Close()
-	body, err := io.ReadAll(answer)
+	defer response.Close()
+	body, err := io.ReadAll(response)
 	return string(body), err
 }
 
@@ -83,11 +83,11 @@
 	return failure.Fate
 }
 
-func TestAConnectionServesManyRequests(t *testing.T) {
+func TestPoolReusesConnection(t *testing.T) {
 	g := gomega.NewWithT(t)
-	address := engine(t, func(conn net.Conn, reader *bufio.Reader) {
+	address := startEngine(t, func(conn net.Conn, reader *bufio.Reader) {
 		for {
-			id, err := request(reader)
+			id, err := readRequest(reader)
 			if err != nil {
 				return
 			}
@@ -102,26 +102,26 @@
 	g.Expect(pool.Opened.Load()).To(gomega.Equal(int64(1)))
 }
 
-func TestALateSurplusAnswerIsSkipped(t *testing.T) {
+func TestExchangeSkipsSurplusResponse(t *testing.T) {
 	g := gomega.NewWithT(t)
-	address := engine(t, func(conn net.Conn, reader *bufio.Reader) {
-		id, _ := request(reader)
+	address := startEngine(t, func(conn net.Conn, reader *bufio.Reader) {
+		id, _ := readRequest(reader)
 		respond(conn, id, "first")
-		id, _ = request(reader)
+		id, _ = readRequest(reader)
 		respond(conn, "somebody-else", "late")
 		respond(conn, id, "second")
-		_, _ = request(reader)
+		_, _ = readRequest(reader)
 	})
 	pool := NewPool(plainDialect{})
 	g.Expect(exchange(pool, address, "a")).To(gomega.Equal("first"))
 	g.Expect(exchange(pool, address, "b")).To(gomega.Equal("second"))
 }
 
-func TestAConnectionWithUnreadBytesIsNotUsedAgain(t *testing.T) {
+func TestPoolDropsConnectionWithUnreadBytes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	sent := make(chan struct{}, 8)
-	address := engine(t, func(conn net.Conn, reader *bufio.Reader) {
-		id, err := request(reader)
+	address := startEngine(t, func(conn net.Conn, reader *bufio.Reader) {
+		id, err := readRequest(reader)
 		if err != nil {
 			return
 		}
@@ -129,7 +129,7 @@
 		time.Sleep(20 * time.Millisecond)
 		respond(conn, "surplus", "two")
 		sent <- struct{}{}
-		_, _ = request(reader)
+		_, _ = readRequest(reader)
 	})
 	pool := NewPool(plainDialect{})
 	g.Expect(exchange(pool, address, "a")).To(gomega.Equal("one"))
@@ -139,14 +139,14 @@
 	g.Expect(pool.Opened.Load()).To(gomega.Equal(int64(2)))
 }
 
-func TestBytesThatAreNoAnswerLeaveTheFateUnknown(t *testing.T) {
+func TestExchangeForeignBytesFateUnknown(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, bytes := range []string{
 		"gibberish\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
-		strings.Repeat("HTTP/1.1 200 OK\r\nId: other\r\nContent-Length: 0\r\n\r\n", surplusAnswers), "",
+		strings.Repeat("HTTP/1.1 200 OK\r\nId: other\r\nContent-Length: 0\r\n\r\n", maxSurplusResponses), "",
 	} {
-		address := engine(t, func(conn net.Conn, reader *bufio.Reader) {
-			_, _ = request(reader)
+		address := startEngine(t, func(conn net.Conn, reader *bufio.Reader) {
+			_, _ = readRequest(reader)
 			_, _ = io.WriteString(conn, bytes)
 		})
 		_, err := exchange(NewPool(plainDialect{}), address, "a")
@@ -154,11 +154,11 @@
 	}
 }
 
-func TestABrokenBodyIsNoWholeAnswer(t *testing.T) {
+func TestExchangeTruncatedBody(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, head := range []string{"Content-Length: 100\r\n\r\nshort", "Transfer-Encoding: chunked\r\n\r\n5\r\nshort\r\n"} {
-		address := engine(t, func(conn net.Conn, reader *bufio.Reader) {
-			id, _ := request(reader)
+		address := startEngine(t, func(conn net.Conn, reader *bufio.Reader) {
+			id, _ := readRequest(reader)
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nId: "+id+"\r\n"+head)
 		})
 		_, err := exchange(NewPool(plainDialect{}), address, "a")
@@ -166,7 +166,7 @@
 	}
 }
 
-func TestAnEngineThatCannotBeReachedGotNothing(t *testing.T) {
+func TestExchangeConnectionRefusedFateNotSent(t *testing.T) {
 	g := gomega.NewWithT(t)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -176,34 +176,33 @@
 	g.Expect(fateOf(err)).To(gomega.Equal(FateNotSent))
 }
 
-// Whether a call may be sent is asked once its connection is there: until then much may
-// have changed.
-func TestACallThatIsNotWantedAnyMoreIsNotSent(t *testing.T) {
+// Proceed must be called only once there is a connection, new or idle.
+func TestExchangeProceedErrorOnNewAndIdleConnection(t *testing.T) {
 	g := gomega.NewWithT(t)
-	got := make(chan string, 8)
-	address := engine(t, func(conn net.Conn, reader *bufio.Reader) {
+	received := make(chan string, 8)
+	address := startEngine(t, func(conn net.Conn, reader *bufio.Reader) {
 		for {
-			id, err := request(reader)
+			id, err := readRequest(reader)
 			if err != nil {
 				return
 			}
-			got <- id
+			received <- id
 			respond(conn, id, "ok")
 		}
 	})
 	pool := NewPool(plainDialect{})
-	send := func(id string, wanted bool) error {
-		answer, err := pool.Exchange(context.Background(), address, &Call{ID: id, Method: http.MethodGet, URI: "/", Host: "h", Proceed: func() error {
-			g.Expect(pool.idle[poolKey(address, "")]).To(gomega.BeEmpty(), "the connection that rested is taken")
+	send := func(id string, allowed bool) error {
+		response, err := pool.Exchange(context.Background(), address, &Call{ID: id, Method: http.MethodGet, URI: "/", Host: "h", Proceed: func() error {
+			g.Expect(pool.idle[poolKey(address, "")]).To(gomega.BeEmpty(), "the idle connection is in use")
 			g.Expect(pool.Opened.Load()).To(gomega.BeNumerically(">", 0))
-			if !wanted {
+			if !allowed {
 				return ErrUnwanted
 			}
 			return nil
 		}})
 		if err == nil {
-			_, err = io.ReadAll(answer)
-			answer.Close()
+			_, err = io.ReadAll(response)
+			response.Close()
 		}
 		return err
 	}
@@ -213,61 +212,61 @@
 		g.Expect(fateOf(err)).To(gomega.Equal(FateNotSent))
 		g.Expect(send("after "+id, true)).To(gomega.Succeed())
 	}
-	g.Expect([]string{<-got, <-got}).To(gomega.Equal([]string{"after new", "after kept"}))
-	g.Expect(got).To(gomega.BeEmpty())
+	g.Expect([]string{<-received, <-received}).To(gomega.Equal([]string{"after new", "after kept"}))
+	g.Expect(received).To(gomega.BeEmpty())
 }
 
-func TestTheEndOfTheContextClosesTheConnection(t *testing.T) {
+func TestExchangeCancelClosesConnection(t *testing.T) {
 	g := gomega.NewWithT(t)
 	closed := make(chan struct{})
-	address := engine(t, func(conn net.Conn, reader *bufio.Reader) {
-		id, _ := request(reader)
+	address := startEngine(t, func(conn net.Conn, reader *bufio.Reader) {
+		id, _ := readRequest(reader)
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: 10\r\n\r\n12345", id)
 		_, _ = io.Copy(io.Discard, reader)
 		close(closed)
 	})
 	ctx, cancel := context.WithCancel(context.Background())
-	answer, err := NewPool(plainDialect{}).Exchange(ctx, address, &Call{ID: "a", Method: http.MethodGet, URI: "/", Host: "h"})
+	response, err := NewPool(plainDialect{}).Exchange(ctx, address, &Call{ID: "a", Method: http.MethodGet, URI: "/", Host: "h"})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	cancel()
 	g.Eventually(closed, 5*time.Second).Should(gomega.BeClosed())
-	answer.Close()
+	response.Close()
 }
 
-func TestALongRequestIsNotReusedUntilItIsOut(t *testing.T) {
+func TestPoolDropsConnectionWithUnsentBody(t *testing.T) {
 	g := gomega.NewWithT(t)
-	address := engine(t, func(conn net.Conn, reader *bufio.Reader) {
-		read, err := http.ReadRequest(reader)
+	address := startEngine(t, func(conn net.Conn, reader *bufio.Reader) {
+		received, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		respond(conn, read.Header.Get("Id"), "early") // the body is still coming
+		respond(conn, received.Header.Get("Id"), "early") // before the body is read
 		time.Sleep(300 * time.Millisecond)
 	})
 	pool := NewPool(plainDialect{})
 	body := make([]byte, 8<<20)
-	answer, err := pool.Exchange(context.Background(), address, &Call{ID: "a", Method: http.MethodPost, URI: "/", Host: "h", Body: body})
+	response, err := pool.Exchange(context.Background(), address, &Call{ID: "a", Method: http.MethodPost, URI: "/", Host: "h", Body: body})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	_, err = io.ReadAll(answer)
+	_, err = io.ReadAll(response)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	answer.Close()
+	response.Close()
 	g.Expect(pool.idle).To(gomega.BeEmpty())
 }
 
-func TestRestingTime(t *testing.T) {
+func TestIdleTimeout(t *testing.T) {
 	g := gomega.NewWithT(t)
-	g.Expect(restingTime(http.Header{})).To(gomega.Equal(idleDefault))
-	g.Expect(restingTime(http.Header{"Keep-Alive": {"max=5, timeout=3"}})).To(gomega.Equal(3*time.Second - idleMargin))
-	g.Expect(restingTime(http.Header{"Connection": {"Close"}})).To(gomega.BeZero())
-	g.Expect(restingTime(http.Header{"Keep-Alive": {"timeout=x"}})).To(gomega.BeZero())
+	g.Expect(idleTimeout(http.Header{})).To(gomega.Equal(defaultIdleTimeout))
+	g.Expect(idleTimeout(http.Header{"Keep-Alive": {"max=5, timeout=3"}})).To(gomega.Equal(3*time.Second - idleMargin))
+	g.Expect(idleTimeout(http.Header{"Connection": {"Close"}})).To(gomega.BeZero())
+	g.Expect(idleTimeout(http.Header{"Keep-Alive": {"timeout=x"}})).To(gomega.BeZero())
 }
 
-// Each opening is told once, with the engine that was meant.
-func TestOpeningsAreTold(t *testing.T) {
+// Connected must be called once per connection, with the engine's ID.
+func TestPoolReportsOpenedConnections(t *testing.T) {
 	g := gomega.NewWithT(t)
-	address := engine(t, func(conn net.Conn, reader *bufio.Reader) {
+	address := startEngine(t, func(conn net.Conn, reader *bufio.Reader) {
 		for {
-			id, err := request(reader)
+			id, err := readRequest(reader)
 			if err != nil {
 				return
 			}
@@ -276,38 +275,38 @@
 	})
 	pool := NewPool(plainDialect{})
 	var opened []string
-	pool.Connected = func(instance string, took time.Duration) {
-		opened = append(opened, instance)
+	pool.Connected = func(engineID string, took time.Duration) {
+		opened = append(opened, engineID)
 		g.Expect(took).To(gomega.BeNumerically(">", 0))
 	}
 	for _, id := range []string{"a", "b"} {
-		answer, err := pool.Exchange(context.Background(), address, &Call{ID: id, Method: http.MethodGet, URI: "/", Host: "h", Engine: "i-1"})
+		response, err := pool.Exchange(context.Background(), address, &Call{ID: id, Method: http.MethodGet, URI: "/", Host: "h", Engine: "i-1"})
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		_, err = io.ReadAll(answer)
+		_, err = io.ReadAll(response)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		answer.Close()
+		response.Close()
 	}
 	g.Expect(opened).To(gomega.Equal([]string{"i-1"}))
 }
 
-// An answer that ends with its connection may have been cut by the end of its engine.
-func TestAnAnswerTellsWhetherItsEndIsTold(t *testing.T) {
+// A body that ends with its connection may be truncated and must not count as framed.
+func TestAnswerFramed(t *testing.T) {
 	for head, framed := range map[string]bool{
 		"Content-Length: 2\r\n\r\nok": true, "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n": true, "Connection: close\r\n\r\nok": false,
 	} {
 		g := gomega.NewWithT(t)
-		address := engine(t, func(conn net.Conn, reader *bufio.Reader) {
-			id, err := request(reader)
+		address := startEngine(t, func(conn net.Conn, reader *bufio.Reader) {
+			id, err := readRequest(reader)
 			if err == nil {
 				fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: %s\r\n%s", id, head)
 			}
 		})
-		answer, err := NewPool(plainDialect{}).Exchange(t.Context(), address, &Call{ID: "a", Method: "POST", URI: "/", Host: "h"})
+		response, err := NewPool(plainDialect{}).Exchange(t.Context(), address, &Call{ID: "a", Method: "POST", URI: "/", Host: "h"})
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		body, err := io.ReadAll(answer)
-		answer.Close()
+		body, err := io.ReadAll(response)
+		response.Close()
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(string(body)).To(gomega.Equal("ok"))
-		g.Expect(answer.Framed).To(gomega.Equal(framed), head)
+		g.Expect(response.Framed).To(gomega.Equal(framed), head)
 	}
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -19,34 +19,34 @@
 )
 
 const (
-	// dialTimeout bounds a new connection. Engines are some milliseconds away;
-	// a lost opening packet is sent again only after a second.
+	// dialTimeout bounds a connect. Engines are milliseconds away, and a lost SYN is
+	// retransmitted only after a second.
 	dialTimeout = 350 * time.Millisecond
-	// sendTimeout is how long sent bytes may stay unacknowledged.
-	sendTimeout = 1500 * time.Millisecond
-	// Keep-alive probes find an engine that lost power.
-	probeIdle     = time.Second
-	probeInterval = 500 * time.Millisecond
-	probeCount    = 3
-	// idleDefault is how long a connection rests when the engine doesn't tell.
-	idleDefault = 4 * time.Second
-	// idleMargin is how much earlier than the engine this side closes a
-	// resting connection, so that a request doesn't cross the close.
+	// ackTimeout is how long sent bytes may stay unacknowledged.
+	ackTimeout = 1500 * time.Millisecond
+	// Keep-alive probes detect an engine that lost power.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = 500 * time.Millisecond
+	keepAliveCount    = 3
+	// defaultIdleTimeout applies if the engine sends no Keep-Alive timeout.
+	defaultIdleTimeout = 4 * time.Second
+	// idleMargin is how much earlier than the engine this side closes an idle connection,
+	// so that no request is sent while the engine closes it.
 	idleMargin = 400 * time.Millisecond
-	// idlePerEngine bounds the resting connections to an engine.
-	idlePerEngine = 16
-	readBuffer    = 8 << 10
+	// maxIdlePerEngine bounds the idle connections to an engine.
+	maxIdlePerEngine = 16
+	readBufferSize   = 8 << 10
 )
 
-// Pool keeps connections to engines. Its methods may be called concurrently.
+// Pool holds connections to engines. Its methods may be called concurrently.
 type Pool struct {
 	dialect Dialect
-	// Opened counts the connections that were opened.
+	// Opened counts opened connections.
 	Opened atomic.Int64
-	// Connected is told how long each opening took, by the engine's ID; may be nil.
-	Connected func(instance string, took time.Duration)
+	// Connected is called with the engine's ID and the connect time; may be nil.
+	Connected func(engineID string, took time.Duration)
 
-	mutex sync.Mutex // guards idle; a leaf
+	mutex sync.Mutex // guards idle; no other lock is taken while it is held
 	idle  map[string][]*connection
 }
 
@@ -60,37 +60,37 @@
 	net.Conn
 	reader *bufio.Reader
 	key    string
-	// until is when the connection may not be used any more if it rests.
-	until time.Time
-	used  bool
+	// idleDeadline is when the connection must be closed if it is idle.
+	idleDeadline time.Time
+	released     bool
 }
 
-func poolKey(address, instance string) string { return address + "|" + instance }
+func poolKey(address, engineID string) string { return address + "|" + engineID }
 
-// take returns a resting connection that is still sound, or a new one.
-func (p *Pool) take(ctx context.Context, address, instance string) (*connection, error) {
-	key := poolKey(address, instance)
+// get returns a usable idle connection or a new one.
+func (p *Pool) get(ctx context.Context, address, engineID string) (*connection, error) {
+	key := poolKey(address, engineID)
 	for {
-		resting := p.popIdle(key)
-		if resting == nil {
+		idle := p.popIdle(key)
+		if idle == nil {
 			return p.dial(ctx, address, key)
 		}
-		if clock.Now().Before(resting.until) && resting.quiet() {
-			return resting, nil
+		if clock.Now().Before(idle.idleDeadline) && idle.usable() {
+			return idle, nil
 		}
-		resting.Close()
+		idle.Close()
 	}
 }
 
 func (p *Pool) popIdle(key string) *connection {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	resting := p.idle[key]
-	if len(resting) == 0 {
+	idle := p.idle[key]
+	if len(idle) == 0 {
 		return nil
 	}
-	last := resting[len(resting)-1]
-	p.idle[key] = resting[:len(resting)-1]
+	last := idle[len(idle)-1]
+	p.idle[key] = idle[:len(idle)-1]
 	return last
 }
 
@@ -98,11 +98,11 @@
 	dialer := net.Dialer{
 		Timeout: dialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount,
+			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
 		},
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			return raw.Control(func(fd uintptr) {
-				_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(sendTimeout/time.Millisecond))
+				_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ackTimeout/time.Millisecond))
 			})
 		},
 	}
@@ -113,58 +113,58 @@
 	}
 	p.Opened.Add(1)
 	if p.Connected != nil {
-		_, instance, _ := strings.Cut(key, "|")
-		p.Connected(instance, clock.Since(started))
+		_, engineID, _ := strings.Cut(key, "|")
+		p.Connected(engineID, clock.Since(started))
 	}
-	return &connection{Conn: conn, reader: bufio.NewReaderSize(conn, readBuffer), key: key}, nil
+	return &connection{Conn: conn, reader: bufio.NewReaderSize(conn, readBufferSize), key: key}, nil
 }
 
-// Refuses says whether nothing takes connections at an engine's address any more. One
-// that is taken rests, for the next request; no answer within the time of ctx says
-// nothing.
-func (p *Pool) Refuses(ctx context.Context, address, instance string) bool {
-	conn, err := p.dial(ctx, address, poolKey(address, instance))
+// Refuses reports whether connections to an engine's address are refused. A connection that
+// succeeds is kept for the next request; a timeout doesn't count as refused.
+func (p *Pool) Refuses(ctx context.Context, address, engineID string) bool {
+	conn, err := p.dial(ctx, address, poolKey(address, engineID))
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
-	p.put(conn, nil)
+	p.release(conn, nil)
 	return false
 }
 
-// put lets a connection rest until the engine would close it.
-func (p *Pool) put(c *connection, header http.Header) {
-	rest := restingTime(header)
-	if rest <= 0 || c.reader.Buffered() > 0 {
+// release keeps a connection idle until shortly before the engine would close it.
+func (p *Pool) release(c *connection, header http.Header) {
+	timeout := idleTimeout(header)
+	if timeout <= 0 || c.reader.Buffered() > 0 {
 		c.Close()
 		return
 	}
-	c.until = clock.Now().Add(rest)
-	c.used = true
+	c.idleDeadline = clock.Now().Add(timeout)
+	c.released = true
 	_ = c.SetDeadline(time.Time{})
-	p.rest(c)
+	p.addIdle(c)
 }
 
-// putBack lets a connection rest on which nothing was sent since it was taken.
-func (p *Pool) putBack(c *connection) {
-	if !c.used {
-		p.put(c, nil)
+// releaseUnused keeps a connection on which nothing was sent since get; one that was idle
+// before keeps its idleDeadline.
+func (p *Pool) releaseUnused(c *connection) {
+	if !c.released {
+		p.release(c, nil)
 		return
 	}
-	p.rest(c)
+	p.addIdle(c)
 }
 
-func (p *Pool) rest(c *connection) {
+func (p *Pool) addIdle(c *connection) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if len(p.idle[c.key]) >= idlePerEngine {
+	if len(p.idle[c.key]) >= maxIdlePerEngine {
 		c.Close()
 		return
 	}
 	p.idle[c.key] = append(p.idle[c.key], c)
 }
 
-// restingTime reads how long the engine lets a connection rest.
-func restingTime(header http.Header) time.Duration {
+// idleTimeout returns how long the connection may be idle according to a response's header.
+func idleTimeout(header http.Header) time.Duration {
 	if strings.EqualFold(header.Get("Connection"), "close") {
 		return 0
 	}
@@ -178,12 +178,12 @@
 			return time.Duration(seconds)*time.Second - idleMargin
 		}
 	}
-	return idleDefault
+	return defaultIdleTimeout
 }
 
-// quiet says that the engine has neither closed a resting connection nor sent
-// anything on it.
-func (c *connection) quiet() bool {
+// usable reports whether the engine has neither closed an idle connection nor sent anything
+// on it.
+func (c *connection) usable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -195,27 +195,26 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	err = raw.Read(func(fd uintptr) bool {
 		var peek [1]byte
 		_, _, failure := unix.Recvfrom(int(fd), peek[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = failure == unix.EAGAIN
+		empty = failure == unix.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
 
-// Prune closes resting connections that are past their time, or whose engine
-// is not wanted any more.
-func (p *Pool) Prune(now time.Time, wanted func(address, instance string) bool) {
+// Prune closes idle connections that have expired or whose engine is not wanted any more.
+func (p *Pool) Prune(now time.Time, wanted func(address, engineID string) bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for key, resting := range p.idle {
-		address, instance, _ := strings.Cut(key, "|")
-		keepAll := wanted(address, instance)
-		kept := resting[:0]
-		for _, c := range resting {
-			if keepAll && now.Before(c.until) {
+	for key, idle := range p.idle {
+		address, engineID, _ := strings.Cut(key, "|")
+		keepAll := wanted(address, engineID)
+		kept := idle[:0]
+		for _, c := range idle {
+			if keepAll && now.Before(c.idleDeadline) {
 				kept = append(kept, c)
 			} else {
 				c.Close()
--- a/internal/upstream/proceed_test.go
+++ b/internal/upstream/proceed_test.go
@@ -11,14 +11,13 @@
 	"github.com/onsi/gomega"
 )
 
-// Proceed is asked once the connection stands; where it fails not a byte goes out, and the
-// connection serves the next request.
-func TestARequestThatMayNotProceedIsNotSent(t *testing.T) {
+// A call whose Proceed fails must not be sent, and its connection must serve the next request.
+func TestExchangeProceedErrorKeepsConnection(t *testing.T) {
 	g := gomega.NewWithT(t)
 	served := make(chan string, 4)
-	address := engine(t, func(conn net.Conn, reader *bufio.Reader) {
+	address := startEngine(t, func(conn net.Conn, reader *bufio.Reader) {
 		for {
-			id, err := request(reader)
+			id, err := readRequest(reader)
 			if err != nil {
 				return
 			}
@@ -31,12 +30,12 @@
 	defer cancel()
 	refusal := errors.New("not now")
 	for _, proceed := range []error{refusal, nil, refusal, nil} {
-		answer, err := pool.Exchange(ctx, address, &Call{ID: "r", Method: "GET", URI: "/", Proceed: func() error { return proceed }})
+		response, err := pool.Exchange(ctx, address, &Call{ID: "r", Method: "GET", URI: "/", Proceed: func() error { return proceed }})
 		if proceed == nil {
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			buffer := make([]byte, 8)
-			_, _ = answer.Read(buffer)
-			answer.Close()
+			_, _ = response.Read(buffer)
+			response.Close()
 			continue
 		}
 		var failure *Error
--- a/internal/upstream/suspended_test.go
+++ b/internal/upstream/suspended_test.go
@@ -11,14 +11,14 @@
 	"chutelock.dev/chutelock/internal/clock"
 )
 
-// A connection that rested while the machine was suspended may be closed at the other end,
-// whose close is still on its way: a request that can't be repeated would be lost on it.
-func TestAConnectionDoesNotRestLongerForASuspension(t *testing.T) {
+// After a suspension the engine may have closed an idle connection; a request sent on it that
+// can't be repeated would be lost.
+func TestPoolIdleTimeoutCountsSuspension(t *testing.T) {
 	var opened atomic.Int32
-	address := engine(t, func(conn net.Conn, reader *bufio.Reader) {
+	address := startEngine(t, func(conn net.Conn, reader *bufio.Reader) {
 		opened.Add(1)
 		for {
-			id, err := request(reader)
+			id, err := readRequest(reader)
 			if err != nil {
 				return
 			}
@@ -28,24 +28,24 @@
 	pool := NewPool(plainDialect{})
 	exchange := func(id string) {
 		t.Helper()
-		answer, err := pool.Exchange(t.Context(), address, &Call{ID: id, Method: "POST", URI: "/", Host: "h"})
+		response, err := pool.Exchange(t.Context(), address, &Call{ID: id, Method: "POST", URI: "/", Host: "h"})
 		if err != nil {
 			t.Fatal(err)
 		}
 		for buffer := make([]byte, 16); err == nil; {
-			_, err = answer.Read(buffer)
+			_, err = response.Read(buffer)
 		}
-		answer.Close()
+		response.Close()
 	}
 	exchange("a")
 	exchange("b")
 	if opened.Load() != 1 {
-		t.Fatalf("%d connections, the first didn't rest", opened.Load())
+		t.Fatalf("opened %d connections, want 1 that is reused", opened.Load())
 	}
 	clock.Skip(time.Minute)
 	defer clock.Skip(-time.Minute)
 	exchange("c")
 	if opened.Load() != 2 {
-		t.Error("a connection was used after its time")
+		t.Error("a connection was reused after its idle timeout")
 	}
 }
--- a/internal/upstream/types.go
+++ b/internal/upstream/types.go
@@ -9,7 +9,7 @@
 
 // Call is one request to one engine.
 type Call struct {
-	// ID identifies the request; the engine's answer carries it back.
+	// ID identifies the request; the engine's response repeats it.
 	ID     string
 	Method string
 	// URI is the request target exactly as the caller sent it.
@@ -17,86 +17,84 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Tenant is whose request it is; empty if callers need no key.
+	// Tenant owns the request; empty if callers need no key.
 	Tenant string
-	// Engine is the ID of the engine that is meant; an engine of another instance name
-	// refuses.
+	// Engine is the ID of the intended engine; an engine with another ID refuses the request.
 	Engine string
-	// Deadline is when the answer is of no use any more.
+	// Deadline is when the caller stops waiting.
 	Deadline time.Time
-	// ResumeAfter is the number of the last event that the caller has; it is
-	// sent only if Resume is set.
+	// ResumeAfter is the number of the last event that the caller has; it is sent only if
+	// Resume is set.
 	Resume      bool
 	ResumeAfter uint64
-	// Proceed, if set, is asked right before the request is written, once a connection
-	// stands, which may take dialTimeout; its error keeps the request from being sent.
+	// Proceed, if set, is called between connecting, which may take dialTimeout, and sending;
+	// its error keeps the request from being sent.
 	Proceed func() error
 }
 
-func (c *Call) mayProceed() error {
+func (c *Call) checkProceed() error {
 	if c.Proceed == nil {
 		return nil
 	}
 	return c.Proceed()
 }
 
-// Load is what an engine told of itself.
+// Load is the load that an engine reported.
 type Load struct {
 	Running int
 	Waiting int
 	Slots   int
-	// Stretch is how many times as long as usual work takes there now, as engines share
-	// their machines with others; 1 if the engine doesn't tell, 0 if nothing is known.
+	// Stretch is the engine's current run time relative to its usual one, as engines share
+	// machines; 1 if the engine doesn't report it, 0 if nothing is known.
 	Stretch float64
 }
 
-// Facts are what an answer's head says, whatever its spelling.
+// Facts are the contents of a response's head.
 type Facts struct {
-	// ID is the request that the answer belongs to; empty when not told.
+	// ID is the request that the response belongs to; empty if missing.
 	ID string
-	// NotRun says that the engine certainly did not run the request.
+	// NotRun reports that the engine did not run the request.
 	NotRun bool
-	// Signed says that the answer carries an engine's signature.
+	// Signed reports that the response carries an engine's signature.
 	Signed bool
-	// Elsewhere says that another engine has this address now.
+	// Elsewhere reports that another engine has this address now.
 	Elsewhere bool
 	Load      *Load
 }
 
-// Dialect spells requests and reads answers as the engines do.
+// Dialect translates between calls, responses and the engines' headers.
 type Dialect interface {
 	// Header returns the header to send for a call.
 	Header(call *Call, now time.Time) http.Header
-	// Facts reads the head of an answer.
+	// Facts parses the head of a response.
 	Facts(status int, header http.Header) Facts
 }
 
-// ErrUnsigned says that an answer that looks like a success is none of the
-// engine's: it lacks the signature.
-var ErrUnsigned = errors.New("upstream: a success without the engine's signature")
+// ErrUnsigned reports a successful response without an engine's signature, which did not
+// come from the engine.
+var ErrUnsigned = errors.New("upstream: success response without the engine's signature")
 
-// ErrUnwanted is an answer of a call's Proceed: the engine may get nothing new, and
-// nothing was sent.
-var ErrUnwanted = errors.New("upstream: the engine gets nothing new any more")
+// ErrUnwanted is returned by a call's Proceed if the engine may get no new requests.
+var ErrUnwanted = errors.New("upstream: the engine may get no new requests")
 
-// Fate is what is known of a request whose exchange failed.
+// Fate tells whether a request may have run whose exchange failed.
 type Fate uint8
 
 // Fates.
 const (
-	// FateNotSent: not one byte went out.
+	// FateNotSent: nothing was sent.
 	FateNotSent Fate = iota
 	// FateUnknown: the engine may have run the request.
 	FateUnknown
 )
 
-// String names the fate as in logs.
+// String returns the name used in logs.
 func (f Fate) String() string { return [...]string{"not sent", "unknown"}[f] }
 
-// Error is a failed exchange.
+// Error reports a failed exchange.
 type Error struct {
 	Fate Fate
-	// Step is what failed: dial, send, head, body.
+	// Step is what failed: dial, proceed, send or head.
 	Step string
 	// Peer is the engine's address.
 	Peer  string
