--- a/internal/edge/batch.go
+++ b/internal/edge/batch.go
@@ -14,13 +14,13 @@
 	"chutelock.dev/chutelock/internal/telemetry"
 )
 
-var eventJobCall = telemetry.Define(2302, "job-call-failed", "A call about a batch job could not be answered.")
+var eventJobCallFailed = telemetry.Define(2302, "job-call-failed", "A call about a batch job failed; gives the cause.")
 
-// pageCopies is how many times a page's text is there while it is written.
+// pageCopies is how many copies of a page's text are in memory while it is written.
 const pageCopies = 2
 
-// bounded returns a context that ends in time to answer the caller.
-func bounded(parent context.Context, deadline time.Time, wait time.Duration) (context.Context, context.CancelFunc) {
+// callContext returns a context that leaves time to respond before the caller's deadline.
+func callContext(parent context.Context, deadline time.Time, wait time.Duration) (context.Context, context.CancelFunc) {
 	limit := clock.Now().Add(callTimeout + wait)
 	if !deadline.IsZero() && deadline.Add(-callMargin).Before(limit) {
 		limit = deadline.Add(-callMargin)
@@ -28,7 +28,7 @@
 	return context.WithTimeout(parent, clock.Until(limit))
 }
 
-func (e *Edge) submit(w http.ResponseWriter, r *http.Request, route *catalog.Route, body []byte, request *forward.Request) {
+func (e *Edge) submitJob(w http.ResponseWriter, r *http.Request, route *catalog.Route, body []byte, request *forward.Request) {
 	if r.Method != http.MethodPost {
 		e.reject(w, r, http.StatusNotFound, "a batch job is submitted by POST")
 		return
@@ -41,49 +41,49 @@
 	job.Host, job.Path, job.Route, job.Tenant = r.Host, r.URL.EscapedPath(), route.Name, request.Tenant
 	job.Regions = request.Regions
 	job.QueuedTokens, job.Retention, job.Completion = route.QueuedTokens, route.Retention, route.Completion
-	ctx, cancel := bounded(r.Context(), request.Deadline, 0)
+	ctx, cancel := callContext(r.Context(), request.Deadline, 0)
 	defer cancel()
 	err = e.Jobs.Submit(ctx, job)
 	if err != nil {
-		e.jobCallFailed(w, "submit", job.ID, err, request.Arrived)
+		e.writeJobError(w, "submit", job.ID, err, request.Arrived)
 		return
 	}
 	w.Header().Set("Content-Length", "0")
 	w.WriteHeader(http.StatusAccepted)
 }
 
-func (e *Edge) jobCallFailed(w http.ResponseWriter, call, job string, err error, arrived time.Time) {
-	eventJobCall.Info("call", call, "job", job, "cause", err, "held", clock.Since(arrived))
+func (e *Edge) writeJobError(w http.ResponseWriter, call, job string, err error, arrived time.Time) {
+	eventJobCallFailed.Info("call", call, "job", job, "cause", err, "held", clock.Since(arrived))
 	switch {
 	case errors.Is(err, batchwork.ErrNoJob):
-		answer(w, http.StatusNotFound, "no such batch job or item")
+		writeError(w, http.StatusNotFound, "no such batch job or item")
 	case errors.Is(err, batchwork.ErrForeign):
-		answer(w, http.StatusConflict, "the identifier is taken")
+		writeError(w, http.StatusConflict, "the identifier is taken")
 	case errors.Is(err, batchwork.ErrQueueFull):
-		answer(w, http.StatusTooManyRequests, "the queue is full")
+		writeError(w, http.StatusTooManyRequests, "the queue is full")
 	case errors.Is(err, batchwork.ErrNoHome):
-		answer(w, http.StatusServiceUnavailable, "no region in which the job may be kept has the data nodes for it")
+		writeError(w, http.StatusServiceUnavailable, "no region in which the job may be kept has the data nodes for it")
 	case errors.Is(err, batchwork.ErrNotTaken):
-		answer(w, http.StatusServiceUnavailable, "batch jobs can't be reached")
+		writeError(w, http.StatusServiceUnavailable, "batch jobs can't be reached")
 	case call == "submit":
-		answer(w, http.StatusGatewayTimeout, "it is not known whether the job was taken")
+		writeError(w, http.StatusGatewayTimeout, "it is not known whether the job was taken")
 	default:
-		answer(w, http.StatusServiceUnavailable, "batch jobs did not answer")
+		writeError(w, http.StatusServiceUnavailable, "batch jobs did not answer")
 	}
 }
 
-// writePage answers a read, if there is room to keep the page until it is read.
+// writePage writes a page of results if the memory limit allows it.
 func (e *Edge) writePage(w http.ResponseWriter, page batchwork.Page) {
 	size := int64(0)
 	for _, result := range page.Results {
 		size += pageCopies * int64(len(result.Text))
 	}
-	if !e.Room.Take(size) {
-		answer(w, http.StatusServiceUnavailable, "this node keeps as much for callers as it may")
+	if !e.Room.Reserve(size) {
+		writeError(w, http.StatusServiceUnavailable, "this node keeps as much for callers as it may")
 		return
 	}
-	defer e.Room.Give(size)
-	_ = http.NewResponseController(w).SetWriteDeadline(connectionDeadline(stallTime))
+	defer e.Room.Release(size)
+	_ = http.NewResponseController(w).SetWriteDeadline(connectionDeadline(writeStallTimeout))
 	_ = e.Dialect.WritePage(w, page)
 }
 
@@ -93,29 +93,29 @@
 	if err != nil {
 		deadline = time.Time{}
 	}
-	ctx, cancel := bounded(r.Context(), deadline, call.Wait)
+	ctx, cancel := callContext(r.Context(), deadline, call.Wait)
 	defer cancel()
 	switch call.Kind {
 	case CallRead:
 		page, err := e.Jobs.Read(ctx, from.name(), call.Job, call.Since, call.Wait)
 		if err != nil {
-			e.jobCallFailed(w, "read", call.Job, err, arrived)
+			e.writeJobError(w, "read", call.Job, err, arrived)
 			return
 		}
 		e.writePage(w, page)
 	case CallBody:
 		body, err := e.Jobs.Body(ctx, from.name(), call.Job, call.Item)
 		if err != nil {
-			e.jobCallFailed(w, "body", call.Job, err, arrived)
+			e.writeJobError(w, "body", call.Job, err, arrived)
 			return
 		}
-		_ = http.NewResponseController(w).SetWriteDeadline(connectionDeadline(stallTime))
+		_ = http.NewResponseController(w).SetWriteDeadline(connectionDeadline(writeStallTimeout))
 		w.Header().Set("Content-Type", "application/octet-stream")
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 		_, _ = w.Write(body)
 	case CallEnd:
 		if err := e.Jobs.End(ctx, from.name(), call.Job); err != nil {
-			e.jobCallFailed(w, "end", call.Job, err, arrived)
+			e.writeJobError(w, "end", call.Job, err, arrived)
 			return
 		}
 		w.Header().Set("Content-Length", "0")
--- a/internal/edge/caller.go
+++ b/internal/edge/caller.go
@@ -10,10 +10,9 @@
 	"chutelock.dev/chutelock/internal/telemetry"
 )
 
-var eventLimited = telemetry.Define(2304, "request-limited", "A tenant's request was turned away, as the tenant is at its limit over all nodes; says what was counted and how old that was.")
+var eventLimited = telemetry.Define(2304, "request-limited", "A tenant's request was refused, as the tenant is at its limit over all nodes; gives the counts and their age.")
 
-// caller is whose request it is: a tenant, or nobody in particular where no key is
-// needed.
+// caller is the tenant that sent a request, or nil if it came without a key.
 type caller struct{ tenant *catalog.Tenant }
 
 func (c caller) name() string {
@@ -23,14 +22,12 @@
 	return c.tenant.Name
 }
 
-// identify finds the tenant whose key a request carries. It answers the request and
-// returns false if a key is needed and there is none that is known. open says that
-// the request needs no key.
+// authenticate finds the tenant of the request's key. If a required key is missing or
+// unknown, it writes the response and returns false. anonymous allows requests without a key.
 //
-// A key that is not known is refused for good only where the configuration is known
-// to be new enough: elsewhere the key may have come since, and the caller is sent to
-// another node.
-func (e *Edge) identify(w http.ResponseWriter, r *http.Request, configuration *catalog.Configuration, open bool) (caller, bool) {
+// An unknown key is rejected for good only if the configuration is current. Otherwise the
+// key may be newer than the configuration, and the caller is told to retry.
+func (e *Edge) authenticate(w http.ResponseWriter, r *http.Request, configuration *catalog.Configuration, anonymous bool) (caller, bool) {
 	if !configuration.Keyed() {
 		return caller{}, true
 	}
@@ -45,7 +42,7 @@
 		}
 	}
 	switch {
-	case open:
+	case anonymous:
 		return caller{}, true
 	case presence == apikey.Given && !e.Current():
 		e.reject(w, r, http.StatusServiceUnavailable, "this node's configuration may be behind, and the key is not in it")
@@ -56,21 +53,21 @@
 	return caller{}, false
 }
 
-// fits answers a request that is beyond its tenant's limit, and returns false then.
-func (e *Edge) fits(w http.ResponseWriter, r *http.Request, tenant *catalog.Tenant, request *forward.Request) bool {
+// checkLimit refuses a request that exceeds its tenant's limit, and then returns false.
+func (e *Edge) checkLimit(w http.ResponseWriter, r *http.Request, tenant *catalog.Tenant, request *forward.Request) bool {
 	decision := e.Admit(r.Context(), tenant)
 	if decision.Verdict == quota.Admitted {
 		return true
 	}
 	eventLimited.Info("request", request.ID, "tenant", tenant.Name, "rate", tenant.Rate, "burst", tenant.Burst,
 		"own", decision.Own, "others", decision.Others, "room", decision.Room, "bound", decision.Bound, "age", decision.Age, "come_back", decision.ComeBack)
-	answerLater(w, http.StatusTooManyRequests, "the tenant is at its limit; the request has not run", decision.ComeBack)
+	writeErrorRetryAfter(w, http.StatusTooManyRequests, "the tenant is at its limit; the request has not run", decision.ComeBack)
 	return false
 }
 
-// openCall says whether a call about batch jobs may come without a key: some batch
-// route of the host is public.
-func openCall(configuration *catalog.Configuration, host string) bool {
+// callAllowsAnonymous reports whether calls about batch jobs need no key: the host has a
+// public batch route.
+func callAllowsAnonymous(configuration *catalog.Configuration, host string) bool {
 	for i := range configuration.Routes {
 		route := &configuration.Routes[i]
 		if route.Public && route.Kind == catalog.KindBatch && route.OfHost(host) {
--- a/internal/edge/caller_test.go
+++ b/internal/edge/caller_test.go
@@ -14,7 +14,7 @@
 	"chutelock.dev/chutelock/internal/forward"
 )
 
-// plainDialect has no calls and no facts.
+// plainDialect recognizes no calls and reads no facts.
 type plainDialect struct{}
 
 func (plainDialect) Facts(*http.Request, time.Time) (forward.Request, error) {
@@ -24,17 +24,17 @@
 func (plainDialect) Job(*http.Request, []byte) (*batchwork.Job, error)   { return nil, nil }
 func (plainDialect) WritePage(http.ResponseWriter, batchwork.Page) error { return nil }
 
-// A key is called unknown only where the configuration is known to be new, and none is
-// taken where it can't be confirmed for too long.
-func TestAKeyIsJudgedByWhatIsKnownOfTheConfiguration(t *testing.T) {
+// A key must not be rejected by an outdated configuration, nor accepted by one that was not
+// confirmed for too long.
+func TestAuthenticateByConfigurationAge(t *testing.T) {
 	g := gomega.NewWithT(t)
 	configuration := &catalog.Configuration{}
 	configuration.SetTenants([]catalog.Tenant{{Name: "x", Keys: []apikey.Hash{apikey.Of("k")}}})
-	for _, one := range []struct {
+	for _, test := range []struct {
 		header          string
 		current, lapsed bool
-		open            bool
-		status          int // 0: known, or not asked for
+		anonymous       bool
+		status          int // 0: accepted
 		tenant          string
 	}{
 		{"Bearer k", true, false, false, 0, "x"},
@@ -49,27 +49,27 @@
 		{"", true, false, true, 0, ""},
 	} {
 		e := &Edge{
-			Dialect: plainDialect{}, Current: func() bool { return one.current }, Lapsed: func() bool { return one.lapsed },
+			Dialect: plainDialect{}, Current: func() bool { return test.current }, Lapsed: func() bool { return test.lapsed },
 		}
 		r := httptest.NewRequest(http.MethodPost, "/x", nil)
-		if one.header != "" {
-			r.Header.Set("Authorization", one.header)
+		if test.header != "" {
+			r.Header.Set("Authorization", test.header)
 		}
 		w := httptest.NewRecorder()
-		from, known := e.identify(w, r, configuration, one.open)
-		g.Expect(known).To(gomega.Equal(one.status == 0), "%+v", one)
-		g.Expect(from.name()).To(gomega.Equal(one.tenant), "%+v", one)
-		if one.status != 0 {
-			g.Expect(w.Code).To(gomega.Equal(one.status), "%+v", one)
-			g.Expect(w.Body.String()).NotTo(gomega.ContainSubstring("other"), "a key stands in no answer")
+		from, known := e.authenticate(w, r, configuration, test.anonymous)
+		g.Expect(known).To(gomega.Equal(test.status == 0), "%+v", test)
+		g.Expect(from.name()).To(gomega.Equal(test.tenant), "%+v", test)
+		if test.status != 0 {
+			g.Expect(w.Code).To(gomega.Equal(test.status), "%+v", test)
+			g.Expect(w.Body.String()).NotTo(gomega.ContainSubstring("other"), "a response must not contain a key")
 		}
 	}
 }
 
-func TestNoKeyIsAskedForWithoutTenants(t *testing.T) {
+func TestAuthenticateWithoutTenants(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := httptest.NewRequest(http.MethodPost, "/x", nil)
-	from, known := (&Edge{}).identify(httptest.NewRecorder(), r, &catalog.Configuration{}, false)
+	from, known := (&Edge{}).authenticate(httptest.NewRecorder(), r, &catalog.Configuration{}, false)
 	g.Expect(known).To(gomega.BeTrue())
 	g.Expect(from.name()).To(gomega.BeEmpty())
 }
--- a/internal/edge/doc.go
+++ b/internal/edge/doc.go
@@ -1,8 +1,8 @@
-// Package edge serves callers over HTTP: it reads requests within the limits
-// of the configuration, finds their route, and hands them to the forwarder or
-// to the batch jobs. How requests and calls are spelled comes from a Dialect.
+// Package edge serves callers over HTTP: it reads requests within the configured limits,
+// finds their route, and passes them to the forwarder or to the batch jobs. A Dialect
+// defines the formats of requests and calls.
 //
-// In: net/http requests, the newest catalog snapshot. Out: one answer each.
-// The package decides what is refused before anything runs; it keeps no state
-// but whether the node is draining.
+// Each net/http request gets one response by the newest catalog snapshot. The package
+// rejects requests before anything runs; its only state are the requests in flight and the
+// memory in use.
 package edge
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -19,40 +19,40 @@
 	"chutelock.dev/chutelock/internal/telemetry"
 )
 
-var eventRejected = telemetry.Define(2301, "request-rejected", "A request was turned away before it reached an engine.")
+var eventRejected = telemetry.Define(2301, "request-rejected", "A request was rejected before it reached an engine.")
 
 const (
-	// comeBack is told to callers whom the node can't serve yet.
-	comeBack = 200 * time.Millisecond
-	// writeSlack is how long after its deadline an answer may still be written.
-	writeSlack = time.Second
-	// callTimeout bounds batch calls whose caller names no deadline.
+	// defaultRetryAfter is the Retry-After of responses without a better estimate.
+	defaultRetryAfter = 200 * time.Millisecond
+	// writeGracePeriod is how long after its deadline a response may still be written.
+	writeGracePeriod = time.Second
+	// callTimeout bounds batch calls without a deadline.
 	callTimeout = 3 * time.Second
-	// callMargin is kept of a caller's deadline to answer in time.
+	// callMargin is the part of a caller's deadline reserved for the response.
 	callMargin = 150 * time.Millisecond
-	// bodyMost bounds bodies while no configuration says less.
-	bodyMost = 8 << 20
-	// bodyTime bounds how long a body may take to come of a caller that names no deadline.
-	bodyTime = 30 * time.Second
-	// stallTime is how long a caller may leave an answer unread before it is cut. Callers
-	// that read at all take an event within a second or two.
-	stallTime = 10 * time.Second
-	// jobCopies is how many times a batch job's body is there while it is read and handed
-	// on: as it came, decoded, and encoded for the leader.
+	// defaultMaxBody bounds bodies if the configuration doesn't.
+	defaultMaxBody = 8 << 20
+	// defaultBodyTimeout bounds the time to read a body of a request without a deadline.
+	defaultBodyTimeout = 30 * time.Second
+	// writeStallTimeout is how long a caller may leave a response unread before it is
+	// aborted; a caller that reads takes an event within two seconds.
+	writeStallTimeout = 10 * time.Second
+	// jobCopies is how many copies of a batch job's body are in memory while it is submitted:
+	// as received, decoded, and encoded for the leader.
 	jobCopies = 3
 )
 
-// CallKind is a call about a batch job.
+// CallKind is the kind of a call about a batch job.
 type CallKind uint8
 
-// Calls about batch jobs.
+// Kinds of calls.
 const (
 	CallRead CallKind = iota + 1
 	CallBody
 	CallEnd
 )
 
-// Call is a call about a batch job that was submitted before.
+// Call is a call about a submitted batch job.
 type Call struct {
 	Kind  CallKind
 	Job   string
@@ -61,19 +61,19 @@
 	Wait  time.Duration
 }
 
-// Dialect spells requests, calls and answers as the callers do.
+// Dialect translates between HTTP and the callers' formats.
 type Dialect interface {
-	// Facts reads the typed facts of a request; its body is added later.
+	// Facts parses a request except for its body.
 	Facts(r *http.Request, arrived time.Time) (forward.Request, error)
-	// Call reads a call about a batch job; false if the request is none.
+	// Call parses a call about a batch job; false if the request is none.
 	Call(r *http.Request) (Call, bool)
-	// Job reads a submitted batch job.
+	// Job parses a submitted batch job.
 	Job(r *http.Request, body []byte) (*batchwork.Job, error)
-	// WritePage answers a read.
+	// WritePage writes the response to a read.
 	WritePage(w http.ResponseWriter, page batchwork.Page) error
 }
 
-// Jobs are the batch jobs of the fleet.
+// Jobs gives access to the batch jobs of the fleet.
 type Jobs interface {
 	Submit(ctx context.Context, job *batchwork.Job) error
 	End(ctx context.Context, tenant, job string) error
@@ -81,28 +81,27 @@
 	Body(ctx context.Context, tenant, job, item string) ([]byte, error)
 }
 
-// Edge is the callers' handler.
+// Edge is the HTTP handler for callers.
 type Edge struct {
 	Dialect  Dialect
 	Snapshot func() *catalog.Snapshot
-	// Current says whether the configuration is known to be new enough for its
-	// answer to count that a key doesn't exist.
+	// Current reports whether the configuration is new enough to reject unknown keys.
 	Current func() bool
-	// Lapsed says whether the configuration was not confirmed for so long that a key
-	// that was taken away since must not work any more.
+	// Lapsed reports whether the configuration was not confirmed for so long that keys are no
+	// longer accepted, as they may have been revoked.
 	Lapsed    func() bool
 	Forwarder *forward.Forwarder
-	// Admit decides whether a request fits its tenant's limit, and Withdraw takes one
-	// back that was admitted at a time and reached no engine.
+	// Admit decides whether a request is within its tenant's limit, and Withdraw uncounts
+	// a request that was admitted at the given time and reached no engine.
 	Admit    func(ctx context.Context, tenant *catalog.Tenant) quota.Decision
 	Withdraw func(tenant *catalog.Tenant, admitted time.Time)
 	Jobs     Jobs
-	// Room is what may be kept for callers; nil is no bound.
+	// Room bounds the memory held for callers; nil means no bound.
 	Room     *Room
 	inFlight atomic.Int64
 }
 
-// InFlight is the number of requests that are being answered.
+// InFlight returns the number of requests being served.
 func (e *Edge) InFlight() int64 { return e.inFlight.Load() }
 
 // ServeHTTP implements http.Handler.
@@ -120,7 +119,7 @@
 		return
 	}
 	if call, isCall := e.Dialect.Call(r); isCall {
-		if from, known := e.identify(w, r, configuration, openCall(configuration, r.Host)); known {
+		if from, known := e.authenticate(w, r, configuration, callAllowsAnonymous(configuration, r.Host)); known {
 			e.serveCall(w, r, call, from, arrived)
 		}
 		return
@@ -130,12 +129,12 @@
 		e.reject(w, r, http.StatusNotFound, "no route for this host and path")
 		return
 	}
-	if from, known := e.identify(w, r, configuration, route.Public); known {
+	if from, known := e.authenticate(w, r, configuration, route.Public); known {
 		e.serveRequest(w, r, configuration, route, from, arrived)
 	}
 }
 
-// serveRequest serves a request that has its route and its tenant.
+// serveRequest serves a request whose route and caller are known.
 func (e *Edge) serveRequest(
 	w http.ResponseWriter, r *http.Request, configuration *catalog.Configuration, route *catalog.Route, from caller, arrived time.Time,
 ) {
@@ -145,13 +144,13 @@
 		return
 	}
 	request.Tenant, request.Priority, request.Regions = from.name(), route.PriorityOf(from.tenant), route.RegionsOf(from.tenant)
-	body, taken, ok := e.readBody(w, r, configuration.Limits.BodyBytes, route.Kind, request.Deadline)
-	defer e.Room.Give(taken)
+	body, reserved, ok := e.readBody(w, r, configuration.Limits.BodyBytes, route.Kind, request.Deadline)
+	defer e.Room.Release(reserved)
 	if !ok {
 		return
 	}
 	if route.Kind == catalog.KindBatch {
-		e.submit(w, r, route, body, &request)
+		e.submitJob(w, r, route, body, &request)
 		return
 	}
 	request.Body = body
@@ -160,7 +159,7 @@
 		return
 	}
 	admitted := clock.Now()
-	if !e.fits(w, r, from.tenant, &request) {
+	if !e.checkLimit(w, r, from.tenant, &request) {
 		return
 	}
 	if sent := e.forward(w, r, route, &request); !sent {
@@ -168,7 +167,7 @@
 	}
 }
 
-// headerBytes is the size of a head as it came, nearly.
+// headerBytes returns the approximate size of the request's head as received.
 func headerBytes(r *http.Request) int {
 	size := len(r.Method) + len(r.RequestURI) + len(" HTTP/1.1\r\n") + len("Host: \r\n") + len(r.Host)
 	for name, values := range r.Header {
@@ -180,94 +179,94 @@
 }
 
 func (e *Edge) reject(w http.ResponseWriter, r *http.Request, status int, reason string) {
-	facts, _ := e.Dialect.Facts(r, clock.Now()) // what can't be read stays empty
+	facts, _ := e.Dialect.Facts(r, clock.Now()) // fields that can't be parsed stay empty
 	eventRejected.Info("request", facts.ID, "status", status, "reason", reason, "host", r.Host, "path", r.URL.Path)
-	answer(w, status, reason)
+	writeError(w, status, reason)
 }
 
-// answer writes a short answer of the system's own.
-func answer(w http.ResponseWriter, status int, reason string) {
+// writeError writes a short error response.
+func writeError(w http.ResponseWriter, status int, reason string) {
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
-		answerLater(w, status, reason, comeBack)
+		writeErrorRetryAfter(w, status, reason, defaultRetryAfter)
 		return
 	}
-	write(w, status, reason)
+	writeText(w, status, reason)
 }
 
-// answerLater is answer with the time after which the caller may come back.
-func answerLater(w http.ResponseWriter, status int, reason string, after time.Duration) {
-	setRetryAfter(w, after)
-	write(w, status, reason)
+// writeErrorRetryAfter writes a short error response with a Retry-After.
+func writeErrorRetryAfter(w http.ResponseWriter, status int, reason string, retryAfter time.Duration) {
+	setRetryAfter(w, retryAfter)
+	writeText(w, status, reason)
 }
 
-func write(w http.ResponseWriter, status int, reason string) {
+func writeText(w http.ResponseWriter, status int, reason string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.Header().Set("Content-Length", strconv.Itoa(len(reason)+1))
 	w.WriteHeader(status)
 	_, _ = io.WriteString(w, reason+"\n")
 }
 
-func setRetryAfter(w http.ResponseWriter, after time.Duration) {
-	w.Header().Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', -1, 64))
+func setRetryAfter(w http.ResponseWriter, retryAfter time.Duration) {
+	w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', -1, 64))
 }
 
-// readBody reads the whole body within the limit. taken is what it takes of the room, to be
-// given back with the body.
+// readBody reads the whole body within the limit. reserved is the memory reserved for it, to
+// be released with the body.
 func (e *Edge) readBody(
 	w http.ResponseWriter, r *http.Request, limit int64, kind catalog.Kind, deadline time.Time,
-) (body []byte, taken int64, ok bool) {
+) (body []byte, reserved int64, ok bool) {
 	if limit <= 0 {
-		limit = bodyMost
+		limit = defaultMaxBody
 	}
 	if r.ContentLength > limit {
-		skipBody(w, r)
+		discardBody(w, r)
 		e.reject(w, r, http.StatusRequestEntityTooLarge, "the body is longer than "+strconv.FormatInt(limit, 10)+" bytes")
 		return nil, 0, false
 	}
 	size := r.ContentLength
 	if size < 0 {
-		size = limit // it doesn't tell
+		size = limit // unknown length
 	}
-	taken = bodyRoom(size, kind)
-	if !e.Room.Take(taken) {
-		skipBody(w, r)
+	reserved = bodyMemory(size, kind)
+	if !e.Room.Reserve(reserved) {
+		discardBody(w, r)
 		e.reject(w, r, http.StatusServiceUnavailable, "this node keeps as much for callers as it may; the request has not run")
 		return nil, 0, false
 	}
 	if r.ContentLength == 0 {
-		return nil, taken, true
+		return nil, reserved, true
 	}
 	controller := http.NewResponseController(w)
-	_ = controller.SetReadDeadline(connectionDeadline(bodyWait(deadline)))
-	body, ok = e.readWhole(w, r, limit)
-	if ok { // else the server would wait for the rest of the body
+	_ = controller.SetReadDeadline(connectionDeadline(bodyTimeout(deadline)))
+	body, ok = e.readLimited(w, r, limit)
+	if ok { // after a failure the deadline keeps the server from waiting for the rest
 		_ = controller.SetReadDeadline(time.Time{})
 	}
-	kept := bodyRoom(int64(len(body)), kind)
-	e.Room.Give(taken - kept)
-	return body, kept, ok
+	needed := bodyMemory(int64(len(body)), kind)
+	e.Room.Release(reserved - needed)
+	return body, needed, ok
 }
 
-// bodyWait is how long the body of a request may take to come.
-func bodyWait(deadline time.Time) time.Duration {
+// bodyTimeout returns how long the request's body may take to arrive.
+func bodyTimeout(deadline time.Time) time.Duration {
 	if deadline.IsZero() {
-		return bodyTime
+		return defaultBodyTimeout
 	}
 	return clock.Until(deadline)
 }
 
-// connectionDeadline is a deadline of a connection, which goes by the steady clock.
+// connectionDeadline returns a deadline by the monotonic clock, which connections use.
 func connectionDeadline(after time.Duration) time.Time { return time.Now().Add(after) }
 
-// bodyRoom is what a body of a size takes of the room.
-func bodyRoom(size int64, kind catalog.Kind) int64 {
+// bodyMemory returns the memory to reserve for a body of the given size.
+func bodyMemory(size int64, kind catalog.Kind) int64 {
 	if kind == catalog.KindBatch {
 		return jobCopies * size
 	}
 	return size
 }
 
-func (e *Edge) readWhole(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, bool) {
+func (e *Edge) readLimited(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, bool) {
 	body, err := readAll(http.MaxBytesReader(w, r.Body, limit), r.ContentLength)
 	var tooLarge *http.MaxBytesError
 	var timeout net.Error
@@ -284,35 +283,35 @@
 	return nil, false
 }
 
-// readAll reads a body, of which the length may be known: then nothing more is kept for it.
+// readAll reads a body, in one allocation if its length is known.
 func readAll(body io.Reader, length int64) ([]byte, error) {
 	if length < 0 {
 		return io.ReadAll(body)
 	}
-	whole := make([]byte, length)
-	_, err := io.ReadFull(body, whole)
-	return whole, err
+	content := make([]byte, length)
+	_, err := io.ReadFull(body, content)
+	return content, err
 }
 
-// Bounds on what is read of a body that is refused, so that its sender sees
-// the answer and not a broken connection.
+// Bounds on reading a rejected body, so that the caller sees the response and not a closed
+// connection.
 const (
-	skipMost = 1 << 20
-	skipTime = 200 * time.Millisecond
+	maxDiscardBytes = 1 << 20
+	discardTimeout  = 200 * time.Millisecond
 )
 
-func skipBody(w http.ResponseWriter, r *http.Request) {
+func discardBody(w http.ResponseWriter, r *http.Request) {
 	controller := http.NewResponseController(w)
-	_ = controller.SetReadDeadline(connectionDeadline(skipTime))
-	_, _ = io.CopyN(io.Discard, r.Body, skipMost)
+	_ = controller.SetReadDeadline(connectionDeadline(discardTimeout))
+	_, _ = io.CopyN(io.Discard, r.Body, maxDiscardBytes)
 	_ = controller.SetReadDeadline(time.Time{})
 }
 
 func (e *Edge) forward(w http.ResponseWriter, r *http.Request, route *catalog.Route, request *forward.Request) (sent bool) {
-	request.Header = endToEnd(r.Header)
+	request.Header = endToEndHeader(r.Header)
 	sink := &responseSink{writer: w, controller: http.NewResponseController(w)}
 	if !request.Deadline.IsZero() {
-		sink.last = request.Deadline.Add(writeSlack)
+		sink.writeDeadline = request.Deadline.Add(writeGracePeriod)
 	}
 	sent = e.Forwarder.Serve(r.Context(), request, route, sink)
 	if sink.aborted {
@@ -322,27 +321,27 @@
 	return sent
 }
 
-// hopHeaders concern one connection only (RFC 9110, section 7.6.1).
-var hopHeaders = []string{
+// hopByHopHeaders apply to a single connection (RFC 9110, section 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// endToEnd copies a header without what concerns one connection only.
-func endToEnd(header http.Header) http.Header {
+// endToEndHeader copies a header without its hop-by-hop fields.
+func endToEndHeader(header http.Header) http.Header {
 	result := header.Clone()
 	RemoveHops(result)
 	return result
 }
 
-// RemoveHops takes out of a header what concerns one connection only.
+// RemoveHops removes the hop-by-hop fields of a header.
 func RemoveHops(header http.Header) {
 	for _, listed := range header.Values("Connection") {
 		for _, name := range strings.Split(listed, ",") {
 			header.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		header.Del(name)
 	}
 }
--- a/internal/edge/sink.go
+++ b/internal/edge/sink.go
@@ -9,37 +9,37 @@
 	"chutelock.dev/chutelock/internal/forward"
 )
 
-// responseSink implements forward.Sink on an HTTP answer.
+// responseSink implements forward.Sink by an http.ResponseWriter.
 type responseSink struct {
 	writer     http.ResponseWriter
 	controller *http.ResponseController
-	// last is when the answer has to be written at the latest; zero is never.
-	last    time.Time
-	aborted bool
+	// writeDeadline is when the response must be written; zero means never.
+	writeDeadline time.Time
+	aborted       bool
 }
 
 var _ forward.Sink = (*responseSink)(nil)
 
-// bound bounds the next write: what a caller doesn't read holds the engine up, and the
-// engine cuts what is left unread for some seconds.
-func (s *responseSink) bound() {
-	left := stallTime
-	if !s.last.IsZero() {
-		left = min(left, clock.Until(s.last))
+// setWriteDeadline bounds the next write, as an unread response blocks the engine, which
+// aborts it after some seconds.
+func (s *responseSink) setWriteDeadline() {
+	left := writeStallTimeout
+	if !s.writeDeadline.IsZero() {
+		left = min(left, clock.Until(s.writeDeadline))
 	}
 	_ = s.controller.SetWriteDeadline(connectionDeadline(left))
 }
 
 func (s *responseSink) setHeader(header http.Header) {
 	target := s.writer.Header()
-	for name, values := range endToEnd(header) {
+	for name, values := range endToEndHeader(header) {
 		target[name] = values
 	}
 }
 
 // WriteResponse implements forward.Sink.
 func (s *responseSink) WriteResponse(status int, header http.Header, body []byte) error {
-	s.bound()
+	s.setWriteDeadline()
 	s.setHeader(header)
 	s.writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	s.writer.WriteHeader(status)
@@ -56,7 +56,7 @@
 
 // WriteEvent implements forward.Sink.
 func (s *responseSink) WriteEvent(raw []byte) error {
-	s.bound()
+	s.setWriteDeadline()
 	if _, err := s.writer.Write(raw); err != nil {
 		return err
 	}
@@ -70,7 +70,7 @@
 func (s *responseSink) Abort() { s.aborted = true }
 
 // Refuse implements forward.Sink.
-func (s *responseSink) Refuse(verdict forward.Verdict, after time.Duration) error {
+func (s *responseSink) Refuse(verdict forward.Verdict, retryAfter time.Duration) error {
 	status := http.StatusBadGateway
 	reason := "the request may have run"
 	switch verdict {
@@ -79,9 +79,9 @@
 	case forward.VerdictTimeout:
 		status, reason = http.StatusGatewayTimeout, "the time is over"
 	}
-	s.bound()
-	if after > 0 {
-		setRetryAfter(s.writer, after)
+	s.setWriteDeadline()
+	if retryAfter > 0 {
+		setRetryAfter(s.writer, retryAfter)
 	}
 	s.writer.Header().Set("Content-Length", strconv.Itoa(len(reason)+1))
 	s.writer.WriteHeader(status)
--- a/internal/edge/slow_test.go
+++ b/internal/edge/slow_caller_test.go
@@ -23,7 +23,7 @@
 	"chutelock.dev/chutelock/internal/upstream"
 )
 
-// pipeListener hands out one connection.
+// pipeListener accepts one connection.
 type pipeListener struct {
 	conn   chan net.Conn
 	closed chan struct{}
@@ -41,9 +41,9 @@
 func (l *pipeListener) Close() error   { l.once.Do(func() { close(l.closed) }); return nil }
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// A caller that reads nothing holds its engine up for stallTime at most, also if it names
-// no deadline; then its answer is broken off, so that it doesn't look complete.
-func TestAnAnswerThatIsLeftUnreadIsCut(t *testing.T) {
+// A caller that reads nothing must not block its engine beyond writeStallTimeout; its response
+// must not look complete.
+func TestSinkAbortsStalledReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		held := make(chan time.Duration, 1)
@@ -63,15 +63,15 @@
 		go func() { _ = server.Serve(listener) }()
 		_, err := io.WriteString(client, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		g.Expect(<-held).To(gomega.BeNumerically("~", stallTime, time.Second))
+		g.Expect(<-held).To(gomega.BeNumerically("~", writeStallTimeout, time.Second))
 		_, err = http.ReadResponse(bufio.NewReader(client), nil)
 		g.Expect(err).To(gomega.HaveOccurred())
 		g.Expect(server.Close()).To(gomega.Succeed())
 	})
 }
 
-// A body that doesn't come, of a caller that names no deadline, is waited for bodyTime.
-func TestABodyThatDoesNotComeIsNotWaitedForLong(t *testing.T) {
+// A body that doesn't arrive must not be waited for beyond defaultBodyTimeout.
+func TestEdgeBodyTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		e := &Edge{Dialect: plainDialect{}, Snapshot: func() *catalog.Snapshot {
@@ -88,13 +88,13 @@
 		response, err := http.ReadResponse(bufio.NewReader(client), nil)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(response.StatusCode).To(gomega.Equal(http.StatusRequestTimeout))
-		g.Expect(time.Since(started)).To(gomega.BeNumerically("~", bodyTime, time.Second))
+		g.Expect(time.Since(started)).To(gomega.BeNumerically("~", defaultBodyTimeout, time.Second))
 		_ = client.Close()
 		g.Expect(server.Close()).To(gomega.Succeed())
 	})
 }
 
-// pageDialect answers pages by their text.
+// pageDialect writes the text of a page's first result.
 type pageDialect struct{ plainDialect }
 
 func (pageDialect) WritePage(w http.ResponseWriter, page batchwork.Page) error {
@@ -102,56 +102,55 @@
 	return err
 }
 
-// What callers send and don't read takes room; without room a request is told at once that
-// it has not run, and the room is back once the others have ended.
-func TestBodiesAndPagesTakeRoom(t *testing.T) {
+// Bodies and pages beyond the memory limit must be refused as not run, and all memory be
+// released at the end.
+func TestMemoryLimitCoversBodiesAndPages(t *testing.T) {
 	g := gomega.NewWithT(t)
-	e := &Edge{Dialect: pageDialect{}, Room: NewRoom(roomShare * 1000)}
+	e := &Edge{Dialect: pageDialect{}, Room: NewRoom(memoryDivisor * 1000)}
 	body := func(size int, kind catalog.Kind) (int, int64) {
 		recorder := httptest.NewRecorder()
 		request := httptest.NewRequest(http.MethodPost, "/", strings.NewReader(strings.Repeat("x", size)))
-		read, taken, ok := e.readBody(recorder, request, 0, kind, time.Time{})
+		read, reserved, ok := e.readBody(recorder, request, 0, kind, time.Time{})
 		if !ok {
 			return recorder.Code, 0
 		}
 		g.Expect(read).To(gomega.HaveLen(size))
-		return http.StatusOK, taken
+		return http.StatusOK, reserved
 	}
 	status, first := body(600, catalog.KindStream)
 	g.Expect(status).To(gomega.Equal(http.StatusOK))
 	status, _ = body(600, catalog.KindStream)
 	g.Expect(status).To(gomega.Equal(http.StatusServiceUnavailable))
 	status, _ = body(300, catalog.KindBatch)
-	g.Expect(status).To(gomega.Equal(http.StatusServiceUnavailable), "a job's body is there three times")
+	g.Expect(status).To(gomega.Equal(http.StatusServiceUnavailable), "a job's body is held three times")
 	page := batchwork.Page{Results: []batchwork.Result{{Text: []byte(strings.Repeat("y", 300))}}}
 	recorder := httptest.NewRecorder()
 	e.writePage(recorder, page)
 	g.Expect(recorder.Code).To(gomega.Equal(http.StatusServiceUnavailable))
-	e.Room.Give(first)
+	e.Room.Release(first)
 	status, second := body(300, catalog.KindBatch)
 	g.Expect(status).To(gomega.Equal(http.StatusOK))
-	e.Room.Give(second)
+	e.Room.Release(second)
 	recorder = httptest.NewRecorder()
 	e.writePage(recorder, page)
 	g.Expect(recorder.Code).To(gomega.Equal(http.StatusOK))
-	g.Expect(e.Room.Take(1000)).To(gomega.BeTrue(), "all is given back")
+	g.Expect(e.Room.Reserve(1000)).To(gomega.BeTrue(), "all memory must be released")
 }
 
-// A body that doesn't tell its length takes room for the longest one while it comes, and
-// only for what it is from then on: with 36 MB of room nine requests in chunks would be all.
-func TestABodyOfUnknownLengthKeepsItsOwnSizeOnly(t *testing.T) {
+// A body of unknown length must reserve the maximum only while it is read, then its own size.
+func TestMemoryLimitShrinksToBodySize(t *testing.T) {
 	g := gomega.NewWithT(t)
-	e := &Edge{Dialect: plainDialect{}, Room: NewRoom(roomShare * 1000)}
+	e := &Edge{Dialect: plainDialect{}, Room: NewRoom(memoryDivisor * 1000)}
 	for range 5 {
 		request := httptest.NewRequest(http.MethodPost, "/", io.MultiReader(strings.NewReader("some bytes")))
 		g.Expect(request.ContentLength).To(gomega.BeNumerically("<", 0))
-		_, taken, ok := e.readBody(httptest.NewRecorder(), request, 900, catalog.KindStream, time.Time{})
+		_, reserved, ok := e.readBody(httptest.NewRecorder(), request, 900, catalog.KindStream, time.Time{})
 		g.Expect(ok).To(gomega.BeTrue())
-		g.Expect(taken).To(gomega.BeEquivalentTo(len("some bytes")))
+		g.Expect(reserved).To(gomega.BeEquivalentTo(len("some bytes")))
 	}
 }
 
-// endlessDialect reads answers of an engine that streams without an end.
+// endlessDialect is the protocol of an engine whose stream never ends.
 type endlessDialect struct{}
 
 func (endlessDialect) Header(call *upstream.Call, _ time.Time) http.Header {
@@ -161,9 +160,8 @@
 	return upstream.Facts{ID: header.Get("X-Id"), Signed: true}
 }
 
-// BenchmarkStalledReaders holds 1,000 callers that read nothing of endless streams. It tells
-// the memory of the heap and of stacks a caller; the stand-in of the engine and the callers
-// themselves are in it, so that a node has less.
+// BenchmarkStalledReaders measures heap and stack memory per caller that doesn't read its
+// endless stream; callers and engine in the same process are included.
 func BenchmarkStalledReaders(b *testing.B) {
 	const readers = 1000
 	engine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
