--- a/internal/quota/collector.go
+++ b/internal/quota/collector.go
@@ -9,421 +9,417 @@
 )
 
 const (
-	// freshTime is how long a front node may be silent before it counts as lost or cut
-	// off: three reports without news, as datagrams may be lost.
-	freshTime = 3 * refreshTime
-	// shareFresh is the same for a zone whose data nodes send shares: five intervals.
-	shareFresh = 400 * time.Millisecond
-	// takeTime is how long front nodes take to go over from a data node that fell
-	// silent: three reports without an answer, and one that is due without news.
-	takeTime = 800 * time.Millisecond
-	// quietTime is how long a data node may be silent before its front nodes may have left
-	// it unheard: an interval between shares and half of one.
-	quietTime = 120 * time.Millisecond
-	// giveTime is how long the share of a data node may tell of front nodes that have
-	// left it: an interval between shares, and their way.
-	giveTime = 100 * time.Millisecond
-	// sharerMemory is how long a zone whose data nodes are silent counts as a part of
-	// the fleet that may let requests through.
-	sharerMemory = 30 * time.Second
+	// reportTimeout is the silence after which a front node counts as lost or cut off:
+	// three refresh intervals, as datagrams may be lost.
+	reportTimeout = 3 * refreshInterval
+	// shareTimeout is the same for data nodes: five share intervals.
+	shareTimeout = 400 * time.Millisecond
+	// handoverTime is the time front nodes take to leave a silent relay: three unanswered
+	// reports and one refresh interval.
+	handoverTime = 800 * time.Millisecond
+	// transferMinSilence is the silence of a data node after which its front nodes may have
+	// left it unnoticed: one and a half share intervals.
+	transferMinSilence = 120 * time.Millisecond
+	// transferHold is how long a data node's shares may still include front nodes that
+	// left it: a share interval and the transmission.
+	transferHold = 100 * time.Millisecond
+	// silentZoneTimeout is how long a silent zone is taken to admit requests still.
+	silentZoneTimeout = 30 * time.Second
 )
 
-// Collector adds counts up at a data node. It is not safe for concurrent use.
+// Collector aggregates counts at a data node. It is not safe for concurrent use.
 //
-// Each request that was let through is to count once, though the front node that did
-// so may go over to another data node and either may be lost. So counts stand under
-// their origin, a life of a front node or of a data node; and where one origin's counts
-// rise because front nodes came to it, those of the origins that fell silent or are
-// about to tell less are taken to fall by as much.
+// Each admitted request must count once, though front nodes change relays and either
+// may fail. Counts are therefore kept by source, an incarnation of a node. Where the
+// counts of a source rise because front nodes moved to it, as much is subtracted from
+// sources that fell silent or are about to report less.
 type Collector struct {
-	zone    string
-	window  time.Duration
-	life    uint32
-	reports map[source]lastReport
-	shares  map[source]*zoneShare
-	// others are the other zones that this node tells of requests or hears of.
-	others map[string]*zoneContact
-	// echo is what data nodes of other zones remember of this one, and remembered what
-	// front nodes do of all from the node that took their reports before.
-	echo, remembered heard
-	// first is what was known here when front nodes told that last, and what came to
-	// be known since and is older than that.
-	first heard
-	// unheard is what front nodes told of zones, at unheardAt.
-	unheard   Unheard
-	unheardAt time.Time
-	// reported is the sum of reports; nil if it has to be made anew.
-	reported *reportSum
-}
-
-// lastReport is what a front node told last, and what it brought as it came here: of that nothing
-// is new.
+	zone        string
+	window      time.Duration
+	incarnation uint32
+	reports     map[source]lastReport
+	shares      map[source]*receivedShare
+	// zones are the other zones that this node exchanges shares with.
+	zones map[string]*zoneContact
+	// recovered are counts of this zone that other zones remember, and remembered those
+	// that front nodes bring along from a former relay.
+	recovered, remembered datedCounts
+	// baseline is what was known here when remembered was set, plus counts that became
+	// known since but are older.
+	baseline datedCounts
+	// reportedSilent are the silent zones that a front node reported at reportedSilentAt.
+	reportedSilent   SilentZones
+	reportedSilentAt time.Time
+	// totals caches the sum of the reports; nil if outdated.
+	totals *reportTotals
+}
+
+// lastReport is a front node's last report, with the counts it had when it came here:
+// these are not new requests.
 type lastReport struct {
-	heard
-	brought Counts
+	datedCounts
+	initial Counts
 }
 
-// reportSum is what all front nodes told last, and by how much that grew since they came. It
-// doesn't change.
-type reportSum struct{ counts, growth Counts }
+// reportTotals is the sum of all last reports, and their growth since the front nodes
+// came here. It is immutable.
+type reportTotals struct{ counts, growth Counts }
 
-// source is one life of a node.
+// source is one incarnation of a node.
 type source struct {
-	address transport.Address
-	life    uint32
+	address     transport.Address
+	incarnation uint32
 }
 
-type heard struct {
+// datedCounts are counts as of a time.
+type datedCounts struct {
 	at     time.Time
 	counts Counts
 }
 
-// left is what the window still holds of the counts.
-func (h heard) left(hold, window time.Duration, now time.Time) Counts {
+// remaining returns what is left of the counts within the window.
+func (d datedCounts) remaining(hold, window time.Duration, now time.Time) Counts {
 	counts := Counts{}
-	counts.add(h.counts, held(now.Sub(h.at), hold, window), now.Sub(h.at))
+	counts.add(d.counts, remainingFraction(now.Sub(d.at), hold, window), now.Sub(d.at))
 	return counts
 }
 
-// zoneShare is what a data node told last.
-type zoneShare struct {
-	heard
+// receivedShare is the last share of a data node.
+type receivedShare struct {
+	datedCounts
 	zone string
-	// given is what others seem to have taken over since, the oldest first.
-	given []heard
-	// reported is the sum of the receiver's own reports as the share came.
-	reported *reportSum
-}
-
-// rest is what nobody has taken over.
-func (s *zoneShare) rest() heard {
-	if len(s.given) == 0 {
-		return s.heard
-	}
-	rest := Counts{}
-	rest.add(s.counts, 1, 0)
-	for _, one := range s.given {
-		rest.reduce(one.counts)
-	}
-	return heard{s.at, rest}
-}
-
-// follow returns the share that the data node tells next. It may have been sent before
-// front nodes told that they are gone: what was given and isn't missing yet stays given
-// for a while, each by itself. What another data node tells more of may be new requests, and
-// must not renew what was given before: as long as a tenant asks for more and more, that would
-// hide a part of its requests.
-func (s *zoneShare) follow(counts Counts, now time.Time) *zoneShare {
-	next := &zoneShare{heard: heard{now, counts}, zone: s.zone}
-	missing := s.counts.above(counts)
-	for _, one := range s.given {
-		if now.Sub(one.at) > giveTime {
+	// transferred are counts taken over by other sources since, the oldest first.
+	transferred []datedCounts
+	// totals are the receiver's own report totals when the share came.
+	totals *reportTotals
+}
+
+// untransferred returns the counts that no other source has taken over.
+func (s *receivedShare) untransferred() datedCounts {
+	if len(s.transferred) == 0 {
+		return s.datedCounts
+	}
+	counts := Counts{}
+	counts.add(s.counts, 1, 0)
+	for _, transfer := range s.transferred {
+		counts.subtract(transfer.counts)
+	}
+	return datedCounts{s.at, counts}
+}
+
+// successor returns the next share of the same source. It may have been sent before
+// front nodes announced their departure, so each transfer that its counts don't show
+// yet is kept for transferHold from its own time. A transfer must not be renewed by
+// growth elsewhere, which may be new requests and would hide a part of them.
+func (s *receivedShare) successor(counts Counts, now time.Time) *receivedShare {
+	next := &receivedShare{datedCounts: datedCounts{now, counts}, zone: s.zone}
+	decrease := s.counts.excessOver(counts)
+	for _, transfer := range s.transferred {
+		if now.Sub(transfer.at) > transferHold {
 			continue
 		}
-		if still := one.counts.above(missing); len(still) > 0 {
-			next.given = append(next.given, heard{one.at, still})
+		if kept := transfer.counts.excessOver(decrease); len(kept) > 0 {
+			next.transferred = append(next.transferred, datedCounts{transfer.at, kept})
 		}
-		missing = missing.above(one.counts)
+		decrease = decrease.excessOver(transfer.counts)
 	}
 	return next
 }
 
-// zoneContact is when another zone was heard of, and since when it leaves shares that
-// tell of requests unanswered.
-type zoneContact struct{ heardAt, askedAt, toldAt time.Time }
+// zoneContact holds when another zone was last heard, since when it hasn't answered
+// shares with counts, and when one was last sent.
+type zoneContact struct{ heardAt, unansweredSince, sentAt time.Time }
 
-// NewCollector returns the collector of a data node in a zone. life is drawn anew for
-// each.
-func NewCollector(zone string, window time.Duration, life uint32) *Collector {
+// NewCollector returns the collector of a data node in a zone. incarnation is drawn at
+// each start.
+func NewCollector(zone string, window time.Duration, incarnation uint32) *Collector {
 	return &Collector{
-		zone: zone, window: window, life: life, reports: map[source]lastReport{}, shares: map[source]*zoneShare{},
-		others: map[string]*zoneContact{},
+		zone: zone, window: window, incarnation: incarnation, reports: map[source]lastReport{}, shares: map[source]*receivedShare{},
+		zones: map[string]*zoneContact{},
 	}
 }
 
 // Report takes a front node's report.
-func (c *Collector) Report(from transport.Address, told Report, now time.Time) {
-	name := source{from, told.Life}
-	c.reported = nil
-	if told.Gone {
-		delete(c.reports, name)
+func (c *Collector) Report(from transport.Address, report Report, now time.Time) {
+	src := source{from, report.Life}
+	c.totals = nil
+	if report.Gone {
+		delete(c.reports, src)
 		return
 	}
-	before, known := c.reports[name]
-	brought := before.brought
-	if !known || now.Sub(before.at) > freshTime {
-		counted := before.left(aloneHold-c.window, c.window, now)
-		c.arrive(told.Counts.above(counted), c.zone, name, 0, now)
-		brought = told.Counts
-	}
-	c.reports[name] = lastReport{heard{now, told.Counts}, brought}
-	if len(told.Others) > 0 {
-		c.learn(told, now)
-	}
-}
-
-// learn takes what a front node remembers of others, if it is more than is known here.
-func (c *Collector) learn(report Report, now time.Time) {
-	c.unheard, c.unheardAt = report.Unheard, now
-	known := c.known("", now)
-	present := Counts{}
-	present.raise(known)
-	present.raise(c.former(known, now))
-	for key, count := range report.Others {
-		if count.Admitted > present[key].Admitted {
-			present.raise(report.Others)
-			c.remembered, c.first = heard{now, present}, heard{now, known}
+	previous, known := c.reports[src]
+	initial := previous.initial
+	if !known || now.Sub(previous.at) > reportTimeout {
+		counted := previous.remaining(reserveHold-c.window, c.window, now)
+		c.transferTo(report.Counts.excessOver(counted), c.zone, src, 0, now)
+		initial = report.Counts
+	}
+	c.reports[src] = lastReport{datedCounts{now, report.Counts}, initial}
+	if len(report.Remembered) > 0 {
+		c.learnRemembered(report, now)
+	}
+}
+
+// learnRemembered takes the remembered counts of a front node if they exceed those
+// known here.
+func (c *Collector) learnRemembered(report Report, now time.Time) {
+	c.reportedSilent, c.reportedSilentAt = report.SilentZones, now
+	total := c.total("", now)
+	merged := Counts{}
+	merged.mergeMax(total)
+	merged.mergeMax(c.rememberedCounts(total, now))
+	for key, count := range report.Remembered {
+		if count.Admitted > merged[key].Admitted {
+			merged.mergeMax(report.Remembered)
+			c.remembered, c.baseline = datedCounts{now, merged}, datedCounts{now, total}
 			return
 		}
 	}
 }
 
-// arrive notes that a source told of requests which it didn't let through just now:
-// front nodes came to it, or it is heard again. Other sources of the zone that told of
-// them have them no more, those first that are silent for longest. If recent is given, what
-// was told may be new requests as well, and only sources give that have fallen silent within
-// that time: one that is heard tells itself what it has no more. What none of them had was
-// part of what front nodes remembered.
-func (c *Collector) arrive(counts Counts, zone string, name source, recent time.Duration, now time.Time) {
+// transferTo accounts for counts of a receiver that are not new requests, as front nodes
+// moved to it or it is heard again: they are subtracted from other sources of the
+// zone, the longest silent first. With maxSilence, the counts may be new requests as
+// well, and only sources that fell silent within that time are reduced; others report
+// their losses themselves. The rest was part of the remembered counts.
+func (c *Collector) transferTo(counts Counts, zone string, receiver source, maxSilence time.Duration, now time.Time) {
 	if len(counts) == 0 {
 		return
 	}
-	var givers []*zoneShare
+	var donors []*receivedShare
 	for other, share := range c.shares {
 		age := now.Sub(share.at)
-		if share.zone == zone && other != name && (recent == 0 || quietTime < age && age <= recent) {
-			givers = append(givers, share)
+		if share.zone == zone && other != receiver && (maxSilence == 0 || transferMinSilence < age && age <= maxSilence) {
+			donors = append(donors, share)
 		}
 	}
-	slices.SortFunc(givers, func(a, b *zoneShare) int { return a.at.Compare(b.at) })
-	rest := Counts{}
-	rest.add(counts, 1, 0)
-	for _, share := range givers {
-		share.give(rest, c.leftOf(share, now), now)
+	slices.SortFunc(donors, func(a, b *receivedShare) int { return a.at.Compare(b.at) })
+	remaining := Counts{}
+	remaining.add(counts, 1, 0)
+	for _, share := range donors {
+		share.transferOut(remaining, c.shareFraction(share, now), now)
 	}
-	if recent > 0 {
+	if maxSilence > 0 {
 		return
 	}
-	first := c.first.left(0, c.window, now)
-	first.add(rest, 1, 0)
-	c.first = heard{now, first}
+	baseline := c.baseline.remaining(0, c.window, now)
+	baseline.add(remaining, 1, 0)
+	c.baseline = datedCounts{now, baseline}
 }
 
-// give takes counts away, of which so much is left within the window, and from those
-// that are to be taken.
-func (s *zoneShare) give(counts Counts, left float64, now time.Time) {
-	if left <= 0 {
+// transferOut moves counts to another source, at most those that remain here: fraction
+// of them is still within the window. It reduces counts by what it moved.
+func (s *receivedShare) transferOut(counts Counts, fraction float64, now time.Time) {
+	if fraction <= 0 {
 		return
 	}
-	rest := s.rest().counts
-	given := Counts{}
+	available := s.untransferred().counts
+	transferred := Counts{}
 	for key, count := range counts {
-		if taken := min(count.Admitted, rest[key].Admitted*left); taken > 0 {
-			given[key] = Count{Admitted: taken / left}
+		if taken := min(count.Admitted, available[key].Admitted*fraction); taken > 0 {
+			transferred[key] = Count{Admitted: taken / fraction}
 			counts[key] = Count{Admitted: count.Admitted - taken}
 		}
 	}
-	if len(given) > 0 {
-		s.given = append(s.given, heard{now, given})
+	if len(transferred) > 0 {
+		s.transferred = append(s.transferred, datedCounts{now, transferred})
 	}
 }
 
 // Share takes another data node's share.
 func (c *Collector) Share(from transport.Address, share Share, now time.Time) {
-	name := source{from, share.Life}
+	src := source{from, share.Incarnation}
 	if share.Zone != c.zone {
 		contact := c.contact(share.Zone)
-		contact.heardAt, contact.askedAt = now, time.Time{}
+		contact.heardAt, contact.unansweredSince = now, time.Time{}
 	}
-	c.noteGrowth(name, share, now)
-	before := c.shares[name]
-	if before == nil {
-		before = &zoneShare{zone: share.Zone}
+	c.transferGrowth(src, share, now)
+	previous := c.shares[src]
+	if previous == nil {
+		previous = &receivedShare{zone: share.Zone}
 	}
-	next := before.follow(share.Counts, now)
-	next.reported = c.sumOfReports()
-	c.shares[name] = next
-	if len(share.Yours) > 0 {
-		c.echo = heard{now, share.Yours}
+	successor := previous.successor(share.Counts, now)
+	successor.totals = c.reportTotals()
+	c.shares[src] = successor
+	if len(share.Recovered) > 0 {
+		c.recovered = datedCounts{now, share.Recovered}
 	}
 }
 
-// noteGrowth tells counts that came over to a data node from new ones: all, if it
-// wasn't heard before, and otherwise what may have come from one that was heard within
-// takeTime.
-func (c *Collector) noteGrowth(name source, share Share, now time.Time) {
-	before, known := c.shares[name]
+// transferGrowth separates counts that moved to a data node from new requests: all of
+// them if it wasn't heard before, else at most those of sources that fell silent within
+// handoverTime.
+func (c *Collector) transferGrowth(src source, share Share, now time.Time) {
+	previous, known := c.shares[src]
 	switch {
 	case !known:
-		c.arrive(share.Counts, share.Zone, name, 0, now)
-	case now.Sub(before.at) > shareFresh:
-		counted := before.rest().left(c.holdOf(before, now), c.window, now)
-		c.arrive(share.Counts.above(counted), share.Zone, name, 0, now)
+		c.transferTo(share.Counts, share.Zone, src, 0, now)
+	case now.Sub(previous.at) > shareTimeout:
+		counted := previous.untransferred().remaining(c.shareHold(previous, now), c.window, now)
+		c.transferTo(share.Counts.excessOver(counted), share.Zone, src, 0, now)
 	default:
-		c.arrive(share.Counts.above(before.counts), share.Zone, name, takeTime, now)
+		c.transferTo(share.Counts.excessOver(previous.counts), share.Zone, src, handoverTime, now)
 	}
 }
 
 func (c *Collector) contact(zone string) *zoneContact {
-	known := c.others[zone]
-	if known == nil {
-		known = &zoneContact{}
-		c.others[zone] = known
-	}
-	return known
-}
-
-// Sum returns what all front nodes but one let through. bound is the most that a tenant
-// may be let through: a zone of which nobody is heard may be cut off and not down, and
-// room is kept for its part of that.
-func (c *Collector) Sum(but transport.Address, bound func(Key) float64, now time.Time) Sum {
-	sum := c.known(but, now)
-	former := c.former(sum, now)
-	more := former.above(sum)
-	sum.raise(former)
-	sum.add(c.sinceShares(now), 1, 0)
-	told := Sum{Life: c.life, Counts: sum, Unheard: c.unheardNow(now)}
-	if told.Unheard.Zones > 0 {
-		told.Within = c.within(more, told.Unheard, bound, now)
-	}
-	return told
-}
-
-// sinceShares is what the front nodes of other data nodes are expected to have let through
-// since their shares came: where a tenant asks for more at once, it does so everywhere, so
-// each has as much more as this node's own. Without it all let through what the old shares
-// leave free, and a limit is exceeded where shares come late. What may be chance, within
-// the deviation of such a count, is not expected.
-func (c *Collector) sinceShares(now time.Time) Counts {
+	contact := c.zones[zone]
+	if contact == nil {
+		contact = &zoneContact{}
+		c.zones[zone] = contact
+	}
+	return contact
+}
+
+// Sum returns the counts of all front nodes except one. bound returns how many requests
+// of a tenant to admit within the window; a silent zone may be partitioned and not down,
+// so its part of that is reserved.
+func (c *Collector) Sum(except transport.Address, bound func(Key) float64, now time.Time) Sum {
+	total := c.total(except, now)
+	remembered := c.rememberedCounts(total, now)
+	rememberedOnly := remembered.excessOver(total)
+	total.mergeMax(remembered)
+	total.add(c.expectedGrowth(now), 1, 0)
+	sum := Sum{Incarnation: c.incarnation, Counts: total, SilentZones: c.currentSilentZones(now)}
+	if sum.SilentZones.Silent > 0 {
+		sum.InReserve = c.reserveUse(rememberedOnly, sum.SilentZones, bound, now)
+	}
+	return sum
+}
+
+// expectedGrowth estimates what front nodes of other data nodes admitted since their
+// shares were sent. Demand rises at all nodes alike, so each is expected to grow as
+// this node's own. Without it, a limit is exceeded where shares come late. Growth within
+// the standard deviation of the count is ignored.
+func (c *Collector) expectedGrowth(now time.Time) Counts {
 	expected := Counts{}
-	own := c.sumOfReports()
+	totals := c.reportTotals()
 	for _, share := range c.shares {
-		if now.Sub(share.at) > shareFresh || share.reported == own {
+		if now.Sub(share.at) > shareTimeout || share.totals == totals {
 			continue
 		}
-		for key, count := range own.growth {
-			then := share.reported.growth[key]
-			more := count.Admitted - then.Admitted
-			if more <= math.Sqrt(share.reported.counts[key].Admitted) {
+		for key, count := range totals.growth {
+			previous := share.totals.growth[key]
+			growth := count.Admitted - previous.Admitted
+			if growth <= math.Sqrt(share.totals.counts[key].Admitted) {
 				continue
 			}
-			known := expected[key]
-			expected[key] = Count{known.Admitted + more, known.Asked + max(0, count.Asked-then.Asked)}
+			current := expected[key]
+			expected[key] = Count{current.Admitted + growth, current.Demand + max(0, count.Demand-previous.Demand)}
 		}
 	}
 	return expected
 }
 
-// sumOfReports adds up what all front nodes told last.
-func (c *Collector) sumOfReports() *reportSum {
-	if c.reported != nil {
-		return c.reported
+// reportTotals returns the sum of the last reports of all front nodes.
+func (c *Collector) reportTotals() *reportTotals {
+	if c.totals != nil {
+		return c.totals
 	}
-	sum := &reportSum{counts: Counts{}, growth: Counts{}}
-	for _, one := range c.reports {
-		sum.counts.add(one.counts, 1, 0)
-		sum.growth.add(one.counts, 1, 0)
-		for key, count := range one.brought {
-			known := sum.growth[key]
-			sum.growth[key] = Count{known.Admitted - count.Admitted, known.Asked - count.Asked}
+	totals := &reportTotals{counts: Counts{}, growth: Counts{}}
+	for _, report := range c.reports {
+		totals.counts.add(report.counts, 1, 0)
+		totals.growth.add(report.counts, 1, 0)
+		for key, count := range report.initial {
+			growth := totals.growth[key]
+			totals.growth[key] = Count{growth.Admitted - count.Admitted, growth.Demand - count.Demand}
 		}
 	}
-	c.reported = sum
-	return sum
+	c.totals = totals
+	return totals
 }
 
-// within returns which requests lie in the room that is kept for unheard zones: what
-// these told last, each up to its part, and what only front nodes remember.
-func (c *Collector) within(remembered Counts, unheard Unheard, bound func(Key) float64, now time.Time) Counts {
-	within := Counts{}
-	each := Unheard{1, unheard.Of}.part()
-	for zone := range c.silent(now) {
-		for key, count := range c.ofZone(zone, now) {
-			within[key] = Count{Admitted: within[key].Admitted + min(count.Admitted, each*bound(key))}
+// reserveUse returns the requests that use the reserve for silent zones: the last
+// counts of each, up to its part, and those that only front nodes remember.
+func (c *Collector) reserveUse(remembered Counts, silent SilentZones, bound func(Key) float64, now time.Time) Counts {
+	used := Counts{}
+	zoneFraction := SilentZones{1, silent.Total}.fraction()
+	for zone := range c.silentZones(now) {
+		for key, count := range c.zoneCounts(zone, now) {
+			used[key] = Count{Admitted: used[key].Admitted + min(count.Admitted, zoneFraction*bound(key))}
 		}
 	}
 	for key, count := range remembered {
-		within[key] = Count{Admitted: min(within[key].Admitted+count.Admitted, unheard.part()*bound(key))}
+		used[key] = Count{Admitted: min(used[key].Admitted+count.Admitted, silent.fraction()*bound(key))}
 	}
-	return within
+	return used
 }
 
-// known adds up what was reported and shared.
-func (c *Collector) known(but transport.Address, now time.Time) Counts {
-	sum := c.own(but, now)
-	sum.add(c.inZone(now), 1, 0)
-	for zone := range c.others {
-		sum.add(c.ofZone(zone, now), 1, 0)
+// total returns the sum of reports and shares.
+func (c *Collector) total(except transport.Address, now time.Time) Counts {
+	sum := c.ownCounts(except, now)
+	sum.add(c.peerCounts(now), 1, 0)
+	for zone := range c.zones {
+		sum.add(c.zoneCounts(zone, now), 1, 0)
 	}
 	return sum
 }
 
-// inZone is what other data nodes of this zone told, and of those that fell silent
-// what is remembered elsewhere if that is more.
-func (c *Collector) inZone(now time.Time) Counts {
+// peerCounts returns the counts of other data nodes of this zone; for silent ones, the
+// recovered counts if they are higher.
+func (c *Collector) peerCounts(now time.Time) Counts {
 	silent, heard := Counts{}, Counts{}
 	for _, share := range c.shares {
 		switch age := now.Sub(share.at); {
 		case share.zone != c.zone:
-		case age > shareFresh:
-			silent.add(share.rest().counts, c.leftOf(share, now), age)
+		case age > shareTimeout:
+			silent.add(share.untransferred().counts, c.shareFraction(share, now), age)
 		default:
-			heard.add(share.rest().counts, 1, age)
+			heard.add(share.untransferred().counts, 1, age)
 		}
 	}
-	silent.raise(c.echo.left(freshTime, c.window, now))
+	silent.mergeMax(c.recovered.remaining(reportTimeout, c.window, now))
 	heard.add(silent, 1, 0)
 	return heard
 }
 
-func (c *Collector) ofZone(zone string, now time.Time) Counts {
+func (c *Collector) zoneCounts(zone string, now time.Time) Counts {
 	counts := Counts{}
 	for _, share := range c.shares {
 		if share.zone == zone {
-			counts.add(share.rest().counts, c.leftOf(share, now), now.Sub(share.at))
+			counts.add(share.untransferred().counts, c.shareFraction(share, now), now.Sub(share.at))
 		}
 	}
 	return counts
 }
 
-// former returns what front nodes remember of the time before this node took their
-// reports, with what was let through since they told.
-func (c *Collector) former(sum Counts, now time.Time) Counts {
-	remembered, first := c.remembered.left(0, c.window, now), c.first.left(0, c.window, now)
+// rememberedCounts returns the remembered counts plus the growth since.
+func (c *Collector) rememberedCounts(total Counts, now time.Time) Counts {
+	remembered, baseline := c.remembered.remaining(0, c.window, now), c.baseline.remaining(0, c.window, now)
 	for key, count := range remembered {
-		count.Admitted += max(0, sum[key].Admitted-first[key].Admitted)
+		count.Admitted += max(0, total[key].Admitted-baseline[key].Admitted)
 		remembered[key] = count
 	}
 	return remembered
 }
 
-// leftOf is the part of a share that still counts. Room is kept for a zone of which
-// nobody is heard.
-func (c *Collector) leftOf(share *zoneShare, now time.Time) float64 {
-	return held(now.Sub(share.at), c.holdOf(share, now), c.window)
+// shareFraction is the part of a share that is still within the window; a silent
+// zone's counts are held longer.
+func (c *Collector) shareFraction(share *receivedShare, now time.Time) float64 {
+	return remainingFraction(now.Sub(share.at), c.shareHold(share, now), c.window)
 }
 
-func (c *Collector) holdOf(share *zoneShare, now time.Time) time.Duration {
-	if contact := c.others[share.zone]; contact != nil && contact.silent(now) {
-		return aloneHold - c.window
+func (c *Collector) shareHold(share *receivedShare, now time.Time) time.Duration {
+	if contact := c.zones[share.zone]; contact != nil && contact.silent(now) {
+		return reserveHold - c.window
 	}
-	return freshTime
+	return reportTimeout
 }
 
-// silent says that a zone leaves unanswered what it is told, and did not for so long
-// that it can't be at work any more.
+// silent says that a zone leaves shares unanswered, but not for so long that it must be
+// down.
 func (z *zoneContact) silent(now time.Time) bool {
-	if z.askedAt.IsZero() || now.Sub(z.toldAt) > freshTime {
+	if z.unansweredSince.IsZero() || now.Sub(z.sentAt) > reportTimeout {
 		return false
 	}
-	unanswered := now.Sub(z.askedAt)
-	return unanswered > shareFresh && unanswered < sharerMemory
+	unanswered := now.Sub(z.unansweredSince)
+	return unanswered > shareTimeout && unanswered < silentZoneTimeout
 }
 
-// silent are the zones of which nobody is heard.
-func (c *Collector) silent(now time.Time) map[string]bool {
+// silentZones returns the zones that leave shares unanswered.
+func (c *Collector) silentZones(now time.Time) map[string]bool {
 	silent := map[string]bool{}
-	for zone, contact := range c.others {
+	for zone, contact := range c.zones {
 		if contact.silent(now) {
 			silent[zone] = true
 		}
@@ -431,121 +427,119 @@
 	return silent
 }
 
-// Unheard is the number of zones of which nobody is heard, among those that this node
-// tells of requests.
-func (c *Collector) Unheard(now time.Time) int { return len(c.silent(now)) }
+// Unheard returns the number of silent zones.
+func (c *Collector) Unheard(now time.Time) int { return len(c.silentZones(now)) }
 
-// unheardNow counts the zones of which nobody is heard. What front nodes heard of them
-// elsewhere counts until this node can tell by itself.
-func (c *Collector) unheardNow(now time.Time) Unheard {
+// currentSilentZones counts the silent zones and all zones. What front nodes reported
+// applies until this node can tell by itself.
+func (c *Collector) currentSilentZones(now time.Time) SilentZones {
 	zones, answering := 1, 0
-	for _, contact := range c.others {
-		if now.Sub(contact.heardAt) < sharerMemory || contact.silent(now) {
+	for _, contact := range c.zones {
+		if now.Sub(contact.heardAt) < silentZoneTimeout || contact.silent(now) {
 			zones++
 		}
-		if now.Sub(contact.heardAt) <= shareFresh {
+		if now.Sub(contact.heardAt) <= shareTimeout {
 			answering++
 		}
 	}
-	unheard := Unheard{uint8(len(c.silent(now))), uint8(zones)}
-	if now.Sub(c.unheardAt) <= shareFresh {
-		unheard.Of = max(unheard.Of, c.unheard.Of)
-		told := min(int(c.unheard.Zones), int(unheard.Of)-1-answering)
-		unheard.Zones = max(unheard.Zones, uint8(max(0, told)))
+	silent := SilentZones{uint8(len(c.silentZones(now))), uint8(zones)}
+	if now.Sub(c.reportedSilentAt) <= shareTimeout {
+		silent.Total = max(silent.Total, c.reportedSilent.Total)
+		reported := min(int(c.reportedSilent.Silent), int(silent.Total)-1-answering)
+		silent.Silent = max(silent.Silent, uint8(max(0, reported)))
 	}
-	return unheard
+	return silent
 }
 
-// own returns what front nodes reported here, but for the present life of one. Room
-// is kept for one that fell silent, unless it is back in a new life.
-func (c *Collector) own(but transport.Address, now time.Time) Counts {
-	present := c.present()
+// ownCounts returns the counts reported here, without the present incarnation of one
+// front node. Counts of a silent front node are held longer unless it has restarted.
+func (c *Collector) ownCounts(except transport.Address, now time.Time) Counts {
+	current := c.currentIncarnations()
 	counts := Counts{}
-	for from, report := range c.reports {
+	for src, report := range c.reports {
 		age := now.Sub(report.at)
-		isPresent := present[from.address] == from.life
-		hold := freshTime
-		if isPresent {
-			hold = aloneHold - c.window
+		isCurrent := current[src.address] == src.incarnation
+		hold := reportTimeout
+		if isCurrent {
+			hold = reserveHold - c.window
 		}
-		part := held(age, hold, c.window)
+		fraction := remainingFraction(age, hold, c.window)
 		switch {
-		case part <= 0:
-			delete(c.reports, from)
-			c.reported = nil
-		case !isPresent || from.address != but:
-			counts.add(report.counts, part, age)
+		case fraction <= 0:
+			delete(c.reports, src)
+			c.totals = nil
+		case !isCurrent || src.address != except:
+			counts.add(report.counts, fraction, age)
 		}
 	}
 	return counts
 }
 
-// present are the lives of front nodes that reported last: what a node let through in
-// the ones before is not in its own count.
-func (c *Collector) present() map[transport.Address]uint32 {
-	lives := make(map[transport.Address]uint32, len(c.reports))
+// currentIncarnations returns the latest incarnation of each front node; its reports
+// exclude what earlier ones admitted.
+func (c *Collector) currentIncarnations() map[transport.Address]uint32 {
+	incarnations := make(map[transport.Address]uint32, len(c.reports))
 	newest := make(map[transport.Address]time.Time, len(c.reports))
-	for from, report := range c.reports {
-		if report.at.After(newest[from.address]) {
-			lives[from.address], newest[from.address] = from.life, report.at
+	for src, report := range c.reports {
+		if report.at.After(newest[src.address]) {
+			incarnations[src.address], newest[src.address] = src.incarnation, report.at
 		}
 	}
-	return lives
+	return incarnations
 }
 
-// ShareFor returns the share for a data node of a zone; false if there is nothing to
-// tell, and none that tells something.
+// ShareFor returns the share for a data node of a zone, and false if neither it nor
+// any recent share has counts.
 func (c *Collector) ShareFor(zone string, now time.Time) (Share, bool) {
-	c.forget(now)
-	share := Share{Life: c.life, Zone: c.zone, Counts: c.own("", now)}
+	c.expireShares(now)
+	share := Share{Incarnation: c.incarnation, Zone: c.zone, Counts: c.ownCounts("", now)}
 	if zone != c.zone {
-		share.Yours = c.lost(zone, now)
+		share.Recovered = c.lostCounts(zone, now)
 	}
-	tells := len(share.Counts) > 0 || len(share.Yours) > 0
-	if tells && zone != c.zone {
-		c.noteTold(c.contact(zone), now)
+	hasCounts := len(share.Counts) > 0 || len(share.Recovered) > 0
+	if hasCounts && zone != c.zone {
+		c.noteSent(c.contact(zone), now)
 	}
-	return share, tells || c.told(now)
+	return share, hasCounts || c.hasRecentShares(now)
 }
 
-// noteTold notes that a zone has something to answer.
-func (c *Collector) noteTold(contact *zoneContact, now time.Time) {
-	// A zone that left all of that unanswered for sharerMemory is away until it is heard:
-	// without that room was kept in 14,760 of 20,000 sums of 38 min for one that was gone for
-	// good, where load comes for 40 s of each 57; in 369 with it.
-	away := contact.toldAt.Sub(contact.askedAt) >= sharerMemory
-	if contact.askedAt.IsZero() || (now.Sub(contact.toldAt) > freshTime && !away) {
-		contact.askedAt = now
+// noteSent notes that a share with counts was sent to a zone.
+func (c *Collector) noteSent(contact *zoneContact, now time.Time) {
+	// A zone that was silent for silentZoneTimeout is taken for down until it is heard, so
+	// that a new burst of load doesn't renew its reserve.
+	away := contact.sentAt.Sub(contact.unansweredSince) >= silentZoneTimeout
+	if contact.unansweredSince.IsZero() || (now.Sub(contact.sentAt) > reportTimeout && !away) {
+		contact.unansweredSince = now
 	}
-	contact.toldAt = now
+	contact.sentAt = now
 }
 
-// told says that some share told of requests lately.
-func (c *Collector) told(now time.Time) bool {
+// hasRecentShares says that a recent share had counts.
+func (c *Collector) hasRecentShares(now time.Time) bool {
 	for _, share := range c.shares {
-		if len(share.counts) > 0 && now.Sub(share.at) <= shareFresh {
+		if len(share.counts) > 0 && now.Sub(share.at) <= shareTimeout {
 			return true
 		}
 	}
 	return false
 }
 
-// forget drops shares that have run out.
-func (c *Collector) forget(now time.Time) {
-	for from, share := range c.shares {
-		if now.Sub(share.at) >= aloneHold {
-			delete(c.shares, from)
+// expireShares drops expired shares.
+func (c *Collector) expireShares(now time.Time) {
+	for src, share := range c.shares {
+		if now.Sub(share.at) >= reserveHold {
+			delete(c.shares, src)
 		}
 	}
 }
 
-// lost returns what data nodes of a zone told that are silent now, and nobody took
-// over.
-func (c *Collector) lost(zone string, now time.Time) Counts {
+// lostCounts returns the counts of a zone's silent data nodes that no other source has
+// taken over.
+func (c *Collector) lostCounts(zone string, now time.Time) Counts {
 	counts := Counts{}
 	for _, share := range c.shares {
-		if age := now.Sub(share.at); share.zone == zone && age > shareFresh {
-			counts.add(share.rest().counts, c.leftOf(share, now), age)
+		if age := now.Sub(share.at); share.zone == zone && age > shareTimeout {
+			counts.add(share.untransferred().counts, c.shareFraction(share, now), age)
 		}
 	}
 	for key, count := range counts {
--- a/internal/quota/counts.go
+++ b/internal/quota/counts.go
@@ -11,108 +11,108 @@
 	"chutelock.dev/chutelock/internal/wire"
 )
 
-// Key stands for a tenant's name in messages, to keep them small. Of 50,000 tenants
-// two share one in a quarter of fleets; both look busier then than they are.
+// Key is the hash of a tenant's name, which keeps messages small. Tenants whose keys
+// collide are counted as one; among 50,000 tenants the chance of any collision is 1/4.
 type Key uint32
 
 // KeyOf returns the key of a tenant's name.
 func KeyOf(name string) Key { return Key(xxhash.Sum64String(name)) }
 
-// Count is what nodes saw of a tenant's requests.
+// Count is the usage of one tenant.
 type Count struct {
-	// Admitted were let through within the window.
+	// Admitted is the number of requests admitted within the window.
 	Admitted float64
-	// Asked is how many a second asked lately, let through or not.
-	Asked float64
+	// Demand is the recent rate of requests per second, admitted or not.
+	Demand float64
 }
 
-// Counts are those of some tenants.
+// Counts maps tenants to their usage.
 type Counts map[Key]Count
 
-// held is the part of counts that is still within the window some time after they
-// were told: all for hold, and then evenly less.
-func held(age, hold, window time.Duration) float64 {
+// remainingFraction is the fraction of counts of the given age that is still within the
+// window: all of them for hold, then linearly fewer.
+func remainingFraction(age, hold, window time.Duration) float64 {
 	return max(0, 1-float64(max(0, age-hold))/float64(window))
 }
 
-// add adds the part of other nodes' counts that is left after some time.
-func (c Counts) add(other Counts, left float64, age time.Duration) {
-	if left <= 0 {
+// add adds a fraction of other counts of the given age.
+func (c Counts) add(other Counts, fraction float64, age time.Duration) {
+	if fraction <= 0 {
 		return
 	}
 	for key, count := range other {
 		total := c[key]
-		total.Admitted += count.Admitted * left
-		total.Asked += faded(count.Asked, age)
+		total.Admitted += count.Admitted * fraction
+		total.Demand += decayedRate(count.Demand, age)
 		c[key] = total
 	}
 }
 
-// raise makes the counts at least those of another view of the same nodes.
-func (c Counts) raise(other Counts) {
+// mergeMax raises each count to at least that of another view of the same nodes.
+func (c Counts) mergeMax(other Counts) {
 	for key, count := range other {
 		known := c[key]
-		c[key] = Count{max(known.Admitted, count.Admitted), max(known.Asked, count.Asked)}
+		c[key] = Count{max(known.Admitted, count.Admitted), max(known.Demand, count.Demand)}
 	}
 }
 
-// reduce takes other counts away, as far as there are so many.
-func (c Counts) reduce(other Counts) {
+// subtract subtracts the admitted requests of other, down to zero.
+func (c Counts) subtract(other Counts) {
 	for key, count := range other {
 		if known, found := c[key]; found {
-			c[key] = Count{max(0, known.Admitted-count.Admitted), known.Asked}
+			c[key] = Count{max(0, known.Admitted-count.Admitted), known.Demand}
 		}
 	}
 }
 
-// above is by how much the counts exceed those of another view.
-func (c Counts) above(other Counts) Counts {
-	rest := Counts{}
+// excessOver returns by how much the admitted requests exceed those of other.
+func (c Counts) excessOver(other Counts) Counts {
+	excess := Counts{}
 	for key, count := range c {
-		if more := count.Admitted - other[key].Admitted; more > 0 {
-			rest[key] = Count{Admitted: more}
+		if difference := count.Admitted - other[key].Admitted; difference > 0 {
+			excess[key] = Count{Admitted: difference}
 		}
 	}
-	return rest
+	return excess
 }
 
 const (
 	messageVersion = 2
-	// countSize is a tenant's key, its requests in quarters, and its rate.
+	// countSize is the size of a key, the admitted requests in units and the demand.
 	countSize = 4 + 2 + 2
-	// countsMost bounds the tenants in a message, so that it fits a datagram with
-	// two lists.
-	countsMost = 160
-	// admittedUnit is the unit of admitted requests in a message: decay makes parts.
+	// maxCounts bounds the tenants in both lists of a message, so that it fits a datagram.
+	maxCounts = 160
+	// admittedUnit is the resolution of admitted requests in a message; expiry makes
+	// them fractional.
 	admittedUnit = 0.25
 )
 
-// marshal encodes the counts, at most so many; the highest stay.
-func (c Counts) marshal(most int) []byte {
+// marshal encodes at most maxTenants counts, those with the most admitted requests.
+func (c Counts) marshal(maxTenants int) []byte {
 	keys := make([]Key, 0, len(c))
 	for key := range c {
 		keys = append(keys, key)
 	}
-	if len(keys) > most {
+	if len(keys) > maxTenants {
 		sort.Slice(keys, func(i, j int) bool {
 			if a, b := c[keys[i]].Admitted, c[keys[j]].Admitted; a != b {
 				return a > b
 			}
 			return keys[i] < keys[j]
 		})
-		keys = keys[:most]
+		keys = keys[:maxTenants]
 	}
 	encoded := make([]byte, 0, countSize*len(keys))
 	for _, key := range keys {
 		encoded = binary.BigEndian.AppendUint32(encoded, uint32(key))
-		encoded = binary.BigEndian.AppendUint16(encoded, field(c[key].Admitted/admittedUnit))
-		encoded = binary.BigEndian.AppendUint16(encoded, field(c[key].Asked))
+		encoded = binary.BigEndian.AppendUint16(encoded, toUint16(c[key].Admitted/admittedUnit))
+		encoded = binary.BigEndian.AppendUint16(encoded, toUint16(c[key].Demand))
 	}
 	return encoded
 }
 
-// field rounds up; what is larger than the field is at its most.
-func field(value float64) uint16 { return uint16(min(math.Ceil(max(value, 0)), math.MaxUint16)) }
+// toUint16 rounds up and saturates.
+func toUint16(value float64) uint16 { return uint16(min(math.Ceil(max(value, 0)), math.MaxUint16)) }
 
 func unmarshalCounts(encoded []byte) (Counts, error) {
 	if len(encoded)%countSize != 0 {
@@ -122,85 +122,84 @@
 	for ; len(encoded) > 0; encoded = encoded[countSize:] {
 		counts[Key(binary.BigEndian.Uint32(encoded))] = Count{
 			Admitted: admittedUnit * float64(binary.BigEndian.Uint16(encoded[4:])),
-			Asked:    float64(binary.BigEndian.Uint16(encoded[6:])),
+			Demand:   float64(binary.BigEndian.Uint16(encoded[6:])),
 		}
 	}
 	return counts, nil
 }
 
-// Report is what a front node tells of the requests that it let through itself.
+// Report is a front node's report of the requests it admitted itself.
 type Report struct {
-	// Life is drawn when the node starts: counts of the life before stay beside its
-	// own until they run out.
+	// Life is the node's incarnation number, drawn at its start. Counts of an earlier
+	// incarnation are kept beside the present ones until they expire.
 	Life   uint32
 	Counts Counts
-	// Gone says that the node reports to another data node from now on.
+	// Gone says that the node reports to another relay from now on.
 	Gone bool
-	// Others is what the node remembers that others let through, if the receiver is
-	// new to it: it may be new altogether, and know nothing of that.
-	Others Counts
-	// Unheard is told with Others: what the receiver may have no time to find out.
-	Unheard Unheard
+	// Remembered are the counts of other nodes, sent to a new relay, which may have
+	// just started and not know them.
+	Remembered Counts
+	// SilentZones is sent with Remembered, as a new relay can't tell yet.
+	SilentZones SilentZones
 }
 
-// Unheard says of how many zones nobody is heard, of so many zones in all: they may be
-// cut off and go on.
-type Unheard struct{ Zones, Of uint8 }
+// SilentZones counts the zones that don't answer, and all zones. Silent zones may be
+// partitioned and still admit requests.
+type SilentZones struct{ Silent, Total uint8 }
 
-// part is the share of each limit that these zones may use.
-func (u Unheard) part() float64 { return float64(u.Zones) / float64(max(1, u.Of)) }
+// fraction is the part of each limit that is reserved for the silent zones.
+func (z SilentZones) fraction() float64 { return float64(z.Silent) / float64(max(1, z.Total)) }
 
-// Sum is what a front node hears of all others.
+// Sum is the answer to a front node: the usage at all other front nodes.
 type Sum struct {
-	// Life is drawn when the sender starts.
-	Life uint32
-	// Counts are requests that somebody counted and, while a tenant asks for more and more,
-	// those expected since. They are remembered and told again when data nodes are lost: room
-	// that is kept must not pile up so, and what was expected runs out with the window.
+	// Incarnation is the sender's, drawn at its start.
+	Incarnation uint32
+	// Counts are counted requests and the growth expected since. They exclude the
+	// reserve: front nodes remember them and pass them on, and a reserve would add up.
 	Counts Counts
-	// Unheard is for what room is to be kept beside them, and Within which requests
-	// among Counts use such room.
-	Unheard Unheard
-	Within  Counts
+	// SilentZones are the zones that a reserve is kept for, and InReserve the requests
+	// among Counts that already use it.
+	SilentZones SilentZones
+	InReserve   Counts
 }
 
-// Share is what a data node tells another one.
+// Share is a data node's message to another one.
 type Share struct {
-	// Life is drawn when the sender starts: what it told in a life before stays beside
-	// its share until it runs out.
-	Life uint32
+	// Incarnation is the sender's, drawn at its start. Counts of an earlier incarnation
+	// are kept beside the present ones until they expire.
+	Incarnation uint32
 	// Zone is the sender's, and Counts those of its front nodes.
 	Zone   string
 	Counts Counts
-	// Yours are counts of the receiver's zone that the sender remembers from a data
-	// node that has fallen silent.
-	Yours Counts
+	// Recovered are counts of the receiver's zone that the sender had from a data node
+	// that is now silent.
+	Recovered Counts
 }
 
-type fixedReport struct {
-	Life    uint32
-	Gone    bool
-	Unheard Unheard
+type reportHeader struct {
+	Incarnation uint32
+	Gone        bool
+	SilentZones SilentZones
 }
 
-type fixedShare struct{ Life uint32 }
+type shareHeader struct{ Incarnation uint32 }
 
-type fixedSum struct {
-	Life    uint32
-	Unheard Unheard
+type sumHeader struct {
+	Incarnation uint32
+	SilentZones SilentZones
 }
 
 // Marshal encodes the report.
 func (r Report) Marshal() []byte {
-	counts := r.Counts.marshal(countsMost)
-	others := r.Others.marshal(countsMost - len(counts)/countSize)
-	return marshal(fixedReport{r.Life, r.Gone, r.Unheard}, counts, others)
+	counts := r.Counts.marshal(maxCounts)
+	remembered := r.Remembered.marshal(maxCounts - len(counts)/countSize)
+	return marshal(reportHeader{r.Life, r.Gone, r.SilentZones}, counts, remembered)
 }
 
 // UnmarshalReport decodes what Report.Marshal encoded.
 func UnmarshalReport(encoded []byte) (Report, error) {
-	var fixed fixedReport
-	fields, err := wire.Unmarshal(encoded, messageVersion, &fixed, 2)
+	var header reportHeader
+	fields, err := wire.Unmarshal(encoded, messageVersion, &header, 2)
 	if err != nil {
 		return Report{}, err
 	}
@@ -208,22 +207,21 @@
 	if err != nil {
 		return Report{}, err
 	}
-	others, err := unmarshalCounts(fields[1])
-	return Report{Life: fixed.Life, Gone: fixed.Gone, Counts: counts, Others: others, Unheard: fixed.Unheard}, err
+	remembered, err := unmarshalCounts(fields[1])
+	return Report{Life: header.Incarnation, Gone: header.Gone, Counts: counts, Remembered: remembered, SilentZones: header.SilentZones}, err
 }
 
-// Marshal encodes the share. The counts that the receiver's zone lacks fit what is
-// left of a message.
+// Marshal encodes the share. Recovered gets the space that Counts leave.
 func (s Share) Marshal() []byte {
-	counts := s.Counts.marshal(countsMost)
-	yours := s.Yours.marshal(countsMost - len(counts)/countSize)
-	return marshal(fixedShare{s.Life}, []byte(s.Zone), counts, yours)
+	counts := s.Counts.marshal(maxCounts)
+	recovered := s.Recovered.marshal(maxCounts - len(counts)/countSize)
+	return marshal(shareHeader{s.Incarnation}, []byte(s.Zone), counts, recovered)
 }
 
 // UnmarshalShare decodes what Share.Marshal encoded.
 func UnmarshalShare(encoded []byte) (Share, error) {
-	var fixed fixedShare
-	fields, err := wire.Unmarshal(encoded, messageVersion, &fixed, 3)
+	var header shareHeader
+	fields, err := wire.Unmarshal(encoded, messageVersion, &header, 3)
 	if err != nil {
 		return Share{}, err
 	}
@@ -231,22 +229,22 @@
 	if err != nil {
 		return Share{}, err
 	}
-	yours, err := unmarshalCounts(fields[2])
-	return Share{Life: fixed.Life, Zone: string(fields[0]), Counts: counts, Yours: yours}, err
+	recovered, err := unmarshalCounts(fields[2])
+	return Share{Incarnation: header.Incarnation, Zone: string(fields[0]), Counts: counts, Recovered: recovered}, err
 }
 
-// Marshal encodes the sum. Of Within fits what Counts leave of a message: room is kept
-// in full for tenants beyond that.
+// Marshal encodes the sum. InReserve gets the space that Counts leave; for tenants cut
+// off there, the reserve is kept in full.
 func (s Sum) Marshal() []byte {
-	counts := s.Counts.marshal(countsMost)
-	within := s.Within.marshal(countsMost - len(counts)/countSize)
-	return marshal(fixedSum{s.Life, s.Unheard}, counts, within)
+	counts := s.Counts.marshal(maxCounts)
+	inReserve := s.InReserve.marshal(maxCounts - len(counts)/countSize)
+	return marshal(sumHeader{s.Incarnation, s.SilentZones}, counts, inReserve)
 }
 
 // UnmarshalSum decodes what Sum.Marshal encoded.
 func UnmarshalSum(encoded []byte) (Sum, error) {
-	var fixed fixedSum
-	fields, err := wire.Unmarshal(encoded, messageVersion, &fixed, 2)
+	var header sumHeader
+	fields, err := wire.Unmarshal(encoded, messageVersion, &header, 2)
 	if err != nil {
 		return Sum{}, err
 	}
@@ -254,14 +252,14 @@
 	if err != nil {
 		return Sum{}, err
 	}
-	within, err := unmarshalCounts(fields[1])
-	return Sum{Life: fixed.Life, Counts: counts, Unheard: fixed.Unheard, Within: within}, err
+	inReserve, err := unmarshalCounts(fields[1])
+	return Sum{Incarnation: header.Incarnation, Counts: counts, SilentZones: header.SilentZones, InReserve: inReserve}, err
 }
 
-func marshal(fixed any, fields ...[]byte) []byte {
-	encoded, err := wire.Marshal(messageVersion, fixed, fields...)
+func marshal(header any, fields ...[]byte) []byte {
+	encoded, err := wire.Marshal(messageVersion, header, fields...)
 	if err != nil {
-		panic(err) // a struct of this file is not of fixed size
+		panic(err) // the header has a field of variable size
 	}
 	return encoded
 }
--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -1,17 +1,17 @@
-// Package quota keeps limits on tenants' requests that many nodes share.
+// Package quota enforces per-tenant request limits across many nodes.
 //
-// A front node counts the requests of each limited tenant that it lets through, in a
-// window that slides, and reports the counts to the data node that its load reports
-// go to. Data nodes that take reports send each other sums by zone, and each front
-// node hears what all others let through. A Limiter (front node) decides by its own
-// count and the others'; a Collector (data node) adds reports and shares up. Both are
-// pure: messages and time in, decisions out.
+// Each front node counts the requests it admits per tenant, in a sliding window, and
+// reports the counts to its relay: the data node that also takes its load reports.
+// Relays exchange the sums of their zones and answer each report with the counts of
+// all other front nodes. A Limiter runs on a front node and decides from its own and
+// the others' counts; a Collector runs on a data node and aggregates reports and shares.
+// Both are free of I/O and clocks: messages and times are passed in, decisions returned.
 //
-// What the nodes know of each other is some tenths of a second old. So a Limiter
-// expects others to let requests through meanwhile, as far as callers ask; and one
-// that hears from nobody keeps to the part of the limit that was its own when it
-// last heard. Counts outlive the node that reported them: they run out with the
-// window, so that a restarted node brings no new allowance.
+// Nodes know each other's counts with a delay of some tenths of a second. A Limiter
+// therefore allows for requests that others admit in the meantime, in proportion to the
+// demand; an isolated one keeps to its own part of the limit as of its last contact.
+// Counts outlive the node that reported them and expire with the window, so that a
+// restarted node gains no new allowance.
 //
 // See docs/design/014-tenants-and-limits.md.
 package quota
--- a/internal/quota/window.go
+++ b/internal/quota/window.go
@@ -6,89 +6,88 @@
 )
 
 const (
-	// buckets are the parts of a window. The newest is not over; so there is one more,
-	// the oldest, of which the part counts that is still inside: a count is off by
-	// less than that bucket.
-	buckets = 20
-	kept    = buckets + 1
-	// rateMemory is the time over which the rate of asking is averaged: short
-	// against a window, long against the age of what nodes know of each other.
-	rateMemory = 500 * time.Millisecond
+	// buckets is the number of buckets in a window. The ring holds one more, as the newest
+	// is incomplete; the oldest counts in part, so the error is below its count.
+	buckets  = 20
+	ringSize = buckets + 1
+	// rateTimeConstant is the time constant of the demand's average: short against the
+	// window, long against the delay between nodes.
+	rateTimeConstant = 500 * time.Millisecond
 )
 
-// window counts events within a span of time that ends now.
+// window counts the events of a sliding span of time.
 type window struct {
 	span   time.Duration
-	counts [kept]int32
-	// epoch is when bucket 0 began: buckets go by the clock that passed times are of,
-	// which doesn't jump as a date does.
+	counts [ringSize]int32
+	// epoch is the start of bucket 0. Buckets follow the monotonic clock of the times
+	// passed in.
 	epoch  time.Time
 	newest int64 // number of the newest bucket
 }
 
-func (w *window) bucket(now time.Time) (number int64, into float64) {
+func (w *window) bucketAt(now time.Time) (number int64, fraction float64) {
 	length := int64(w.span / buckets)
 	if w.epoch.IsZero() {
 		w.epoch = now
 	}
-	at := max(0, int64(now.Sub(w.epoch)))
-	return at / length, float64(at%length) / float64(length)
+	elapsed := max(0, int64(now.Sub(w.epoch)))
+	return elapsed / length, float64(elapsed%length) / float64(length)
 }
 
-// advance empties the buckets that have begun since the last call.
+// advance clears the buckets that have begun since the last call.
 func (w *window) advance(number int64) {
 	if number <= w.newest {
-		return // also where the clock went back: what is counted stays
+		return // counts are kept if the clock goes back
 	}
-	for n := max(w.newest+1, number-kept+1); n <= number; n++ {
-		w.counts[n%kept] = 0
+	for n := max(w.newest+1, number-ringSize+1); n <= number; n++ {
+		w.counts[n%ringSize] = 0
 	}
 	w.newest = number
 }
 
 func (w *window) add(now time.Time) {
-	number, _ := w.bucket(now)
+	number, _ := w.bucketAt(now)
 	w.advance(number)
-	w.counts[max(number, w.newest)%kept]++
+	w.counts[max(number, w.newest)%ringSize]++
 }
 
-// remove takes back an event that was added at a time.
+// remove takes back an event that was added at the given time.
 func (w *window) remove(added, now time.Time) {
-	number, _ := w.bucket(now)
+	number, _ := w.bucketAt(now)
 	w.advance(number)
-	at, _ := w.bucket(added)
-	if w.newest-at < kept && w.counts[at%kept] > 0 {
-		w.counts[at%kept]--
+	addedNumber, _ := w.bucketAt(added)
+	if w.newest-addedNumber < ringSize && w.counts[addedNumber%ringSize] > 0 {
+		w.counts[addedNumber%ringSize]--
 	}
 }
 
-// count is the number of events within the span, taking those of the oldest bucket
-// as spread evenly.
+// count returns the number of events within the span, with those of the oldest bucket
+// taken as evenly spread.
 func (w *window) count(now time.Time) float64 {
-	number, into := w.bucket(now)
+	number, fraction := w.bucketAt(now)
 	w.advance(number)
 	total := 0.0
 	for _, count := range w.counts {
 		total += float64(count)
 	}
-	oldest := w.counts[(w.newest+1)%kept]
-	return total - float64(oldest)*into
+	oldest := w.counts[(w.newest+1)%ringSize]
+	return total - float64(oldest)*fraction
 }
 
-// rate is the events a second lately.
+// rate is an exponentially decaying average of events per second.
 type rate struct {
-	at    time.Time
-	value float64
+	updatedAt time.Time
+	value     float64
 }
 
 func (r *rate) add(now time.Time) {
-	r.value = r.now(now) + 1/rateMemory.Seconds()
-	r.at = now
+	r.value = r.current(now) + 1/rateTimeConstant.Seconds()
+	r.updatedAt = now
 }
 
-func (r *rate) now(now time.Time) float64 { return faded(r.value, now.Sub(r.at)) }
+func (r *rate) current(now time.Time) float64 { return decayedRate(r.value, now.Sub(r.updatedAt)) }
 
-// faded is a rate of asking after so much time without news of it.
-func faded(value float64, age time.Duration) float64 {
-	return value * math.Exp(-max(0, age.Seconds())/rateMemory.Seconds())
+// decayedRate is a rate after the given time without events.
+func decayedRate(value float64, age time.Duration) float64 {
+	return value * math.Exp(-max(0, age.Seconds())/rateTimeConstant.Seconds())
 }
