--- a/internal/loadshare/choice.go
+++ b/internal/loadshare/choice.go
@@ -11,123 +11,121 @@
 )
 
 const (
-	// directMost is the number of front nodes up to which all report to the
-	// leader itself. At 12.5 reports a second and as many answers each, 32 of
-	// them cost a leader 800 datagrams a second; more is better spent on batch
-	// work. Below that, relays would only add datagrams between zones.
-	directMost = 32
-	// directAfter is how long sums have to tell of a small fleet before the leader
-	// is told itself: a data node that has just begun to take reports knows of few.
-	directAfter = time.Second
-	// silence is how long a front node waits for a complete sum before it reports
-	// to another data node: three reports, as a datagram may be lost.
-	silence = 3 * ReportInterval
-	// asideTime is how long a data node that was silent gets no reports, unless
-	// all others are silent, too. An estimate: a restart takes one to three seconds.
-	asideTime = 2 * time.Second
+	// maxDirectFronts is the maximum number of front nodes that report to the leader
+	// itself. It limits the leader to 800 datagrams a second; in smaller fleets, relays
+	// would only add datagrams between zones.
+	maxDirectFronts = 32
+	// directDelay is how long sums must indicate a small fleet before front nodes report
+	// to the leader, as a data node that has just started knows of few front nodes.
+	directDelay = time.Second
+	// answerTimeout is how long a front node waits for a complete sum before it changes
+	// to another data node: three reports, as datagrams may be lost.
+	answerTimeout = 3 * ReportInterval
+	// ejectionTime is how long a data node that didn't answer gets no reports, unless all
+	// others are ejected, too; a restart takes one to three seconds.
+	ejectionTime = 2 * time.Second
 )
 
-// ReportInterval is the time between two reports of a front node that has
-// requests under way. An engine's slot is held for half a second and more, so
-// that few requests begin and end within it.
+// ReportInterval is the interval between the reports of a front node with requests in
+// flight. Few requests begin and end within it, as one holds an engine's slot for half
+// a second or more.
 const ReportInterval = 80 * time.Millisecond
 
-// Choice picks the data node that a front node reports to. It is not safe for
+// Choice chooses the data node that a front node reports to. It is not safe for
 // concurrent use.
 type Choice struct {
 	zone string
-	// smallSince is since when sums tell of a small fleet; zero if they don't.
+	// smallSince is since when sums indicate a small fleet; zero if they don't.
 	smallSince time.Time
 	chosen     transport.Address
-	// sentAt is the last report, askedAt the first one since the last complete
-	// sum, and heardAt that sum.
-	sentAt, askedAt, heardAt time.Time
-	aside                    map[transport.Address]time.Time // until when
+	// sentAt is the time of the last report, heardAt that of the last complete sum,
+	// and unansweredSince that of the first report after it.
+	sentAt, unansweredSince, heardAt time.Time
+	ejectedUntil                     map[transport.Address]time.Time
 }
 
 // NewChoice returns the choice of a front node in a zone.
 func NewChoice(zone string) *Choice {
-	return &Choice{zone: zone, aside: map[transport.Address]time.Time{}}
+	return &Choice{zone: zone, ejectedUntil: map[transport.Address]time.Time{}}
 }
 
-// Pick returns where to send a report that is sent now: the leader in a small
-// fleet, else a data node of the zone, the same for all of the zone as long as it
-// answers. leader is empty if it isn't known. False if no data node is known.
+// Pick returns the receiver of a report that is sent now: the leader in a small fleet,
+// else a data node of the zone, the same for all its front nodes as long as it answers.
+// leader is empty if unknown. The result is false if no data node is known.
 func (c *Choice) Pick(nodes []mirror.Node, leader transport.Address, now time.Time) (transport.Address, bool) {
-	c.noteSilence(now)
+	c.checkTimeout(now)
 	candidates := c.candidates(nodes, leader, now)
 	if len(candidates) == 0 {
 		return "", false
 	}
-	at := slices.IndexFunc(candidates, func(a transport.Address) bool { return !now.Before(c.aside[a]) })
-	if at < 0 {
-		clear(c.aside)
-		at = 0
+	index := slices.IndexFunc(candidates, func(a transport.Address) bool { return !now.Before(c.ejectedUntil[a]) })
+	if index < 0 {
+		clear(c.ejectedUntil)
+		index = 0
 	}
-	if candidates[at] != c.chosen {
-		c.chosen, c.askedAt = candidates[at], time.Time{}
+	if candidates[index] != c.chosen {
+		c.chosen, c.unansweredSince = candidates[index], time.Time{}
 	}
-	if c.askedAt.IsZero() {
-		c.askedAt = now
+	if c.unansweredSince.IsZero() {
+		c.unansweredSince = now
 	}
 	c.sentAt = now
 	return c.chosen, true
 }
 
-// noteSilence sets the chosen node aside if it answered the last reports not at
-// all, or not completely. A front node without requests reports nothing, and
-// waits for nothing.
-func (c *Choice) noteSilence(now time.Time) {
+// checkTimeout ejects the chosen node if it hasn't sent a complete sum for
+// answerTimeout. Front nodes without requests send no reports and expect no answer.
+func (c *Choice) checkTimeout(now time.Time) {
 	switch {
-	case c.askedAt.IsZero():
-	case now.Sub(c.sentAt) > silence:
-		c.askedAt = time.Time{}
-	case now.Sub(c.askedAt) > silence:
-		c.setAside(c.chosen, now)
+	case c.unansweredSince.IsZero():
+	case now.Sub(c.sentAt) > answerTimeout:
+		c.unansweredSince = time.Time{}
+	case now.Sub(c.unansweredSince) > answerTimeout:
+		c.eject(c.chosen, now)
 	}
 }
 
-func (c *Choice) setAside(node transport.Address, now time.Time) {
-	c.aside[node] = now.Add(asideTime)
-	for other, until := range c.aside {
+func (c *Choice) eject(node transport.Address, now time.Time) {
+	c.ejectedUntil[node] = now.Add(ejectionTime)
+	for other, until := range c.ejectedUntil {
 		if now.After(until) {
-			delete(c.aside, other)
+			delete(c.ejectedUntil, other)
 		}
 	}
 }
 
-// Heard takes a sum and says whether it is better than what the front node has:
-// an incomplete one is only if nothing else was heard for long.
+// Heard takes a sum and says whether to use it: an incomplete one only if there was no
+// complete one for answerTimeout.
 func (c *Choice) Heard(from transport.Address, sum Sum, now time.Time) bool {
 	if from != c.chosen {
 		return false
 	}
 	switch {
-	case sum.Fronts > directMost:
+	case sum.Fronts > maxDirectFronts:
 		c.smallSince = time.Time{}
 	case c.smallSince.IsZero():
 		c.smallSince = now
 	}
 	if !sum.Complete {
-		return now.Sub(c.heardAt) > silence
+		return now.Sub(c.heardAt) > answerTimeout
 	}
-	c.askedAt, c.heardAt = time.Time{}, now
+	c.unansweredSince, c.heardAt = time.Time{}, now
 	return true
 }
 
-// candidates lists the data nodes to report to, the best first.
+// candidates returns the data nodes to report to, the preferred one first.
 func (c *Choice) candidates(nodes []mirror.Node, leader transport.Address, now time.Time) []transport.Address {
-	var listed []transport.Address
-	if leader != "" && !c.smallSince.IsZero() && now.Sub(c.smallSince) > directAfter {
-		listed = append(listed, leader)
+	var addresses []transport.Address
+	if leader != "" && !c.smallSince.IsZero() && now.Sub(c.smallSince) > directDelay {
+		addresses = append(addresses, leader)
 	}
-	inZone, others := byZone(nodes, c.zone)
-	listed = append(listed, relays(inZone, c.zone, leader)...)
-	return append(listed, relays(others, c.zone, leader)...)
+	inZone, others := splitByZone(nodes, c.zone)
+	addresses = append(addresses, rankRelays(inZone, c.zone, leader)...)
+	return append(addresses, rankRelays(others, c.zone, leader)...)
 }
 
-// byZone parts the data nodes of a zone from the others.
-func byZone(nodes []mirror.Node, zone string) (inZone, others []mirror.Node) {
+// splitByZone separates the data nodes of a zone from the others.
+func splitByZone(nodes []mirror.Node, zone string) (inZone, others []mirror.Node) {
 	for _, node := range nodes {
 		if node.Zone == zone {
 			inZone = append(inZone, node)
@@ -138,13 +136,13 @@
 	return inZone, others
 }
 
-// relays lists data nodes in the order in which they are to be the relay of a
-// zone: the leader last, as it has most to do.
-func relays(nodes []mirror.Node, zone string, leader transport.Address) []transport.Address {
+// rankRelays orders data nodes by preference as the relay of a zone, the leader last
+// because of its other load.
+func rankRelays(nodes []mirror.Node, zone string, leader transport.Address) []transport.Address {
 	ordered := slices.Clone(nodes)
 	slices.SortFunc(ordered, func(a, b mirror.Node) int {
 		if a.Address != b.Address && (a.Address == leader || b.Address == leader) {
-			return cmp.Compare(leads(a, leader), leads(b, leader))
+			return cmp.Compare(leaderRank(a, leader), leaderRank(b, leader))
 		}
 		return cmp.Compare(membership.RendezvousScore(zone, b.Name), membership.RendezvousScore(zone, a.Name))
 	})
@@ -155,7 +153,7 @@
 	return addresses
 }
 
-func leads(node mirror.Node, leader transport.Address) int {
+func leaderRank(node mirror.Node, leader transport.Address) int {
 	if node.Address == leader {
 		return 1
 	}
--- a/internal/loadshare/choice_test.go
+++ b/internal/loadshare/choice_test.go
@@ -13,11 +13,11 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// dataNodes returns data nodes a0, a1, ... of zone a, and so on.
-func dataNodes(zones string, each int) []mirror.Node {
+// dataNodes returns data nodes named a0, a1, ... in zone a, and likewise for each zone.
+func dataNodes(zones string, perZone int) []mirror.Node {
 	var nodes []mirror.Node
 	for _, zone := range zones {
-		for i := range each {
+		for i := range perZone {
 			name := fmt.Sprintf("%c%d", zone, i)
 			nodes = append(nodes, mirror.Node{Name: name, Address: transport.Address(name), Zone: string(zone)})
 		}
@@ -25,13 +25,14 @@
 	return nodes
 }
 
-// pick returns the chosen data node, or nothing.
+// pick returns the chosen data node, or an empty address.
 func pick(choice *Choice, nodes []mirror.Node, leader transport.Address, now time.Time) transport.Address {
 	picked, _ := choice.Pick(nodes, leader, now)
 	return picked
 }
 
-func TestAllFrontNodesOfAZoneReportToOneDataNodeOfIt(t *testing.T) {
+// Front nodes of a zone must agree on a relay, and on another node than the leader.
+func TestFrontNodesOfZonePickSameRelay(t *testing.T) {
 	g := gomega.NewWithT(t)
 	nodes := dataNodes("abc", 4)
 	first, found := NewChoice("b").Pick(nodes, "", start)
@@ -42,25 +43,27 @@
 	}
 	second, _ := NewChoice("b").Pick(nodes, first, start)
 	g.Expect(string(second)).To(gomega.HavePrefix("b"))
-	g.Expect(second).NotTo(gomega.Equal(first), "the leader has enough to do")
+	g.Expect(second).NotTo(gomega.Equal(first), "the leader ranks last")
 }
 
-func TestInASmallFleetTheLeaderIsToldItself(t *testing.T) {
+// Front nodes must report to the leader while the fleet is small, and to a relay otherwise.
+func TestChoicePicksLeaderInSmallFleet(t *testing.T) {
 	g := gomega.NewWithT(t)
 	nodes := dataNodes("abc", 2)
 	choice := NewChoice("b")
 	relay, _ := choice.Pick(nodes, "a0", start)
 	now := start
-	for ; now.Sub(start) <= directAfter; now = now.Add(ReportInterval) {
+	for ; now.Sub(start) <= directDelay; now = now.Add(ReportInterval) {
 		g.Expect(pick(choice, nodes, "a0", now)).To(gomega.Equal(relay))
-		g.Expect(choice.Heard(relay, Sum{Fronts: directMost, Complete: true}, now)).To(gomega.BeTrue())
+		g.Expect(choice.Heard(relay, Sum{Fronts: maxDirectFronts, Complete: true}, now)).To(gomega.BeTrue())
 	}
 	g.Expect(pick(choice, nodes, "a0", now)).To(gomega.Equal(transport.Address("a0")))
-	choice.Heard("a0", Sum{Fronts: directMost + 1, Complete: true}, now)
+	choice.Heard("a0", Sum{Fronts: maxDirectFronts + 1, Complete: true}, now)
 	g.Expect(pick(choice, nodes, "a0", now)).To(gomega.Equal(relay))
 }
 
-func TestADataNodeThatDoesNotAnswerIsLeftForAWhile(t *testing.T) {
+// A relay that does not answer must be ejected, and be used again after ejectionTime.
+func TestChoiceEjectsUnansweringRelay(t *testing.T) {
 	g := gomega.NewWithT(t)
 	nodes := dataNodes("ab", 3)
 	choice := NewChoice("a")
@@ -70,9 +73,9 @@
 	for second = first; second == first; second, _ = choice.Pick(nodes, "", now) {
 		now = now.Add(ReportInterval)
 	}
-	g.Expect(now.Sub(start)).To(gomega.BeNumerically("~", silence, ReportInterval))
+	g.Expect(now.Sub(start)).To(gomega.BeNumerically("~", answerTimeout, ReportInterval))
 	g.Expect(string(second)).To(gomega.HavePrefix("a"))
-	for ; now.Sub(start) < silence+asideTime; now = now.Add(ReportInterval) {
+	for ; now.Sub(start) < answerTimeout+ejectionTime; now = now.Add(ReportInterval) {
 		choice.Heard(second, Sum{Fronts: 100, Complete: true}, now)
 		picked, _ := choice.Pick(nodes, "", now)
 		g.Expect(picked).To(gomega.Equal(second))
@@ -82,7 +85,8 @@
 	g.Expect(pick(choice, nodes, "", now)).To(gomega.Equal(first))
 }
 
-func TestAFrontNodeWithoutRequestsTakesNoSilenceForALoss(t *testing.T) {
+// A pause without reports must not be taken for unanswered reports.
+func TestIdleFrontNodeKeepsRelay(t *testing.T) {
 	g := gomega.NewWithT(t)
 	nodes := dataNodes("a", 3)
 	choice := NewChoice("a")
@@ -91,7 +95,8 @@
 	g.Expect(pick(choice, nodes, "", start.Add(10*time.Second+ReportInterval))).To(gomega.Equal(first))
 }
 
-func TestADataNodeThatKnowsTooLittleIsLeft(t *testing.T) {
+// A relay that sends only incomplete sums must be replaced after answerTimeout.
+func TestChoiceLeavesRelayWithIncompleteSums(t *testing.T) {
 	g := gomega.NewWithT(t)
 	nodes := dataNodes("ab", 2)
 	choice := NewChoice("a")
@@ -99,14 +104,15 @@
 	g.Expect(choice.Heard(first, Sum{Fronts: 100, Complete: true}, start)).To(gomega.BeTrue())
 	now := start
 	for picked := first; picked == first; picked, _ = choice.Pick(nodes, "", now) {
-		better := choice.Heard(first, Sum{Fronts: 100}, now)
-		g.Expect(better).To(gomega.Equal(now.Sub(start) > silence), "what was known before is better for a while")
+		accepted := choice.Heard(first, Sum{Fronts: 100}, now)
+		g.Expect(accepted).To(gomega.Equal(now.Sub(start) > answerTimeout), "the last complete sum is kept until answerTimeout")
 		now = now.Add(ReportInterval)
 	}
-	g.Expect(now.Sub(start)).To(gomega.BeNumerically("~", silence, 2*ReportInterval))
+	g.Expect(now.Sub(start)).To(gomega.BeNumerically("~", answerTimeout, 2*ReportInterval))
 }
 
-func TestAZoneWithoutDataNodesUsesAnother(t *testing.T) {
+// Front nodes of a zone without data nodes must still agree on a relay.
+func TestChoiceFallsBackToOtherZones(t *testing.T) {
 	g := gomega.NewWithT(t)
 	_, found := NewChoice("z").Pick(nil, "", start)
 	g.Expect(found).To(gomega.BeFalse())
--- a/internal/loadshare/doc.go
+++ b/internal/loadshare/doc.go
@@ -1,13 +1,12 @@
-// Package loadshare spreads what nodes have under way at engines.
+// Package loadshare distributes the load of engines among nodes.
 //
-// A front node reports its own requests to one data node, and gets back what
-// all nodes have. In a small fleet that is the leader of batch work; in a larger
-// one it is a relay: a data node of the front node's zone. Data nodes that take
-// reports send each other, and the leader, the sum of those: a share. So the
-// datagrams of a node grow with its zone, and those between zones with the
-// square of the zones, but not with the front nodes; and front nodes know of each
-// other's requests also while there is no leader.
+// A front node reports its requests in flight to one data node, which answers with the
+// load of all nodes. In a small fleet that data node is the leader of batch work, in a
+// larger one a relay, a data node of the front node's zone. Data nodes that take reports
+// send the sums, as shares, to each other and to the leader. The datagrams of a node
+// thus grow with its zone, and those between zones with the square of the number of
+// zones, not with the number of front nodes; and load is known without a leader, too.
 //
-// Choice and Exchange are pure: messages and time in, decisions out. See
-// docs/design/013-load-by-zone.md.
+// Choice and Exchange are free of I/O and clocks: messages and times are passed in,
+// decisions returned. See docs/design/013-load-by-zone.md.
 package loadshare
--- a/internal/loadshare/exchange.go
+++ b/internal/loadshare/exchange.go
@@ -10,81 +10,81 @@
 )
 
 const (
-	// PressInterval is the least time between two shares to the leader while
-	// batch work has to make way for requests: these wait that much longer.
+	// PressInterval is the minimum interval between shares to the leader while batch work
+	// must yield to requests, which wait for it.
 	PressInterval = 20 * time.Millisecond
-	// runsInterval is the least time between two shares of the leader to a relay:
-	// batch work is as much as online work, and changes faster.
-	runsInterval = ReportInterval / 2
-	// shareInterval is the least time between two shares otherwise. Their datagrams
-	// grow with the square of the zones, and requests prefer engines of their
-	// zone, of which the zone's relay knows by itself.
+	// leaderInterval is the minimum interval between shares from the leader to a relay:
+	// batch load is as high as online load and changes faster.
+	leaderInterval = ReportInterval / 2
+	// shareInterval is the minimum interval between other shares. Their number grows with
+	// the square of the zones, and requests prefer engines of their own zone, whose load
+	// its relay knows directly.
 	shareInterval = ReportInterval
-	// lapseTime is how long a report or a share counts: five reports, as datagrams
-	// may be lost. A front node that goes over to another data node counts twice
-	// for that long.
-	lapseTime = 5 * ReportInterval
-	// answerTime is how long a data node of another zone may leave shares
-	// unanswered before another one of the zone is sent them.
-	answerTime = 2 * shareInterval
-	// activeTail is how long a data node goes on sending shares after the last
-	// load it had, and answering those of another one.
-	activeTail = 500 * time.Millisecond
-	// aloneTime is how long a data node that sends shares may hear none before
-	// its own sums count as incomplete.
-	aloneTime = 300 * time.Millisecond
-	// beginTime is how long the sums of a data node that begins to take reports
-	// are incomplete: all reports come within an interval, and most shares.
-	beginTime = ReportInterval + shareInterval/2
-	// countTime is how long a front node counts after its last report; idle ones
-	// report nothing.
-	countTime = 5 * time.Second
+	// loadExpiry is the lifetime of a report or share: five reports, as datagrams may be
+	// lost. A front node that changes data nodes is counted twice for that long.
+	loadExpiry = 5 * ReportInterval
+	// peerAnswerTimeout is how long a data node of another zone may leave shares
+	// unanswered before another node of that zone is tried.
+	peerAnswerTimeout = 2 * shareInterval
+	// activeHold is how long after its last load a data node sends shares, and how long
+	// after a peer's last request for shares it answers.
+	activeHold = 500 * time.Millisecond
+	// isolationTimeout is how long a data node that sends shares may receive none before
+	// its sums are incomplete.
+	isolationTimeout = 300 * time.Millisecond
+	// warmupTime is how long sums are incomplete after the first report: all reports
+	// arrive within an interval, and most shares.
+	warmupTime = ReportInterval + shareInterval/2
+	// frontExpiry is how long a front node is counted after its last report, as idle ones
+	// send none.
+	frontExpiry = 5 * time.Second
 )
 
-// report is what a front node said last.
-type report struct {
-	at      time.Time
-	load    balance.Report
-	counted bool // the load counts
+// frontReport is the last report of a front node.
+type frontReport struct {
+	at   time.Time
+	load balance.Report
+	live bool // the load has not expired
 }
 
-// sharer is another data node.
-type sharer struct {
+// peer is another data node.
+type peer struct {
 	at       time.Time // of its last share
 	fronts   int
-	activeAt time.Time // of its last share that asked for one
-	counted  bool      // its load counts
-	// sentAt is the last share sent to it, askedAt the first one since its own.
-	sentAt, askedAt time.Time
+	activeAt time.Time // of its last share with Active set
+	live     bool      // its load has not expired
+	// sentAt is the time of the last share sent to it, unansweredSince that of the first
+	// one since its own.
+	sentAt, unansweredSince time.Time
 }
 
-// Exchange is the part of a data node that takes reports and shares. It is not
-// safe for concurrent use.
+// Exchange takes reports and shares at a data node. It is not safe for concurrent
+// use.
 type Exchange struct {
 	self    mirror.Node
-	reports map[transport.Address]*report
-	sharers map[transport.Address]*sharer
-	// loadAt is when this node had load to tell of last, and begunAt since when
-	// without a pause.
-	loadAt, begunAt time.Time
-	// sentAt is the last share that it sent, askedAt the first one since it heard
-	// one.
-	sentAt, askedAt time.Time
-	// leaders of regions' batch work hear of load as the leader does.
-	leaders []transport.Address
+	reports map[transport.Address]*frontReport
+	peers   map[transport.Address]*peer
+	// loadAt is when this node last had load, activeSince the start of that period of
+	// activity.
+	loadAt, activeSince time.Time
+	// sentAt is the time of the last share sent, unansweredSince that of the first one
+	// since a share was received.
+	sentAt, unansweredSince time.Time
+	// regionLeaders lead the batch work of regions and get shares as the leader does.
+	regionLeaders []transport.Address
 }
 
-// AlsoTo sets the leaders of regions' batch work.
-func (e *Exchange) AlsoTo(leaders []transport.Address) { e.leaders = leaders }
+// AlsoTo sets the leaders of the regions' batch work.
+func (e *Exchange) AlsoTo(leaders []transport.Address) { e.regionLeaders = leaders }
 
 // NewExchange returns the exchange of a data node.
 func NewExchange(self mirror.Node) *Exchange {
-	return &Exchange{self: self, reports: map[transport.Address]*report{}, sharers: map[transport.Address]*sharer{}}
+	return &Exchange{self: self, reports: map[transport.Address]*frontReport{}, peers: map[transport.Address]*peer{}}
 }
 
 // Report takes a front node's report.
 func (e *Exchange) Report(from transport.Address, load balance.Report, now time.Time) {
-	e.reports[from] = &report{at: now, load: load, counted: true}
+	e.reports[from] = &frontReport{at: now, load: load, live: true}
 	e.noteLoad(load, now)
 }
 
@@ -93,62 +93,61 @@
 		return
 	}
 	if !e.active(now) {
-		e.begunAt = now
+		e.activeSince = now
 	}
 	e.loadAt = now
 }
 
 // Share takes another data node's share.
 func (e *Exchange) Share(from transport.Address, share Share, now time.Time) {
-	known := e.sharer(from)
-	known.at, known.fronts, known.counted = now, share.Fronts, true
+	sender := e.peer(from)
+	sender.at, sender.fronts, sender.live = now, share.Fronts, true
 	if share.Active {
-		known.activeAt = now
+		sender.activeAt = now
 	}
-	known.askedAt, e.askedAt = time.Time{}, time.Time{}
+	sender.unansweredSince, e.unansweredSince = time.Time{}, time.Time{}
 }
 
-func (e *Exchange) sharer(address transport.Address) *sharer {
-	known := e.sharers[address]
-	if known == nil {
-		known = &sharer{}
-		e.sharers[address] = known
+func (e *Exchange) peer(address transport.Address) *peer {
+	p := e.peers[address]
+	if p == nil {
+		p = &peer{}
+		e.peers[address] = p
 	}
-	return known
+	return p
 }
 
-// Lapsed returns the nodes whose last report or share is too old to count from
-// now on; each is returned once.
+// Lapsed returns the nodes whose last report or share has expired since the last call.
 func (e *Exchange) Lapsed(now time.Time) []transport.Address {
-	var lapsed []transport.Address
-	lapse := func(address transport.Address, at time.Time, counted *bool) {
-		if *counted && now.Sub(at) > lapseTime {
-			*counted = false
-			lapsed = append(lapsed, address)
+	var expired []transport.Address
+	expire := func(address transport.Address, at time.Time, live *bool) {
+		if *live && now.Sub(at) > loadExpiry {
+			*live = false
+			expired = append(expired, address)
 		}
 	}
-	for address, one := range e.reports {
-		lapse(address, one.at, &one.counted)
-		if now.Sub(one.at) > countTime {
+	for address, entry := range e.reports {
+		expire(address, entry.at, &entry.live)
+		if now.Sub(entry.at) > frontExpiry {
 			delete(e.reports, address)
 		}
 	}
-	for address, one := range e.sharers {
-		lapse(address, one.at, &one.counted)
-		if now.Sub(one.at) > countTime && now.Sub(one.sentAt) > countTime {
-			delete(e.sharers, address)
+	for address, entry := range e.peers {
+		expire(address, entry.at, &entry.live)
+		if now.Sub(entry.at) > frontExpiry && now.Sub(entry.sentAt) > frontExpiry {
+			delete(e.peers, address)
 		}
 	}
-	return lapsed
+	return expired
 }
 
-// Fronts is how many front nodes reported lately, to this node or to one that
-// it hears of.
+// Fronts returns the number of front nodes that reported recently, to this node or to
+// a peer.
 func (e *Exchange) Fronts(now time.Time) int {
 	count := e.ownFronts(now)
-	for _, one := range e.sharers {
-		if now.Sub(one.at) <= lapseTime {
-			count += one.fronts
+	for _, peer := range e.peers {
+		if now.Sub(peer.at) <= loadExpiry {
+			count += peer.fronts
 		}
 	}
 	return count
@@ -156,64 +155,63 @@
 
 func (e *Exchange) ownFronts(now time.Time) int {
 	count := 0
-	for _, one := range e.reports {
-		if now.Sub(one.at) <= countTime {
+	for _, report := range e.reports {
+		if now.Sub(report.at) <= frontExpiry {
 			count++
 		}
 	}
 	return count
 }
 
-// Complete says that this node hears of all load that there is to know of: it
-// took reports for long enough, and others answer if it asks for their shares.
+// Complete says that this node knows all load: it is past its warm-up, and peers answer
+// its shares.
 func (e *Exchange) Complete(now time.Time) bool {
-	asking := !e.askedAt.IsZero() && now.Sub(e.sentAt) <= aloneTime
-	alone := asking && now.Sub(e.askedAt) > aloneTime
-	return !alone && now.Sub(e.begunAt) >= beginTime
+	asking := !e.unansweredSince.IsZero() && now.Sub(e.sentAt) <= isolationTimeout
+	isolated := asking && now.Sub(e.unansweredSince) > isolationTimeout
+	return !isolated && now.Sub(e.activeSince) >= warmupTime
 }
 
-// Own returns the share of this node: what front nodes report to it, and what it
-// runs itself.
-func (e *Exchange) Own(runs balance.Report, now time.Time) Share {
+// Own returns the share of this node: the load that front nodes reported to it, and
+// its local load.
+func (e *Exchange) Own(local balance.Report, now time.Time) Share {
 	load := balance.Report{}
-	load.Add(runs)
-	for _, one := range e.reports {
-		if now.Sub(one.at) <= lapseTime {
-			load.Add(one.load)
+	load.Add(local)
+	for _, report := range e.reports {
+		if now.Sub(report.at) <= loadExpiry {
+			load.Add(report.load)
 		}
 	}
 	e.noteLoad(load, now)
 	return Share{Fronts: e.ownFronts(now), Active: e.active(now), Load: load}
 }
 
-func (e *Exchange) active(now time.Time) bool { return now.Sub(e.loadAt) <= activeTail }
+func (e *Exchange) active(now time.Time) bool { return now.Sub(e.loadAt) <= activeHold }
 
-// Due returns the data nodes that are to be sent a share now: the leader, the
-// relays of the other zones, and whoever asks for it. The leader itself is asked
-// by all who have anything to share, and only answers them. pressed says that
-// batch work has to make way for requests, of which the leader has to hear.
-func (e *Exchange) Due(nodes []mirror.Node, leader transport.Address, pressed bool, now time.Time) []transport.Address {
+// Due returns the data nodes to send a share to now: the leader, relays of the other
+// zones and peers that ask for one. The leader asks nobody and only answers. urgent
+// says that batch work must yield to requests, which the leader has to learn.
+func (e *Exchange) Due(nodes []mirror.Node, leader transport.Address, urgent bool, now time.Time) []transport.Address {
 	var due []transport.Address
 	for _, address := range e.receivers(nodes, leader, now) {
 		interval := shareInterval
 		switch {
 		case leader == e.self.Address:
-			interval = runsInterval
-		case (address == leader || slices.Contains(e.leaders, address)) && pressed:
+			interval = leaderInterval
+		case (address == leader || slices.Contains(e.regionLeaders, address)) && urgent:
 			interval = PressInterval
 		}
-		receiver := e.sharer(address)
+		receiver := e.peer(address)
 		if now.Sub(receiver.sentAt) >= interval {
-			if receiver.askedAt.IsZero() {
-				receiver.askedAt = now
+			if receiver.unansweredSince.IsZero() {
+				receiver.unansweredSince = now
 			}
 			receiver.sentAt = now
 			due = append(due, address)
 		}
 	}
 	if len(due) > 0 && e.active(now) {
-		if e.askedAt.IsZero() || now.Sub(e.sentAt) > aloneTime {
-			e.askedAt = now
+		if e.unansweredSince.IsZero() || now.Sub(e.sentAt) > isolationTimeout {
+			e.unansweredSince = now
 		}
 		e.sentAt = now
 	}
@@ -222,33 +220,33 @@
 
 func (e *Exchange) receivers(nodes []mirror.Node, leader transport.Address, now time.Time) []transport.Address {
 	var receivers []transport.Address
-	for address, one := range e.sharers {
-		if now.Sub(one.activeAt) <= activeTail {
+	for address, peer := range e.peers {
+		if now.Sub(peer.activeAt) <= activeHold {
 			receivers = append(receivers, address)
 		}
 	}
 	if e.active(now) && leader != e.self.Address {
-		receivers = append(receivers, e.unasked(nodes, leader, receivers, now)...)
+		receivers = append(receivers, e.probeTargets(nodes, leader, receivers, now)...)
 	}
 	slices.Sort(receivers)
 	return slices.Compact(receivers)
 }
 
-// unasked returns data nodes that may have something to share though they didn't
-// ask for a share: the leader; of this zone the relays that front nodes prefer to
-// this one; and one of each zone from which nobody asked.
-func (e *Exchange) unasked(nodes []mirror.Node, leader transport.Address, asking []transport.Address, now time.Time) []transport.Address {
+// probeTargets returns data nodes that may have load but didn't ask for a share: the
+// leaders, relays of this zone that rank before this node, and one node of each zone
+// from which none asked.
+func (e *Exchange) probeTargets(nodes []mirror.Node, leader transport.Address, asking []transport.Address, now time.Time) []transport.Address {
 	var addresses []transport.Address
 	if leader != "" {
 		addresses = append(addresses, leader)
 	}
-	for _, other := range e.leaders {
+	for _, other := range e.regionLeaders {
 		if other != e.self.Address {
 			addresses = append(addresses, other)
 		}
 	}
-	inZone, others := byZone(nodes, e.self.Zone)
-	preferred := relays(inZone, e.self.Zone, leader)
+	inZone, others := splitByZone(nodes, e.self.Zone)
+	preferred := rankRelays(inZone, e.self.Zone, leader)
 	if own := slices.Index(preferred, e.self.Address); own > 0 {
 		addresses = append(addresses, preferred[:own]...)
 	}
@@ -261,18 +259,18 @@
 			return n.Address != leader && slices.Contains(asking, n.Address)
 		})
 		if !asked {
-			addresses = append(addresses, e.answering(relays(candidates, zone, leader), now))
+			addresses = append(addresses, e.firstAnswering(rankRelays(candidates, zone, leader), now))
 		}
 	}
 	return addresses
 }
 
-// answering returns the first data node that isn't known to leave shares
+// firstAnswering returns the first candidate that isn't known to leave shares
 // unanswered, or the first of all.
-func (e *Exchange) answering(candidates []transport.Address, now time.Time) transport.Address {
+func (e *Exchange) firstAnswering(candidates []transport.Address, now time.Time) transport.Address {
 	for _, address := range candidates {
-		one := e.sharers[address]
-		if one == nil || one.askedAt.IsZero() || now.Sub(one.askedAt) <= answerTime || now.Sub(one.sentAt) > asideTime {
+		peer := e.peers[address]
+		if peer == nil || peer.unansweredSince.IsZero() || now.Sub(peer.unansweredSince) <= peerAnswerTimeout || now.Sub(peer.sentAt) > ejectionTime {
 			return address
 		}
 	}
--- a/internal/loadshare/exchange_test.go
+++ b/internal/loadshare/exchange_test.go
@@ -16,42 +16,43 @@
 
 const engine = balance.EngineKey(7)
 
-func online(count int) balance.Report {
+func onlineLoad(count int) balance.Report {
 	if count == 0 {
 		return balance.Report{}
 	}
 	return balance.Report{engine: {Counts: balance.Counts{count, 0}}}
 }
 
-func batch(count int) balance.Report {
+func batchLoad(count int) balance.Report {
 	return balance.Report{engine: {Counts: balance.Counts{0, count}}}
 }
 
-func TestMessagesCarryWhatTheySay(t *testing.T) {
+// Messages must decode to what was encoded, and truncated ones must be rejected.
+func TestMessagesRoundTrip(t *testing.T) {
 	g := gomega.NewWithT(t)
-	sum := Sum{Fronts: 250, Complete: true, Load: online(3)}
+	sum := Sum{Fronts: 250, Complete: true, Load: onlineLoad(3)}
 	g.Expect(UnmarshalSum(sum.Marshal())).To(gomega.Equal(sum))
-	share := Share{Fronts: 50, Active: true, Load: batch(4)}
+	share := Share{Fronts: 50, Active: true, Load: batchLoad(4)}
 	g.Expect(UnmarshalShare(share.Marshal())).To(gomega.Equal(share))
 	_, err := UnmarshalShare([]byte{messageVersion, 1})
 	g.Expect(err).To(gomega.HaveOccurred())
 }
 
-// fleet is data nodes with exchanges and tables, in virtual time. Datagrams
-// arrive at once, unless a node is down or cut off from other data nodes.
+// fleet simulates front nodes and data nodes in virtual time. Datagrams arrive at once
+// unless a node is down or isolated from other data nodes.
 type fleet struct {
-	nodes     []mirror.Node
-	leader    transport.Address
-	runs      balance.Report // of the leader
-	exchanges map[transport.Address]*Exchange
-	tables    map[transport.Address]*balance.Table
-	fronts    []*simulatedFront
-	down      map[transport.Address]bool
-	cut       map[transport.Address]bool
-	parted    string // a zone that is cut off from the others; empty for none
-	crossing  int    // datagrams between zones
-	pressed   bool
-	now       time.Time
+	nodes           []mirror.Node
+	leader          transport.Address
+	leaderLoad      balance.Report // batch load of the leader
+	exchanges       map[transport.Address]*Exchange
+	tables          map[transport.Address]*balance.Table
+	fronts          []*simulatedFront
+	down            map[transport.Address]bool
+	isolated        map[transport.Address]bool
+	partitionedZone string // the zone that is cut off from the others, or empty
+	interZone       int    // number of datagrams between zones
+	urgent          bool
+	now             time.Time
 }
 
 type simulatedFront struct {
@@ -61,20 +62,20 @@
 	count   int
 	sum     balance.Report
 	heardAt time.Time
-	// answeredAt is the last sum, complete or not.
+	// answeredAt is the time of the last sum, complete or not.
 	answeredAt time.Time
 }
 
-func newFleet(zones string, dataEach, frontsEach int) *fleet {
+func newFleet(zones string, dataNodesPerZone, frontsPerZone int) *fleet {
 	f := &fleet{
-		nodes: dataNodes(zones, dataEach), runs: balance.Report{}, now: start, down: map[transport.Address]bool{}, cut: map[transport.Address]bool{},
+		nodes: dataNodes(zones, dataNodesPerZone), leaderLoad: balance.Report{}, now: start, down: map[transport.Address]bool{}, isolated: map[transport.Address]bool{},
 		exchanges: map[transport.Address]*Exchange{}, tables: map[transport.Address]*balance.Table{},
 	}
 	for _, node := range f.nodes {
 		f.exchanges[node.Address], f.tables[node.Address] = NewExchange(node), balance.NewTable()
 	}
 	for _, zone := range zones {
-		for i := range frontsEach {
+		for i := range frontsPerZone {
 			f.fronts = append(f.fronts, &simulatedFront{
 				address: transport.Address(fmt.Sprintf("front-%c%d", zone, i)), zone: string(zone), choice: NewChoice(string(zone)), count: 1,
 			})
@@ -83,68 +84,70 @@
 	return f
 }
 
-// reach says that datagrams pass between two zones.
-func (f *fleet) reach(a, b string) bool { return a == b || (a != f.parted && b != f.parted) }
+// reachable says that datagrams pass between two zones.
+func (f *fleet) reachable(a, b string) bool {
+	return a == b || (a != f.partitionedZone && b != f.partitionedZone)
+}
 
 func (f *fleet) zoneOf(address transport.Address) string {
-	at := slices.IndexFunc(f.nodes, func(n mirror.Node) bool { return n.Address == address })
-	return f.nodes[at].Zone
+	index := slices.IndexFunc(f.nodes, func(n mirror.Node) bool { return n.Address == address })
+	return f.nodes[index].Zone
 }
 
-// run lets time pass in steps; front nodes report in turn.
+// run simulates a span of time, with the front nodes' reports spread evenly.
 func (f *fleet) run(length time.Duration) {
 	for end := f.now.Add(length); f.now.Before(end); f.now = f.now.Add(PressInterval) {
 		for i, front := range f.fronts {
 			if step := f.now.Sub(start) / PressInterval; int(step)%4 == i%4 && front.count > 0 {
-				f.report(front)
+				f.sendReport(front)
 			}
 		}
 		for _, node := range f.nodes {
 			if !f.down[node.Address] {
-				f.share(node)
+				f.sendShares(node)
 			}
 		}
 	}
 }
 
-func (f *fleet) report(front *simulatedFront) {
+func (f *fleet) sendReport(front *simulatedFront) {
 	to, found := front.choice.Pick(f.nodes, f.leader, f.now)
-	if !found || f.down[to] || !f.reach(front.zone, f.zoneOf(to)) {
+	if !found || f.down[to] || !f.reachable(front.zone, f.zoneOf(to)) {
 		return
 	}
 	front.answeredAt = f.now
 	if f.zoneOf(to) != front.zone {
-		f.crossing += 2
+		f.interZone += 2
 	}
 	exchange, table := f.exchanges[to], f.tables[to]
-	exchange.Report(front.address, online(front.count), f.now)
-	table.PeerLoad(string(front.address), online(front.count), f.now)
-	sum := Sum{Fronts: exchange.Fronts(f.now), Complete: exchange.Complete(f.now), Load: f.all(to)}
+	exchange.Report(front.address, onlineLoad(front.count), f.now)
+	table.PeerLoad(string(front.address), onlineLoad(front.count), f.now)
+	sum := Sum{Fronts: exchange.Fronts(f.now), Complete: exchange.Complete(f.now), Load: f.knownLoad(to)}
 	if front.choice.Heard(to, sum, f.now) {
 		front.sum, front.heardAt = sum.Load, f.now
 	}
 }
 
-func (f *fleet) all(at transport.Address) balance.Report {
+func (f *fleet) knownLoad(at transport.Address) balance.Report {
 	all := f.tables[at].All(f.now)
 	if at == f.leader {
-		all.Add(f.runs)
+		all.Add(f.leaderLoad)
 	}
 	return all
 }
 
-func (f *fleet) share(node mirror.Node) {
+func (f *fleet) sendShares(node mirror.Node) {
 	exchange := f.exchanges[node.Address]
-	var runs balance.Report
+	var local balance.Report
 	if node.Address == f.leader {
-		runs = f.runs
+		local = f.leaderLoad
 	}
-	share := exchange.Own(runs, f.now)
-	for _, to := range exchange.Due(f.nodes, f.leader, f.pressed, f.now) {
+	share := exchange.Own(local, f.now)
+	for _, to := range exchange.Due(f.nodes, f.leader, f.urgent, f.now) {
 		if f.zoneOf(to) != node.Zone {
-			f.crossing++
+			f.interZone++
 		}
-		if f.down[to] || f.cut[to] || f.cut[node.Address] || !f.reach(node.Zone, f.zoneOf(to)) {
+		if f.down[to] || f.isolated[to] || f.isolated[node.Address] || !f.reachable(node.Zone, f.zoneOf(to)) {
 			continue
 		}
 		f.exchanges[to].Share(node.Address, share, f.now)
@@ -163,100 +166,105 @@
 	return total
 }
 
-// expectAllKnow says that each front node knows of all requests and runs.
-func (f *fleet) expectAllKnow(g *gomega.WithT) {
+// expectFullLoad expects each front node to know all requests and the leader's load.
+func (f *fleet) expectFullLoad(g *gomega.WithT) {
 	for _, front := range f.fronts {
-		g.Expect(f.now.Sub(front.heardAt)).To(gomega.BeNumerically("<=", silence+2*ReportInterval))
+		g.Expect(f.now.Sub(front.heardAt)).To(gomega.BeNumerically("<=", answerTimeout+2*ReportInterval))
 		g.Expect(front.sum[engine].Counts[balance.ClassOnline]).To(gomega.Equal(f.total()), "front %s", front.address)
 		if f.leader != "" {
-			g.Expect(front.sum[engine].Counts[balance.ClassBatch]).To(gomega.Equal(f.runs[engine].Counts[balance.ClassBatch]))
+			g.Expect(front.sum[engine].Counts[balance.ClassBatch]).To(gomega.Equal(f.leaderLoad[engine].Counts[balance.ClassBatch]))
 		}
 	}
 }
 
-func TestEveryFrontNodeKnowsOfAllWithAndWithoutALeader(t *testing.T) {
+// Front nodes must know the load of all zones, also after the leader is lost.
+func TestSumsCoverAllLoadWithAndWithoutLeader(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet("abcde", 3, 20)
-	f.leader, f.runs = "c1", batch(9)
+	f.leader, f.leaderLoad = "c1", batchLoad(9)
 	f.run(time.Second)
-	f.expectAllKnow(g)
+	f.expectFullLoad(g)
 	f.down["c1"], f.leader = true, ""
 	f.run(time.Second)
-	f.expectAllKnow(g)
+	f.expectFullLoad(g)
 }
 
-func TestDatagramsBetweenZonesDoNotGrowWithFrontNodes(t *testing.T) {
+// The number of datagrams between zones must depend on the number of zones only.
+func TestInterZoneDatagramsDoNotGrowWithFrontNodes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	counts := map[int]int{}
-	for _, each := range []int{10, 50} {
-		f := newFleet("abcde", 3, each)
-		f.leader, f.runs, f.pressed = "c1", batch(9), true
+	for _, frontsPerZone := range []int{10, 50} {
+		f := newFleet("abcde", 3, frontsPerZone)
+		f.leader, f.leaderLoad, f.urgent = "c1", batchLoad(9), true
 		f.run(time.Second)
-		f.crossing = 0
+		f.interZone = 0
 		f.run(time.Second)
-		counts[each] = f.crossing
+		counts[frontsPerZone] = f.interZone
 	}
 	g.Expect(counts[50]).To(gomega.Equal(counts[10]))
-	// Five relays, four others and a leader in another zone for four of them;
-	// all fifty front nodes of four zones and their answers would be 5000.
+	// Five relays each send to four others, and four of them to a leader in another zone;
+	// reports of 50 front nodes in each of four zones, with answers, would be 5000.
 	g.Expect(counts[50]).To(gomega.BeNumerically("<=", 900))
 }
 
-func TestASmallFleetReportsToItsLeaderOnly(t *testing.T) {
+// A small fleet must cause no shares between relays while it has a leader.
+func TestSmallFleetReportsOnlyToLeader(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet("abc", 1, 3)
-	f.leader, f.runs = "b0", batch(9)
+	f.leader, f.leaderLoad = "b0", batchLoad(9)
 	f.run(4 * time.Second)
-	f.expectAllKnow(g)
-	f.crossing = 0
+	f.expectFullLoad(g)
+	f.interZone = 0
 	f.run(time.Second)
-	g.Expect(f.crossing).To(gomega.BeNumerically("<=", 2*6*13), "reports and answers of the six of other zones")
+	g.Expect(f.interZone).To(gomega.BeNumerically("<=", 2*6*13), "reports of six front nodes in other zones, and answers")
 	f.down["b0"], f.leader = true, ""
 	f.run(time.Second)
-	f.expectAllKnow(g)
+	f.expectFullLoad(g)
 }
 
-func TestALostRelayIsReplacedWithinItsSilence(t *testing.T) {
+// A lost relay must be replaced soon, and its return must not make sums wrong.
+func TestLostRelayIsReplacedWithinTimeout(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet("abc", 3, 20)
-	f.leader, f.runs = "c1", batch(9)
+	f.leader, f.leaderLoad = "c1", batchLoad(9)
 	f.run(time.Second)
 	relay, _ := NewChoice("a").Pick(f.nodes, f.leader, f.now)
 	f.down[relay] = true
-	f.run(silence + beginTime + 3*ReportInterval)
-	f.expectAllKnow(g)
+	f.run(answerTimeout + warmupTime + 3*ReportInterval)
+	f.expectFullLoad(g)
 	f.down[relay] = false
-	f.run(asideTime + time.Second)
-	f.expectAllKnow(g)
+	f.run(ejectionTime + time.Second)
+	f.expectFullLoad(g)
 }
 
-// TestAZoneWhoseFrontNodesUseTwoRelaysIsKnownWhole: half of the front nodes have
-// set the zone's first relay aside, and without a leader nobody brings the two
-// relays together.
-func TestAZoneWhoseFrontNodesUseTwoRelaysIsKnownWhole(t *testing.T) {
+// Relays of one zone must exchange shares without a leader, too, or front nodes that
+// have ejected the first relay would not be known to the others.
+func TestSumsCoverZoneWithTwoRelays(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet("abc", 3, 20)
 	first, _ := NewChoice("a").Pick(f.nodes, "", f.now)
 	for _, front := range f.fronts[:10] {
-		front.choice.aside[first] = f.now.Add(time.Hour)
+		front.choice.ejectedUntil[first] = f.now.Add(time.Hour)
 	}
 	f.run(2 * time.Second)
-	f.expectAllKnow(g)
+	f.expectFullLoad(g)
 	g.Expect(f.fronts[0].choice.chosen).NotTo(gomega.Equal(f.fronts[10].choice.chosen))
 }
 
-func TestARelayThatIsCutOffFromDataNodesIsLeft(t *testing.T) {
+// A relay that reaches front nodes but no data nodes must be replaced.
+func TestIsolatedRelayIsReplaced(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet("abc", 3, 20)
-	f.leader, f.runs = "c1", batch(9)
+	f.leader, f.leaderLoad = "c1", batchLoad(9)
 	f.run(time.Second)
 	relay, _ := NewChoice("a").Pick(f.nodes, f.leader, f.now)
-	f.cut[relay] = true
+	f.isolated[relay] = true
 	f.run(time.Second)
-	f.expectAllKnow(g)
+	f.expectFullLoad(g)
 }
 
-func TestAZoneWithoutRequestsAnswersAndFallsSilent(t *testing.T) {
+// Idle zones must answer shares, and an idle fleet must send none.
+func TestIdleZoneAnswersSharesThenStopsSending(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet("abc", 2, 20)
 	for _, front := range f.fronts {
@@ -270,29 +278,28 @@
 		g.Expect(front.sum[engine].Counts[balance.ClassOnline]).To(gomega.Equal(20))
 	}
 	relay, _ := NewChoice("a").Pick(f.nodes, f.leader, f.now)
-	g.Expect(f.exchanges[relay].Complete(f.now)).To(gomega.BeTrue(), "the others answer, though they have nothing to tell")
+	g.Expect(f.exchanges[relay].Complete(f.now)).To(gomega.BeTrue(), "peers without load answer, too")
 	for _, front := range f.fronts {
 		front.count = 0
 	}
 	f.run(2 * time.Second)
-	f.crossing = 0
+	f.interZone = 0
 	f.run(time.Second)
-	g.Expect(f.crossing).To(gomega.BeZero())
+	g.Expect(f.interZone).To(gomega.BeZero())
 }
 
-// TestLoadIsKnownAgainSoonAfterLosses loses and cuts off data nodes at random;
-// once that ends, all know of all.
-func TestLoadIsKnownAgainSoonAfterLosses(t *testing.T) {
+// After random losses and isolations of data nodes, sums must become complete again.
+func TestSumsRecoverAfterRandomLosses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet("abc", rapid.IntRange(1, 3).Draw(t, "each"), 14)
 		pick := func(label string) transport.Address {
 			return rapid.SampledFrom(f.nodes).Draw(t, label).Address
 		}
-		f.leader, f.runs = pick("leader"), batch(9)
+		f.leader, f.leaderLoad = pick("leader"), batchLoad(9)
 		for range rapid.IntRange(1, 5).Draw(t, "losses") {
 			lost := pick("lost")
 			if rapid.Bool().Draw(t, "cut") {
-				f.cut[lost] = true
+				f.isolated[lost] = true
 			} else {
 				f.down[lost] = true
 			}
@@ -302,8 +309,8 @@
 			}
 		}
 		clear(f.down)
-		clear(f.cut)
+		clear(f.isolated)
 		f.run(4 * time.Second)
-		f.expectAllKnow(gomega.NewWithT(t))
+		f.expectFullLoad(gomega.NewWithT(t))
 	})
 }
--- a/internal/loadshare/message.go
+++ b/internal/loadshare/message.go
@@ -9,31 +9,30 @@
 
 const messageVersion = 1
 
-// Sum answers a front node's report.
+// Sum is the answer to a front node's report.
 type Sum struct {
-	// Fronts is how many front nodes reported lately, to anybody.
+	// Fronts is the number of front nodes that reported recently, to any data node.
 	Fronts int
-	// Complete says that the sender hears of all there is to know. One that hears
-	// no other data node, or has just begun to take reports, doesn't.
+	// Complete says that the sender knows all load. It is false if the sender has just
+	// begun to take reports or receives no shares.
 	Complete bool
-	// Load is what all nodes have under way, the reporting one included.
+	// Load is the load of all nodes, including the reporting one.
 	Load balance.Report
 }
 
-// Share is what a data node tells others: the load that they hear of from
-// nobody else.
+// Share is a data node's message to others, with the load that only it knows.
 type Share struct {
-	// Fronts is how many front nodes reported to the sender lately.
+	// Fronts is the number of front nodes that reported to the sender recently.
 	Fronts int
-	// Active asks for the receiver's share in return. The share of a data node
-	// that takes no reports and runs nothing is only ever an answer.
+	// Active asks for the receiver's share in return. A data node without load only
+	// answers.
 	Active bool
 	Load   balance.Report
 }
 
-// fixedMessage is the fixed part of both messages. Flag is Sum.Complete or
+// messageHeader is the fixed part of both messages; Flag is Sum.Complete or
 // Share.Active.
-type fixedMessage struct {
+type messageHeader struct {
 	Fronts uint16
 	Flag   bool
 }
@@ -43,8 +42,8 @@
 
 // UnmarshalSum decodes what Sum.Marshal encoded.
 func UnmarshalSum(encoded []byte) (Sum, error) {
-	fixed, load, err := unmarshal(encoded)
-	return Sum{Fronts: int(fixed.Fronts), Complete: fixed.Flag, Load: load}, err
+	header, load, err := unmarshal(encoded)
+	return Sum{Fronts: int(header.Fronts), Complete: header.Flag, Load: load}, err
 }
 
 // Marshal encodes the share.
@@ -52,25 +51,25 @@
 
 // UnmarshalShare decodes what Share.Marshal encoded.
 func UnmarshalShare(encoded []byte) (Share, error) {
-	fixed, load, err := unmarshal(encoded)
-	return Share{Fronts: int(fixed.Fronts), Active: fixed.Flag, Load: load}, err
+	header, load, err := unmarshal(encoded)
+	return Share{Fronts: int(header.Fronts), Active: header.Flag, Load: load}, err
 }
 
 func marshal(fronts int, flag bool, load balance.Report) []byte {
-	fixed := fixedMessage{Fronts: uint16(min(fronts, math.MaxUint16)), Flag: flag}
-	encoded, err := wire.Marshal(messageVersion, fixed, load.Marshal())
+	header := messageHeader{Fronts: uint16(min(fronts, math.MaxUint16)), Flag: flag}
+	encoded, err := wire.Marshal(messageVersion, header, load.Marshal())
 	if err != nil {
-		panic(err) // fixedMessage is not of fixed size
+		panic(err) // messageHeader has a field of variable size
 	}
 	return encoded
 }
 
-func unmarshal(encoded []byte) (fixedMessage, balance.Report, error) {
-	var fixed fixedMessage
-	fields, err := wire.Unmarshal(encoded, messageVersion, &fixed, 1)
+func unmarshal(encoded []byte) (messageHeader, balance.Report, error) {
+	var header messageHeader
+	fields, err := wire.Unmarshal(encoded, messageVersion, &header, 1)
 	if err != nil {
-		return fixedMessage{}, nil, err
+		return messageHeader{}, nil, err
 	}
 	load, err := balance.UnmarshalReport(fields[0])
-	return fixed, load, err
+	return header, load, err
 }
--- a/internal/loadshare/regions_test.go
+++ b/internal/loadshare/regions_test.go
@@ -11,9 +11,9 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// The leader of a region's batch work hears of load though it takes no reports and has
-// nothing under way yet; else it would take busy engines for idle ones.
-func TestLeadersOfRegionsHearOfLoad(t *testing.T) {
+// A region's leader must receive shares though it takes no reports and has no load, or it
+// would take busy engines for idle ones.
+func TestRegionLeadersReceiveShares(t *testing.T) {
 	g := gomega.NewWithT(t)
 	nodes := []mirror.Node{
 		{Name: "a", Address: "a", Zone: "z1"}, {Name: "b", Address: "b", Zone: "z2"}, {Name: "c", Address: "c", Zone: "z2"},
@@ -31,5 +31,5 @@
 	for _, other := range []transport.Address{"b", "c"} {
 		g.Expect(due(other)).To(gomega.ContainElement(other))
 	}
-	g.Expect(due("a")).To(gomega.Equal(without), "it is this node itself")
+	g.Expect(due("a")).To(gomega.Equal(without), "no share is sent to the node itself")
 }
--- a/internal/loadshare/spread_test.go
+++ b/internal/loadshare/spread_test.go
@@ -13,21 +13,20 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// chooser is a front node that chooses engines in virtual time, by what one
-// relay tells it.
-type chooser struct {
+// engineChooser is a simulated front node that chooses engines by the sums of a relay.
+type engineChooser struct {
 	address  transport.Address
 	table    *balance.Table
 	reported balance.Report
 }
 
-// fullest plays 50 front nodes that send 200 requests a second to 26 engines of 8
-// slots, each for 700 ms, and returns the most requests that an engine had.
-func fullest(t *testing.T, asks bool) int {
+// peakLoad simulates 50 front nodes that send 200 requests a second of 700 ms each to 26
+// engines of 8 slots, and returns the maximum number of requests on an engine.
+func peakLoad(t *testing.T, reportFirst bool) int {
 	const (
 		fronts, engines, slots = 50, 26, 8
 		length                 = 4 * time.Second
-		each                   = 5 * time.Millisecond
+		step                   = 5 * time.Millisecond
 		hold                   = 700 * time.Millisecond
 	)
 	var listed []catalog.Engine
@@ -37,24 +36,24 @@
 	snapshot := catalog.NewSnapshot(nil, listed)
 	random := rand.New(rand.NewPCG(1, 2))
 	relay := balance.NewTable()
-	choosers := make([]*chooser, fronts)
+	choosers := make([]*engineChooser, fronts)
 	for i := range choosers {
-		choosers[i] = &chooser{address: transport.Address(fmt.Sprint(i)), table: balance.NewTable()}
+		choosers[i] = &engineChooser{address: transport.Address(fmt.Sprint(i)), table: balance.NewTable()}
 	}
-	report := func(c *chooser, now time.Time) {
+	report := func(c *engineChooser, now time.Time) {
 		c.reported = c.table.Own(now)
 		relay.PeerLoad(string(c.address), c.reported, now)
 		c.table.PeerLoad("others", relay.All(now).Without(c.reported), now)
 	}
 	type request struct {
-		front  *chooser
+		front  *engineChooser
 		engine string
 		until  time.Time
 	}
 	var running []request
 	count := map[string]int{}
-	most := 0
-	for now := start; now.Sub(start) < length; now = now.Add(each) {
+	peak := 0
+	for now := start; now.Sub(start) < length; now = now.Add(step) {
 		for len(running) > 0 && !now.Before(running[0].until) {
 			ended := running[0]
 			running = running[1:]
@@ -68,29 +67,28 @@
 			}
 		}
 		c := choosers[random.IntN(fronts)]
-		if asks {
+		if reportFirst {
 			report(c, now)
 		}
 		engine, found := c.table.Choose(snapshot, balance.Wish{Service: "s", Zone: "a"}, now, random.Float64)
 		if !found {
-			t.Fatal("no engine has room")
+			t.Fatal("no engine has a free slot")
 		}
 		c.table.Begin(engine.ID, balance.ClassOnline, 0, now)
-		if asks {
+		if reportFirst {
 			report(c, now)
 		}
 		running = append(running, request{c, engine.ID, now.Add(hold)})
 		count[engine.ID]++
-		most = max(most, count[engine.ID])
+		peak = max(peak, count[engine.ID])
 	}
-	return most
+	return peak
 }
 
-// TestFrontNodesThatAskFirstFillEnginesEvenly: 5.4 requests an engine are the
-// mean; by sums that are up to a report's interval old some engine gets more than
-// it has slots.
-func TestFrontNodesThatAskFirstFillEnginesEvenly(t *testing.T) {
+// Choosing by sums up to a ReportInterval old overloads engines at a mean of 5.4 requests;
+// a report before each choice must avoid that.
+func TestReportingBeforeChoosingAvoidsOverload(t *testing.T) {
 	g := gomega.NewWithT(t)
-	g.Expect(fullest(t, true)).To(gomega.BeNumerically("<=", 8))
-	g.Expect(fullest(t, false)).To(gomega.BeNumerically(">", 8))
+	g.Expect(peakLoad(t, true)).To(gomega.BeNumerically("<=", 8))
+	g.Expect(peakLoad(t, false)).To(gomega.BeNumerically(">", 8))
 }
--- a/internal/loadshare/zone_test.go
+++ b/internal/loadshare/zone_test.go
@@ -10,47 +10,46 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// lose takes data nodes of a zone away, or brings them back; with all its front nodes,
-// too.
-func (f *fleet) lose(zone string, lost, fronts bool) {
+// setZoneDown stops or restarts the data nodes of a zone, and its front nodes if withFronts
+// is set.
+func (f *fleet) setZoneDown(zone string, down, withFronts bool) {
 	for _, node := range f.nodes {
 		if node.Zone == zone {
-			f.down[node.Address] = lost
+			f.down[node.Address] = down
 		}
 	}
 	for _, front := range f.fronts {
-		if fronts && front.zone == zone {
+		if withFronts && front.zone == zone {
 			front.count = 1
-			if lost {
+			if down {
 				front.count = 0
 			}
 		}
 	}
 }
 
-// cutOff parts a zone from the others, or ends that.
-func (f *fleet) cutOff(zone string) { f.parted = zone }
+// partition cuts a zone off from the others; an empty zone ends that.
+func (f *fleet) partition(zone string) { f.partitionedZone = zone }
 
-// expectKnownIn says that each front node of some zones knows of all that front nodes
-// have under way.
-func (f *fleet) expectKnownIn(g *gomega.WithT, zones string) {
+// expectOnlineLoadIn expects each front node of the zones to know all requests.
+func (f *fleet) expectOnlineLoadIn(g *gomega.WithT, zones string) {
 	for _, front := range f.fronts {
 		if front.count > 0 && strings.Contains(zones, front.zone) {
-			g.Expect(f.now.Sub(front.heardAt)).To(gomega.BeNumerically("<=", silence), "front %s", front.address)
+			g.Expect(f.now.Sub(front.heardAt)).To(gomega.BeNumerically("<=", answerTimeout), "front %s", front.address)
 			g.Expect(front.sum[engine].Counts[0]).To(gomega.Equal(f.total()), "front %s", front.address)
 		}
 	}
 }
 
-// A whole zone is lost: the others know of each other all the while, and of what the
-// lost one had until it lapses; back, it knows of all as soon as a relay does.
-func TestALostZoneLeavesTheOthersWhole(t *testing.T) {
+// The loss of a zone must not hide the load of other zones, and the zone must know all
+// load once its relay is past the warm-up.
+func TestZoneLossKeepsSumsOfOtherZonesComplete(t *testing.T) {
 	for _, leader := range []string{"", "a1", "b1"} {
 		g := gomega.NewWithT(t)
 		f := newFleet("abc", 3, 18)
 		f.leader = transport.Address(leader)
 		f.run(time.Second)
-		f.lose("a", true, true)
+		f.setZoneDown("a", true, true)
 		if leader == "a1" {
 			f.leader = ""
 		}
@@ -59,48 +58,47 @@
 			for _, front := range f.fronts {
 				if front.zone != "a" {
 					g.Expect(front.sum[engine].Counts[0]).To(gomega.BeNumerically(">=", 36))
-					g.Expect(f.now.Sub(front.heardAt)).To(gomega.BeNumerically("<=", silence))
+					g.Expect(f.now.Sub(front.heardAt)).To(gomega.BeNumerically("<=", answerTimeout))
 				}
 			}
 		}
-		f.expectKnownIn(g, "bc")
+		f.expectOnlineLoadIn(g, "bc")
 		f.leader = "c1"
 		f.run(7 * time.Second)
-		f.lose("a", false, true)
-		f.run(beginTime + 2*ReportInterval)
-		f.expectKnownIn(g, "abc")
+		f.setZoneDown("a", false, true)
+		f.run(warmupTime + 2*ReportInterval)
+		f.expectOnlineLoadIn(g, "abc")
 	}
 }
 
-// Front nodes whose zone has lost its data nodes report to another zone's, within one
-// silence a data node, and come back to their own.
-func TestFrontNodesWithoutDataNodesOfTheirZoneUseOthers(t *testing.T) {
+// Front nodes without data nodes in their zone must use those of other zones, after
+// one answerTimeout for each data node, and return to their own.
+func TestFrontNodesUseRelaysOfOtherZones(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet("abc", 3, 18)
 	f.run(time.Second)
-	f.lose("a", true, false)
-	f.run(3*(silence+ReportInterval) + 3*ReportInterval)
-	f.expectKnownIn(g, "abc")
+	f.setZoneDown("a", true, false)
+	f.run(3*(answerTimeout+ReportInterval) + 3*ReportInterval)
+	f.expectOnlineLoadIn(g, "abc")
 	f.run(5 * time.Second)
-	f.expectKnownIn(g, "abc")
-	f.lose("a", false, false)
-	f.run(asideTime + time.Second)
-	f.expectKnownIn(g, "abc")
+	f.expectOnlineLoadIn(g, "abc")
+	f.setZoneDown("a", false, false)
+	f.run(ejectionTime + time.Second)
+	f.expectOnlineLoadIn(g, "abc")
 	for _, front := range f.fronts {
 		g.Expect(f.zoneOf(front.choice.chosen)).To(gomega.Equal(front.zone))
 	}
 }
 
-// In a zone that is cut off, front nodes go on hearing a data node of it: sums of the
-// zone alone are better than none, and a round over data nodes of other zones takes
-// a silence each.
-func TestAZoneThatIsCutOffGoesOnHearingItself(t *testing.T) {
+// Front nodes of a partitioned zone must keep receiving sums from their own data nodes
+// while they try those of other zones.
+func TestPartitionedZoneKeepsReceivingSums(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet("abc", 3, 18)
 	f.leader = "b1"
 	f.run(time.Second)
-	f.cutOff("a")
-	f.run(4 * silence)
+	f.partition("a")
+	f.run(4 * answerTimeout)
 	longest := time.Duration(0)
 	for range 50 {
 		f.run(ReportInterval)
@@ -108,9 +106,9 @@
 			longest = max(longest, f.now.Sub(front.answeredAt))
 		}
 	}
-	t.Logf("longest without any sum: %v", longest)
-	g.Expect(longest).To(gomega.BeNumerically("<=", 2*silence))
-	f.cutOff("")
-	f.run(asideTime + time.Second)
-	f.expectKnownIn(g, "abc")
+	t.Logf("longest time without a sum: %v", longest)
+	g.Expect(longest).To(gomega.BeNumerically("<=", 2*answerTimeout))
+	f.partition("")
+	f.run(ejectionTime + time.Second)
+	f.expectOnlineLoadIn(g, "abc")
 }
