--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -196,7 +196,7 @@
 		balancer.PeerLoad("others", Report{KeyOf("a"): {Counts: test.load}})
 		lease, err := balancer.Acquire(context.Background(), Wish{Service: "s"}, 0, 0, nil)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		g.Expect(balancer.Pressed()).To(gomega.HaveLen(map[bool]int{true: 1}[test.want]), "%v", test.load)
+		g.Expect(balancer.Preemptions()).To(gomega.HaveLen(map[bool]int{true: 1}[test.want]), "%v", test.load)
 		lease.Release()
 	}
 }
@@ -286,8 +286,8 @@
 	wish.Class = ClassBatch
 	batch, _ := balancer.Acquire(context.Background(), wish, 0, 0, nil)
 	g.Expect(batch.Engine.ID).NotTo(gomega.Equal(long.Engine.ID))
-	long.Read()
-	long.Read()
+	long.PrefillDone()
+	long.PrefillDone()
 	g.Expect(balancer.Own()[KeyOf(long.Engine.ID)].Pending).To(gomega.BeZero())
 	long.Release()
 	long.Release()
--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -33,7 +33,7 @@
 	snapshot func() *catalog.Snapshot
 	// Permit is called before a request is sent to a paced engine; nil disables pacing. It
 	// must be set before the balancer is used.
-	Permit func(ctx context.Context, request Wanted) Permission
+	Permit func(ctx context.Context, request PermitRequest) Permission
 	// preemptions holds a token when an online request went to an engine where batch work has
 	// to be preempted.
 	preemptions chan struct{}
@@ -120,15 +120,15 @@
 	}
 	err := b.noRoomError(wish)
 	var paced *PaceError
-	if wait <= 0 || errors.As(err, &paced) && paced.After > wait {
+	if wait <= 0 || errors.As(err, &paced) && paced.RetryAfter > wait {
 		return err
 	}
 	return nil
 }
 
-// Read records that the engine has read the request's prompt, that is, its first event
+// PrefillDone records that the engine has read the request's prompt, that is, its first event
 // arrived.
-func (l *Lease) Read() {
+func (l *Lease) PrefillDone() {
 	l.balancer.mutex.Lock()
 	defer l.balancer.mutex.Unlock()
 	if l.prefilledAt.IsZero() {
@@ -139,7 +139,7 @@
 
 func (l *Lease) clearUnread() {
 	if l.unreadTokens > 0 {
-		l.balancer.table.Read(l.Engine.ID, l.unreadTokens, clock.Now())
+		l.balancer.table.PrefillDone(l.Engine.ID, l.unreadTokens, clock.Now())
 		l.unreadTokens = 0
 	}
 }
@@ -157,9 +157,9 @@
 	now := clock.Now()
 	l.end(now)
 	if l.class == ClassOnline {
-		b.table.Took(now.Sub(l.startedAt))
+		b.table.RecordResidence(now.Sub(l.startedAt))
 		if !l.prefilledAt.IsZero() {
-			b.table.Ran(now.Sub(l.prefilledAt))
+			b.table.RecordHold(now.Sub(l.prefilledAt))
 		}
 	}
 }
@@ -232,9 +232,9 @@
 	}
 }
 
-// Pressed receives a value after an online request went to an engine where batch work has to
-// be preempted, so that it can be preempted at once.
-func (b *Balancer) Pressed() <-chan struct{} { return b.preemptions }
+// Preemptions receives a value after an online request went to an engine where batch work has
+// to be preempted, so that it can be preempted at once.
+func (b *Balancer) Preemptions() <-chan struct{} { return b.preemptions }
 
 func (b *Balancer) signalPreemption() {
 	select {
@@ -354,8 +354,8 @@
 	return b.table.Own(clock.Now())
 }
 
-// OwnIn counts this node's requests in flight at engines of the given zones, by zone.
-func (b *Balancer) OwnIn(zones []string) map[string]Counts {
+// OwnByZone counts this node's requests in flight at engines of the given zones, by zone.
+func (b *Balancer) OwnByZone(zones []string) map[string]Counts {
 	if len(zones) == 0 {
 		return nil
 	}
@@ -391,11 +391,11 @@
 	b.table.PeerLoad(peer, report, clock.Now())
 }
 
-// Ran returns the mean time that online requests hold a slot.
-func (b *Balancer) Ran() time.Duration {
+// MeanHold returns the mean time that online requests hold a slot.
+func (b *Balancer) MeanHold() time.Duration {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.table.MeanRun()
+	return b.table.MeanHold()
 }
 
 // PeerGone drops a peer's load report.
@@ -405,8 +405,9 @@
 	b.table.PeerGone(peer)
 }
 
-// AnyPressed reports whether batch work of any node has to be preempted at some engine.
-func (b *Balancer) AnyPressed() bool {
+// AnyPreemptionNeeded reports whether batch work of any node has to be preempted at some
+// engine.
+func (b *Balancer) AnyPreemptionNeeded() bool {
 	snapshot := b.snapshot()
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/balance/batch.go
+++ b/internal/balance/batch.go
@@ -108,7 +108,7 @@
 	scored := t.scoreForBatch(candidates, wishes[0], now)
 	var chosen []catalog.Engine
 	for _, wish := range wishes {
-		best := bestCandidate(scored, wish.Former)
+		best := bestCandidate(scored, wish.PreviousEngine)
 		if best == nil || float64(free) <= batchReserve*float64(slots) {
 			break
 		}
@@ -137,7 +137,7 @@
 
 // bestCandidate returns the candidate with room and the lowest score, or the previous engine
 // if previousEngineBonus makes it as good; nil if none has room.
-func bestCandidate(candidates []batchCandidate, former string) *batchCandidate {
+func bestCandidate(candidates []batchCandidate, previousEngine string) *batchCandidate {
 	var best, previous *batchCandidate
 	for i := range candidates {
 		candidate := &candidates[i]
@@ -147,7 +147,7 @@
 		if best == nil || candidate.score < best.score {
 			best = candidate
 		}
-		if candidate.engine.ID == former {
+		if candidate.engine.ID == previousEngine {
 			previous = candidate
 		}
 	}
--- a/internal/balance/choose.go
+++ b/internal/balance/choose.go
@@ -53,24 +53,24 @@
 	PrefixTokens int
 	// PromptTokens is the length of the whole prompt.
 	PromptTokens int
-	// Former is the engine that ran a part of the request and may still have its prompt
-	// cached.
-	Former string
+	// PreviousEngine is the engine that ran a part of the request and may still have its
+	// prompt cached.
+	PreviousEngine string
 	// Regions are the regions where the request may be served; nil allows all.
 	Regions catalog.Regions
-	// Avoid lists engines that were already tried, and Leave the zones where one of them was
-	// unreachable: engines are often lost by zone, and lost ones look idle until their
+	// Avoid lists engines that were already tried, and AvoidZones the zones where one of them
+	// was unreachable: engines are often lost by zone, and lost ones look idle until their
 	// catalog entries expire.
-	Avoid []string
-	Leave []string
+	Avoid      []string
+	AvoidZones []string
 	// Wait is how long the request may queue at an engine and still get its first token on
 	// time; 0 means no bound.
 	Wait time.Duration
 }
 
 // Choose returns the best engine that has room, or false. If all engines are ejected or
-// avoided, or those outside the zones to leave have no room, these rules are relaxed rather
-// than refuse a request that some engine may serve. draw is uniform in [0, 1).
+// avoided, or those outside AvoidZones have no room, these rules are relaxed rather than
+// refuse a request that some engine may serve. draw is uniform in [0, 1).
 func (t *Table) Choose(snapshot *catalog.Snapshot, wish Wish, now time.Time, draw func() float64) (catalog.Engine, bool) {
 	t.expire(now)
 	if wish.Class == ClassBatch {
@@ -92,10 +92,10 @@
 // outsideLeftZones returns the engines outside the zones to leave; nil if there are none to
 // leave.
 func (w Wish) outsideLeftZones(engines []catalog.Engine) []catalog.Engine {
-	if len(w.Leave) == 0 {
+	if len(w.AvoidZones) == 0 {
 		return nil
 	}
-	return filter(engines, func(e catalog.Engine) bool { return !contains(w.Leave, e.Zone) })
+	return filter(engines, func(e catalog.Engine) bool { return !contains(w.AvoidZones, e.Zone) })
 }
 
 // candidates returns the service's allowed engines that are healthy and not avoided; if there
@@ -274,7 +274,7 @@
 	if engine.ID == home {
 		score -= prefixBonus * min(1, float64(wish.PrefixTokens)/prefixBonusTokens)
 	}
-	if engine.ID == wish.Former {
+	if engine.ID == wish.PreviousEngine {
 		score -= previousEngineBonus
 	}
 	return score
--- a/internal/balance/coldstart.go
+++ b/internal/balance/coldstart.go
@@ -21,27 +21,27 @@
 // PaceError is returned when no engine had room and some of them accept no more requests
 // because they are paced. It matches ErrNoRoom.
 type PaceError struct {
-	// Paced is the number of engines that are cold and accept no more requests now; Of is the
-	// number of all allowed engines.
-	Paced, Of int
-	// After is the time until the first engine accepts more, if all of them are paced; else
-	// 0.
-	After time.Duration
+	// Paced is the number of engines that are cold and accept no more requests now; Total is
+	// the number of all allowed engines.
+	Paced, Total int
+	// RetryAfter is the time until the first engine accepts more, if all of them are paced;
+	// else 0.
+	RetryAfter time.Duration
 }
 
 // Error implements error.
 func (e *PaceError) Error() string {
-	if e.After > 0 {
-		return fmt.Sprintf("balance: all engines are cold and get no more requests for %v", e.After)
+	if e.RetryAfter > 0 {
+		return fmt.Sprintf("balance: all engines are cold and get no more requests for %v", e.RetryAfter)
 	}
-	return fmt.Sprintf("balance: no engine has room; %d of %d are cold and get no more requests now", e.Paced, e.Of)
+	return fmt.Sprintf("balance: no engine has room; %d of %d are cold and get no more requests now", e.Paced, e.Total)
 }
 
 // Is reports whether the target is ErrNoRoom.
 func (e *PaceError) Is(target error) bool { return target == ErrNoRoom }
 
-// Wanted describes a request for a permit.
-type Wanted struct {
+// PermitRequest describes a request for a permit.
+type PermitRequest struct {
 	Engine catalog.Engine
 	// Request identifies the request in logs.
 	Request string
@@ -53,8 +53,8 @@
 type Permission struct {
 	// Until is the end of the permit's validity; zero if none was granted.
 	Until time.Time
-	// After is how long the engine counts as full if no permit was granted.
-	After time.Duration
+	// RetryAfter is how long the engine counts as full if no permit was granted.
+	RetryAfter time.Duration
 }
 
 // acquirePermitted reserves an engine, with a permit if it is paced. An engine without a
@@ -76,7 +76,7 @@
 	if !lease.paced {
 		return true
 	}
-	request := Wanted{Engine: lease.Engine, Request: requestID, Failing: b.failing(lease.Engine.ID)}
+	request := PermitRequest{Engine: lease.Engine, Request: requestID, Failing: b.failing(lease.Engine.ID)}
 	permission := b.Permit(ctx, request)
 	if !permission.Until.IsZero() {
 		lease.permitExpiry = permission.Until
@@ -85,7 +85,7 @@
 		b.mutex.Unlock()
 		return true
 	}
-	lease.releaseUnused(permission.After)
+	lease.releaseUnused(permission.RetryAfter)
 	return false
 }
 
@@ -138,7 +138,7 @@
 
 // countPaced counts the paced engines that are marked full.
 func (t *Table) countPaced(engines []catalog.Engine, now time.Time) PaceError {
-	result := PaceError{Of: len(engines)}
+	result := PaceError{Total: len(engines)}
 	earliest := time.Duration(0)
 	for _, engine := range engines {
 		if !engine.Paced(now) || !t.isFull(engine.ID, now) {
@@ -149,8 +149,8 @@
 		}
 		result.Paced++
 	}
-	if result.Paced == result.Of {
-		result.After = earliest
+	if result.Paced == result.Total {
+		result.RetryAfter = earliest
 	}
 	return result
 }
--- a/internal/balance/coldstart_test.go
+++ b/internal/balance/coldstart_test.go
@@ -32,7 +32,7 @@
 	failing bool // as of the last request for a permit
 }
 
-func (p *fakePermits) permit(_ context.Context, request Wanted) Permission {
+func (p *fakePermits) permit(_ context.Context, request PermitRequest) Permission {
 	p.engines = append(p.engines, request.Engine.ID)
 	p.failing = request.Failing
 	next := p.answers[0]
@@ -75,7 +75,7 @@
 	g := gomega.NewWithT(t)
 	snapshot := coldService(nil, []string{"a", "b", "c", "d", "e"})
 	b := New(func() *catalog.Snapshot { return snapshot })
-	permits := &fakePermits{answers: []Permission{{After: time.Hour}, {After: time.Hour}, {Until: time.Now().Add(time.Hour)}, {After: time.Hour}}}
+	permits := &fakePermits{answers: []Permission{{RetryAfter: time.Hour}, {RetryAfter: time.Hour}, {Until: time.Now().Add(time.Hour)}, {RetryAfter: time.Hour}}}
 	b.Permit = permits.permit
 	lease, err := acquire(b, 0)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -92,12 +92,12 @@
 	g := gomega.NewWithT(t)
 	snapshot := coldService(nil, []string{"a", "b"})
 	b := New(func() *catalog.Snapshot { return snapshot })
-	b.Permit = (&fakePermits{answers: []Permission{{After: 40 * time.Minute}, {After: 30 * time.Minute}}}).permit
+	b.Permit = (&fakePermits{answers: []Permission{{RetryAfter: 40 * time.Minute}, {RetryAfter: 30 * time.Minute}}}).permit
 	_, err := acquire(b, 0)
 	g.Expect(err).To(gomega.MatchError(ErrNoRoom))
 	var paced *PaceError
 	g.Expect(err).To(gomega.BeAssignableToTypeOf(paced))
-	g.Expect(err.(*PaceError).After).To(gomega.BeNumerically("~", 30*time.Minute, time.Minute))
+	g.Expect(err.(*PaceError).RetryAfter).To(gomega.BeNumerically("~", 30*time.Minute, time.Minute))
 
 	snapshot = coldService([]string{"w"}, []string{"a", "b"})
 	lease, err := acquire(b, 0)
@@ -105,10 +105,10 @@
 	lease.Release()
 	b.PeerLoad("others", fullEngineReport("w"))
 	_, err = acquire(b, 0)
-	g.Expect(err).To(gomega.Equal(&PaceError{Paced: 2, Of: 3}), "the warm engine is full, but not paced")
+	g.Expect(err).To(gomega.Equal(&PaceError{Paced: 2, Total: 3}), "the warm engine is full, but not paced")
 	b.table.markFull("w", time.Hour, time.Now())
 	_, err = acquire(b, 0)
-	g.Expect(err).To(gomega.Equal(&PaceError{Paced: 2, Of: 3}), "the warm engine is marked full")
+	g.Expect(err).To(gomega.Equal(&PaceError{Paced: 2, Total: 3}), "the warm engine is marked full")
 	g.Expect(err).To(gomega.MatchError(ErrNoRoom))
 }
 
@@ -150,7 +150,7 @@
 	g := gomega.NewWithT(t)
 	snapshot := coldService(nil, []string{"c"})
 	b := New(func() *catalog.Snapshot { return snapshot })
-	permits := &fakePermits{answers: []Permission{{After: 30 * time.Millisecond}, {Until: time.Now().Add(time.Hour)}}}
+	permits := &fakePermits{answers: []Permission{{RetryAfter: 30 * time.Millisecond}, {Until: time.Now().Add(time.Hour)}}}
 	b.Permit = permits.permit
 	_, err := acquire(b, time.Minute)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -187,16 +187,16 @@
 	refresh := func(context.Context) { refreshes++ }
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second) // reached only if the test fails
 	defer cancel()
-	b.Permit = (&fakePermits{answers: []Permission{{After: time.Hour}}}).permit
+	b.Permit = (&fakePermits{answers: []Permission{{RetryAfter: time.Hour}}}).permit
 	_, err := b.Acquire(ctx, Wish{Service: "s"}, 0, 30*time.Minute, refresh)
 	g.Expect(err).To(gomega.BeAssignableToTypeOf(&PaceError{}))
 	g.Expect(refreshes).To(gomega.BeZero())
 
 	b = New(func() *catalog.Snapshot { return snapshot })
-	b.Permit = (&fakePermits{answers: []Permission{{After: time.Millisecond}, {After: time.Millisecond}, {After: time.Millisecond}, {After: 2 * time.Hour}}}).permit
+	b.Permit = (&fakePermits{answers: []Permission{{RetryAfter: time.Millisecond}, {RetryAfter: time.Millisecond}, {RetryAfter: time.Millisecond}, {RetryAfter: 2 * time.Hour}}}).permit
 	_, err = b.Acquire(ctx, Wish{Service: "s"}, 0, time.Hour, refresh)
 	g.Expect(err).To(gomega.BeAssignableToTypeOf(&PaceError{}))
-	g.Expect(err.(*PaceError).After).To(gomega.BeNumerically(">", time.Hour))
+	g.Expect(err.(*PaceError).RetryAfter).To(gomega.BeNumerically(">", time.Hour))
 	g.Expect(refreshes).To(gomega.BeNumerically(">", 0), "it waited at first")
 	g.Expect(b.Waiting()).To(gomega.BeZero())
 }
@@ -233,11 +233,11 @@
 	for _, test := range []struct {
 		answer Permission
 		want   int
-	}{{Permission{After: time.Hour}, 0}, {Permission{Until: time.Now().Add(time.Hour)}, 1}} {
+	}{{Permission{RetryAfter: time.Hour}, 0}, {Permission{Until: time.Now().Add(time.Hour)}, 1}} {
 		b := New(func() *catalog.Snapshot { return snapshot })
 		b.Permit = (&fakePermits{answers: []Permission{test.answer}}).permit
 		b.PeerLoad("others", Report{KeyOf("c"): {Counts: Counts{0, 1}}})
 		_, _ = acquire(b, 0)
-		g.Expect(b.Pressed()).To(gomega.HaveLen(test.want), "%+v", test.answer)
+		g.Expect(b.Preemptions()).To(gomega.HaveLen(test.want), "%+v", test.answer)
 	}
 }
--- a/internal/balance/drain_test.go
+++ b/internal/balance/drain_test.go
@@ -54,7 +54,7 @@
 	leases := b.AcquireMany([]Wish{{Service: "s", Class: ClassBatch}, {Service: "s", Class: ClassBatch}}, 0)
 	g.Expect(leases).To(gomega.HaveLen(2), "one at each engine")
 	snapshot.Store(twoZones("za"))
-	g.Expect(b.OwnIn([]string{"za"})).To(gomega.Equal(map[string]Counts{"za": {0, 1}}))
+	g.Expect(b.OwnByZone([]string{"za"})).To(gomega.Equal(map[string]Counts{"za": {0, 1}}))
 	for _, lease := range leases {
 		if lease.Engine.ID == "b" {
 			lease.Release()
@@ -67,7 +67,7 @@
 		g.Expect(lease.Engine.ID).To(gomega.Equal("b"))
 		lease.Release()
 	}
-	again := b.AcquireMany([]Wish{{Service: "s", Class: ClassBatch, Former: "a"}}, 0)
+	again := b.AcquireMany([]Wish{{Service: "s", Class: ClassBatch, PreviousEngine: "a"}}, 0)
 	g.Expect(again).To(gomega.HaveLen(1))
 	g.Expect(again[0].Engine.ID).To(gomega.Equal("b"))
 }
@@ -84,7 +84,7 @@
 	b.PeerLoad("others", Report{})
 	_, err := b.Acquire(context.Background(), Wish{Service: "s", Zone: "za", Class: ClassOnline, Wait: time.Second}, 0, 0, nil)
 	g.Expect(err).NotTo(gomega.HaveOccurred(), "the slot's batch request is preempted")
-	g.Expect(b.Pressed()).To(gomega.Receive())
+	g.Expect(b.Preemptions()).To(gomega.Receive())
 	g.Expect(b.Overfull()).To(gomega.Equal([]Overfull{{Engine: "b", Excess: 1}}))
 	g.Expect(b.AcquireMany([]Wish{{Service: "s", Class: ClassBatch}}, 0)).To(gomega.BeEmpty())
 }
--- a/internal/balance/pick_test.go
+++ b/internal/balance/pick_test.go
@@ -71,7 +71,7 @@
 	g := gomega.NewWithT(t)
 	table := NewTable()
 	for range 200 {
-		table.Took(800 * time.Millisecond)
+		table.RecordResidence(800 * time.Millisecond)
 	}
 	a, b := KeyOf("a"), KeyOf("b")
 	table.PeerLoad("p", Report{a: {Counts: Counts{30, 9}}, b: {Counts: Counts{5, 0}}}, start)
--- a/internal/balance/predict_test.go
+++ b/internal/balance/predict_test.go
@@ -36,7 +36,7 @@
 		g := gomega.NewWithT(t)
 		table := NewTable()
 		for range 300 {
-			table.Ran(600 * time.Millisecond)
+			table.RecordHold(600 * time.Millisecond)
 		}
 		snapshot := newSnapshot(2, 6)
 		engine, _ := snapshot.Engine("a")
--- a/internal/balance/release_failed_test.go
+++ b/internal/balance/release_failed_test.go
@@ -16,7 +16,7 @@
 	snapshot := newSnapshot(1, 6)
 	balancer := New(func() *catalog.Snapshot { return snapshot })
 	for range 600 {
-		balancer.table.Ran(time.Hour)
+		balancer.table.RecordHold(time.Hour)
 	}
 	for range 3 {
 		lease, err := balancer.Acquire(context.Background(), Wish{Service: "s", PromptTokens: 100}, 0, 0, nil)
--- a/internal/balance/table.go
+++ b/internal/balance/table.go
@@ -137,19 +137,19 @@
 	state.pending += tokens
 }
 
-// Read records that the engine has read a request's prompt.
-func (t *Table) Read(id string, tokens int, now time.Time) { t.state(id, now).pending -= tokens }
+// PrefillDone records that the engine has read a request's prompt.
+func (t *Table) PrefillDone(id string, tokens int, now time.Time) { t.state(id, now).pending -= tokens }
 
 // End uncounts a request that ended.
 func (t *Table) End(id string, class Class, now time.Time) { t.state(id, now).own[class]-- }
 
-// Took updates the mean residence time with that of an online request of this node.
-func (t *Table) Took(length time.Duration) {
+// RecordResidence updates the mean residence time with that of an online request of this node.
+func (t *Table) RecordResidence(length time.Duration) {
 	t.meanResidence += time.Duration(meanWeight * float64(length-t.meanResidence))
 }
 
-// Ran updates the mean hold time with that of an online request of this node.
-func (t *Table) Ran(length time.Duration) {
+// RecordHold updates the mean hold time with that of an online request of this node.
+func (t *Table) RecordHold(length time.Duration) {
 	t.meanHold += time.Duration(meanWeight * float64(length-t.meanHold))
 }
 
@@ -356,5 +356,5 @@
 	return state != nil && now.Before(state.fullUntil)
 }
 
-// MeanRun returns the mean time that online requests hold a slot.
-func (t *Table) MeanRun() time.Duration { return t.meanHold }
+// MeanHold returns the mean time that online requests hold a slot.
+func (t *Table) MeanHold() time.Duration { return t.meanHold }
--- a/internal/batchwork/delegate.go
+++ b/internal/batchwork/delegate.go
@@ -138,7 +138,7 @@
 		}
 		if run != nil {
 			run.begun = true
-			run.lease.Read()
+			run.lease.PrefillDone()
 		}
 		wanted = append(wanted, field)
 	}
--- a/internal/batchwork/itemrun.go
+++ b/internal/batchwork/itemrun.go
@@ -37,7 +37,7 @@
 // or ctx does.
 func (r *itemRun) run(ctx context.Context, read *Item) runResult {
 	r.id = read.ID
-	r.fingerprint = poison.Of(r.item.tenant, r.item.host, http.MethodPost, read.Path, read.Body)
+	r.fingerprint = poison.FingerprintOf(r.item.tenant, r.item.host, http.MethodPost, read.Path, read.Body)
 	r.committed, r.last = r.item.lastEvent, r.item.lastEvent
 	r.result.pause = r.exchange(ctx, read)
 	r.result.last = r.last
@@ -59,16 +59,16 @@
 	defer cancel()
 	timer := time.AfterFunc(itemPatience, func() { close(silence); cancel() })
 	defer timer.Stop()
-	answer, err := r.node.pool.Exchange(watch, r.engine.Address, r.call(read))
-	if errors.Is(err, upstream.ErrUnwanted) {
+	response, err := r.node.pool.Exchange(watch, r.engine.Address, r.call(read))
+	if errors.Is(err, upstream.ErrEngineExcluded) {
 		return refusalPause
 	}
 	if err != nil {
 		r.blame(watch, err)
 		return r.broken(ctx, err, isClosed(silence))
 	}
-	defer answer.Close()
-	return r.take(ctx, watch, answer, timer, silence)
+	defer response.Close()
+	return r.take(ctx, watch, response, timer, silence)
 }
 
 func isClosed(channel <-chan struct{}) bool {
@@ -96,10 +96,10 @@
 // gets none while a connection to it was opened.
 func (r *itemRun) proceed() error {
 	if !r.node.mayRun(&r.item, r.engine) {
-		return upstream.ErrUnwanted
+		return upstream.ErrEngineExcluded
 	}
 	if _, held := r.node.guard.Held(r.print); held {
-		return upstream.ErrUnwanted
+		return upstream.ErrEngineExcluded
 	}
 	return nil
 }
@@ -108,24 +108,24 @@
 func (r *itemRun) print() poison.Fingerprint { return r.fingerprint }
 
 // take reads the answer of the engine. watch ends with ctx, or when the engine is silent.
-func (r *itemRun) take(ctx, watch context.Context, answer *upstream.Answer, timer *time.Timer, silence <-chan struct{}) time.Duration {
-	r.hooks.noteReported(answer.Load)
+func (r *itemRun) take(ctx, watch context.Context, response *upstream.Response, timer *time.Timer, silence <-chan struct{}) time.Duration {
+	r.hooks.noteReported(response.Load)
 	switch {
-	case answer.NotRun && answer.Elsewhere:
+	case response.NotRun && response.AddressReused:
 		r.judge(engineFailed, errElsewhere)
 		return refusalPause
-	case answer.NotRun:
+	case response.NotRun:
 		r.judge(engineFull, nil)
 		return refusalPause
-	case answer.Status == http.StatusUnprocessableEntity:
+	case response.Status == http.StatusUnprocessableEntity:
 		return r.dead(ctx, "the engine can never run it")
-	case answer.Status >= http.StatusMultipleChoices:
-		_, _ = io.Copy(io.Discard, io.LimitReader(answer, pageBytes))
-		return r.failed(ctx, answer.Status)
-	case !answer.Signed:
+	case response.Status >= http.StatusMultipleChoices:
+		_, _ = io.Copy(io.Discard, io.LimitReader(response, pageBytes))
+		return r.failed(ctx, response.Status)
+	case !response.Signed:
 		return r.broken(ctx, upstream.ErrUnsigned, false)
 	}
-	return r.stream(ctx, watch, answer, timer, silence)
+	return r.stream(ctx, watch, response, timer, silence)
 }
 
 var (
@@ -141,18 +141,18 @@
 	r.hooks.noteJudged(r.result)
 }
 
-func (r *itemRun) stream(ctx, watch context.Context, answer *upstream.Answer, timer *time.Timer, silence <-chan struct{}) time.Duration {
+func (r *itemRun) stream(ctx, watch context.Context, response *upstream.Response, timer *time.Timer, silence <-chan struct{}) time.Duration {
 	r.node.streams.Add(1)
 	defer r.node.streams.Add(-1)
 	started, first := clock.Now(), r.last
 	r.commitAt = started.Add(firstCommit)
 	defer func() { r.result.took, r.result.events = clock.Since(started), r.last-first }()
-	events := forward.NewEventReader(&pacedReader{ctx: ctx, stream: answer, start: r.node.opened, interval: r.node.readInterval})
+	events := forward.NewEventReader(&pacedReader{ctx: ctx, stream: response, start: r.node.opened, interval: r.node.readInterval})
 	for {
 		event, err := events.Next()
 		if errors.Is(err, io.EOF) {
 			r.result.done = true
-			if answer.Framed && r.answering {
+			if response.Framed && r.answering {
 				r.node.guard.Served(r.print)
 			}
 			r.judge(engineSound, nil)
@@ -160,7 +160,7 @@
 			return r.succeeded(ctx)
 		}
 		if err != nil {
-			answer.Close()
+			response.Close()
 			r.hooks.noteEnded()
 			r.blame(watch, err)
 			return r.broken(ctx, err, isClosed(silence))
@@ -252,7 +252,7 @@
 	if notSent || ctx.Err() != nil {
 		return
 	}
-	r.node.guard.Broke(ctx, poison.Break{Engine: r.engine, Request: r.id, Answering: r.answering, Fingerprint: r.print})
+	r.node.guard.ConnectionLost(ctx, poison.LostConnection{Engine: r.engine, Request: r.id, Answering: r.answering, Fingerprint: r.print})
 }
 
 // broken keeps what came and lets the item go on elsewhere.
--- a/internal/batchwork/start.go
+++ b/internal/batchwork/start.go
@@ -85,7 +85,7 @@
 		group.routes = append(group.routes, route)
 		group.wishes = append(group.wishes, balance.Wish{
 			Service: service, Zone: zone, Class: balance.ClassBatch,
-			Regions: regions, Former: r.formers[itemKey{item.job, item.index}], PromptTokens: item.promptTokens,
+			Regions: regions, PreviousEngine: r.formers[itemKey{item.job, item.index}], PromptTokens: item.promptTokens,
 		})
 	}
 	return groups, most
@@ -161,7 +161,7 @@
 	return runHooks{
 		reported: func(load upstream.Load) { r.options.Balancer.Reported(next.engine.ID, load) },
 		begun: func() {
-			next.lease.Read()
+			next.lease.PrefillDone()
 			r.begun(itemKey{next.item.job, next.item.index})
 		},
 		ended:  next.lease.Release,
--- a/internal/edge/batch.go
+++ b/internal/edge/batch.go
@@ -78,11 +78,11 @@
 	for _, result := range page.Results {
 		size += pageCopies * int64(len(result.Text))
 	}
-	if !e.Room.Reserve(size) {
+	if !e.MemoryBudget.Reserve(size) {
 		writeError(w, http.StatusServiceUnavailable, "this node keeps as much for callers as it may")
 		return
 	}
-	defer e.Room.Release(size)
+	defer e.MemoryBudget.Release(size)
 	_ = http.NewResponseController(w).SetWriteDeadline(connectionDeadline(writeStallTimeout))
 	_ = e.Dialect.WritePage(w, page)
 }
--- a/internal/edge/caller.go
+++ b/internal/edge/caller.go
@@ -32,7 +32,7 @@
 		return caller{}, true
 	}
 	key, presence := apikey.Read(r.Header)
-	if presence == apikey.Given && e.Lapsed() {
+	if presence == apikey.Given && e.ConfigurationExpired() {
 		e.reject(w, r, http.StatusServiceUnavailable, "this node can't confirm that the key still holds")
 		return caller{}, false
 	}
@@ -44,7 +44,7 @@
 	switch {
 	case anonymous:
 		return caller{}, true
-	case presence == apikey.Given && !e.Current():
+	case presence == apikey.Given && !e.ConfigurationCurrent():
 		e.reject(w, r, http.StatusServiceUnavailable, "this node's configuration may be behind, and the key is not in it")
 	default:
 		w.Header().Set("WWW-Authenticate", "Bearer")
@@ -60,8 +60,8 @@
 		return true
 	}
 	eventLimited.Info("request", request.ID, "tenant", tenant.Name, "rate", tenant.Rate, "burst", tenant.Burst,
-		"own", decision.Own, "others", decision.Others, "room", decision.Room, "bound", decision.Bound, "age", decision.Age, "come_back", decision.ComeBack)
-	writeErrorRetryAfter(w, http.StatusTooManyRequests, "the tenant is at its limit; the request has not run", decision.ComeBack)
+		"own", decision.Own, "others", decision.Others, "room", decision.Reserve, "bound", decision.Bound, "age", decision.Age, "come_back", decision.RetryAfter)
+	writeErrorRetryAfter(w, http.StatusTooManyRequests, "the tenant is at its limit; the request has not run", decision.RetryAfter)
 	return false
 }
 
--- a/internal/edge/caller_test.go
+++ b/internal/edge/caller_test.go
@@ -49,7 +49,7 @@
 		{"", true, false, true, 0, ""},
 	} {
 		e := &Edge{
-			Dialect: plainDialect{}, Current: func() bool { return test.current }, Lapsed: func() bool { return test.lapsed },
+			Dialect: plainDialect{}, ConfigurationCurrent: func() bool { return test.current }, ConfigurationExpired: func() bool { return test.lapsed },
 		}
 		r := httptest.NewRequest(http.MethodPost, "/x", nil)
 		if test.header != "" {
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -85,20 +85,21 @@
 type Edge struct {
 	Dialect  Dialect
 	Snapshot func() *catalog.Snapshot
-	// Current reports whether the configuration is new enough to reject unknown keys.
-	Current func() bool
-	// Lapsed reports whether the configuration was not confirmed for so long that keys are no
-	// longer accepted, as they may have been revoked.
-	Lapsed    func() bool
-	Forwarder *forward.Forwarder
+	// ConfigurationCurrent reports whether the configuration is new enough to reject unknown
+	// keys.
+	ConfigurationCurrent func() bool
+	// ConfigurationExpired reports whether the configuration was not confirmed for so long
+	// that keys are no longer accepted, as they may have been revoked.
+	ConfigurationExpired func() bool
+	Forwarder            *forward.Forwarder
 	// Admit decides whether a request is within its tenant's limit, and Withdraw uncounts
 	// a request that was admitted at the given time and reached no engine.
 	Admit    func(ctx context.Context, tenant *catalog.Tenant) quota.Decision
 	Withdraw func(tenant *catalog.Tenant, admitted time.Time)
 	Jobs     Jobs
-	// Room bounds the memory held for callers; nil means no bound.
-	Room     *Room
-	inFlight atomic.Int64
+	// MemoryBudget bounds the memory held for callers; nil means no bound.
+	MemoryBudget *MemoryBudget
+	inFlight     atomic.Int64
 }
 
 // InFlight returns the number of requests being served.
@@ -145,7 +146,7 @@
 	}
 	request.Tenant, request.Priority, request.Regions = from.name(), route.PriorityOf(from.tenant), route.RegionsOf(from.tenant)
 	body, reserved, ok := e.readBody(w, r, configuration.Limits.BodyBytes, route.Kind, request.Deadline)
-	defer e.Room.Release(reserved)
+	defer e.MemoryBudget.Release(reserved)
 	if !ok {
 		return
 	}
@@ -228,7 +229,7 @@
 		size = limit // unknown length
 	}
 	reserved = bodyMemory(size, kind)
-	if !e.Room.Reserve(reserved) {
+	if !e.MemoryBudget.Reserve(reserved) {
 		discardBody(w, r)
 		e.reject(w, r, http.StatusServiceUnavailable, "this node keeps as much for callers as it may; the request has not run")
 		return nil, 0, false
@@ -243,7 +244,7 @@
 		_ = controller.SetReadDeadline(time.Time{})
 	}
 	needed := bodyMemory(int64(len(body)), kind)
-	e.Room.Release(reserved - needed)
+	e.MemoryBudget.Release(reserved - needed)
 	return body, needed, ok
 }
 
@@ -330,12 +331,12 @@
 // endToEndHeader copies a header without its hop-by-hop fields.
 func endToEndHeader(header http.Header) http.Header {
 	result := header.Clone()
-	RemoveHops(result)
+	RemoveHopByHop(result)
 	return result
 }
 
-// RemoveHops removes the hop-by-hop fields of a header.
-func RemoveHops(header http.Header) {
+// RemoveHopByHop removes the hop-by-hop fields of a header.
+func RemoveHopByHop(header http.Header) {
 	for _, listed := range header.Values("Connection") {
 		for _, name := range strings.Split(listed, ",") {
 			header.Del(strings.TrimSpace(name))
--- a/internal/edge/memory.go
+++ b/internal/edge/memory.go
@@ -7,41 +7,42 @@
 // once.
 const memoryDivisor = 4
 
-// Room limits the memory that a node holds for its callers, which may be slow to send and to
-// read. A nil Room doesn't limit it.
-type Room struct {
+// MemoryBudget bounds the memory that a node holds for its callers, which may be slow to send
+// and to read. A nil MemoryBudget doesn't bound it.
+type MemoryBudget struct {
 	mutex sync.Mutex // guards free; no other lock is taken while it is held
 	free  int64
 }
 
-// NewRoom returns the limit for a node with that many bytes of memory; nil if unknown.
-func NewRoom(memory int64) *Room {
+// NewMemoryBudget returns the budget for a node with that many bytes of memory; nil if
+// unknown.
+func NewMemoryBudget(memory int64) *MemoryBudget {
 	if memory <= 0 {
 		return nil
 	}
-	return &Room{free: memory / memoryDivisor}
+	return &MemoryBudget{free: memory / memoryDivisor}
 }
 
 // Reserve reserves bytes, and returns false if fewer are free.
-func (r *Room) Reserve(bytes int64) bool {
-	if r == nil {
+func (b *MemoryBudget) Reserve(bytes int64) bool {
+	if b == nil {
 		return true
 	}
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	if bytes > r.free {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	if bytes > b.free {
 		return false
 	}
-	r.free -= bytes
+	b.free -= bytes
 	return true
 }
 
 // Release releases reserved bytes.
-func (r *Room) Release(bytes int64) {
-	if r == nil {
+func (b *MemoryBudget) Release(bytes int64) {
+	if b == nil {
 		return
 	}
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.free += bytes
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	b.free += bytes
 }
--- a/internal/edge/slow_caller_test.go
+++ b/internal/edge/slow_caller_test.go
@@ -106,7 +106,7 @@
 // released at the end.
 func TestMemoryLimitCoversBodiesAndPages(t *testing.T) {
 	g := gomega.NewWithT(t)
-	e := &Edge{Dialect: pageDialect{}, Room: NewRoom(memoryDivisor * 1000)}
+	e := &Edge{Dialect: pageDialect{}, MemoryBudget: NewMemoryBudget(memoryDivisor * 1000)}
 	body := func(size int, kind catalog.Kind) (int, int64) {
 		recorder := httptest.NewRecorder()
 		request := httptest.NewRequest(http.MethodPost, "/", strings.NewReader(strings.Repeat("x", size)))
@@ -127,20 +127,20 @@
 	recorder := httptest.NewRecorder()
 	e.writePage(recorder, page)
 	g.Expect(recorder.Code).To(gomega.Equal(http.StatusServiceUnavailable))
-	e.Room.Release(first)
+	e.MemoryBudget.Release(first)
 	status, second := body(300, catalog.KindBatch)
 	g.Expect(status).To(gomega.Equal(http.StatusOK))
-	e.Room.Release(second)
+	e.MemoryBudget.Release(second)
 	recorder = httptest.NewRecorder()
 	e.writePage(recorder, page)
 	g.Expect(recorder.Code).To(gomega.Equal(http.StatusOK))
-	g.Expect(e.Room.Reserve(1000)).To(gomega.BeTrue(), "all memory must be released")
+	g.Expect(e.MemoryBudget.Reserve(1000)).To(gomega.BeTrue(), "all memory must be released")
 }
 
 // A body of unknown length must reserve the maximum only while it is read, then its own size.
 func TestMemoryLimitShrinksToBodySize(t *testing.T) {
 	g := gomega.NewWithT(t)
-	e := &Edge{Dialect: plainDialect{}, Room: NewRoom(memoryDivisor * 1000)}
+	e := &Edge{Dialect: plainDialect{}, MemoryBudget: NewMemoryBudget(memoryDivisor * 1000)}
 	for range 5 {
 		request := httptest.NewRequest(http.MethodPost, "/", io.MultiReader(strings.NewReader("some bytes")))
 		g.Expect(request.ContentLength).To(gomega.BeNumerically("<", 0))
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -20,7 +20,7 @@
 	addressReused bool
 	// withheld: the request was not sent for a reason other than the engine's health.
 	withheld bool
-	response *upstream.Answer
+	response *upstream.Response
 	body     []byte
 }
 
@@ -54,7 +54,7 @@
 	}
 	switch {
 	case response.NotRun:
-		return attemptResult{kind: OutcomeRefused, cause: statusError(response.Status), addressReused: response.Elsewhere}, false
+		return attemptResult{kind: OutcomeRefused, cause: statusError(response.Status), addressReused: response.AddressReused}, false
 	case response.Status >= 300:
 		return fl.handleFailure(response)
 	case !response.Signed:
@@ -69,7 +69,7 @@
 // before a connection is opened and again afterwards, as opening one may take long.
 func (fl *inflight) checkSend(lease *balance.Lease) error {
 	if !fl.Usable(lease.Engine.ID, lease.Engine.Service) {
-		return upstream.ErrUnwanted
+		return upstream.ErrEngineExcluded
 	}
 	if !fl.regions().Allow(lease.Engine.Region) {
 		return errRegions
@@ -138,7 +138,7 @@
 // engine's health.
 func isWithheld(err error) bool {
 	var held *heldError
-	return errors.As(err, &held) || errors.Is(err, upstream.ErrUnwanted) || errors.Is(err, errRegions) || errors.Is(err, balance.ErrPermitVoid)
+	return errors.As(err, &held) || errors.Is(err, upstream.ErrEngineExcluded) || errors.Is(err, errRegions) || errors.Is(err, balance.ErrPermitVoid)
 }
 
 // brokenOutcome is the outcome of an exchange that broke: a started stream can only be
@@ -151,7 +151,7 @@
 }
 
 // handleFailure reads an error response of an engine that ran the request.
-func (fl *inflight) handleFailure(response *upstream.Answer) (attemptResult, bool) {
+func (fl *inflight) handleFailure(response *upstream.Response) (attemptResult, bool) {
 	body, err := io.ReadAll(io.LimitReader(response, maxBodyBytes))
 	if err != nil {
 		return attemptResult{kind: fl.brokenOutcome(), cause: err}, false
@@ -174,7 +174,7 @@
 	return impliesNotRun(status) && !fl.route.MayRunAgain()
 }
 
-func (fl *inflight) sendResponse(engine catalog.Engine, response *upstream.Answer) (attemptResult, bool) {
+func (fl *inflight) sendResponse(engine catalog.Engine, response *upstream.Response) (attemptResult, bool) {
 	body, err := io.ReadAll(io.LimitReader(response, maxBodyBytes))
 	if err != nil {
 		return attemptResult{kind: OutcomeUnknown, cause: err}, false
@@ -195,7 +195,7 @@
 }
 
 // sendStream forwards whole events as they arrive.
-func (fl *inflight) sendStream(ctx context.Context, lease *balance.Lease, response *upstream.Answer, silence silenceTimer) (attemptResult, bool) {
+func (fl *inflight) sendStream(ctx context.Context, lease *balance.Lease, response *upstream.Response, silence silenceTimer) (attemptResult, bool) {
 	events := NewEventReader(response)
 	for {
 		event, err := events.Next()
@@ -210,7 +210,7 @@
 			return attemptResult{kind: fl.brokenOutcome(), cause: err}, false
 		}
 		silence.Reset()
-		lease.Read()
+		lease.PrefillDone()
 		fl.receivedEvent = true
 		if event.HasID && fl.streamStarted && event.ID <= fl.lastEvent {
 			continue
@@ -223,7 +223,7 @@
 	}
 }
 
-func (fl *inflight) sendEvent(response *upstream.Answer, event Event) error {
+func (fl *inflight) sendEvent(response *upstream.Response, event Event) error {
 	if !fl.streamStarted {
 		fl.streamStarted = true
 		fl.firstEventAt = clock.Now()
@@ -237,7 +237,7 @@
 	return fl.sink.WriteEvent(event.Raw)
 }
 
-func (fl *inflight) endStream(response *upstream.Answer) attemptResult {
+func (fl *inflight) endStream(response *upstream.Response) attemptResult {
 	if !fl.streamStarted {
 		fl.responseSent(fl.sink.WriteResponse(response.Status, response.Header, nil))
 		return attemptResult{}
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -224,7 +224,7 @@
 	return balance.Wish{
 		Request: fl.request.ID, Service: fl.service, Zone: fl.Zone, Region: fl.Region, Class: balance.ClassOnline,
 		Prefix: fl.request.Prefix, PrefixTokens: fl.request.PrefixTokens, PromptTokens: fl.request.PromptTokens,
-		Regions: fl.regions(), Avoid: fl.avoidEngines, Leave: fl.avoidZones, Wait: wait,
+		Regions: fl.regions(), Avoid: fl.avoidEngines, AvoidZones: fl.avoidZones, Wait: wait,
 	}
 }
 
--- a/internal/forward/held.go
+++ b/internal/forward/held.go
@@ -42,5 +42,5 @@
 	if result.kind != OutcomeUnknown && result.kind != OutcomeBroken {
 		return
 	}
-	fl.Guard.Broke(ctx, poison.Break{Engine: engine, Request: fl.request.ID, Answering: fl.receivedEvent, Fingerprint: fl.fingerprint})
+	fl.Guard.ConnectionLost(ctx, poison.LostConnection{Engine: engine, Request: fl.request.ID, Answering: fl.receivedEvent, Fingerprint: fl.fingerprint})
 }
--- a/internal/forward/overload_test.go
+++ b/internal/forward/overload_test.go
@@ -160,7 +160,7 @@
 	s.refused++
 	s.longestHeld = max(s.longestHeld, now.Sub(attempt.arrived))
 	if s.retry && !attempt.isRetry {
-		s.After(attempt.retryAfter(front.table.MeanRun(), now, s.random.Float64()), func() { s.arrive(attempt.deadline, true) })
+		s.After(attempt.retryAfter(front.table.MeanHold(), now, s.random.Float64()), func() { s.arrive(attempt.deadline, true) })
 	}
 }
 
@@ -174,8 +174,8 @@
 		s.After(simPrefill+ran, func() {
 			engine.running--
 			front.table.End(id, balance.ClassOnline, s.Now())
-			front.table.Took(simPrefill + ran)
-			front.table.Ran(ran)
+			front.table.RecordResidence(simPrefill + ran)
+			front.table.RecordHold(ran)
 			engine.startNext()
 		})
 	})
--- a/internal/forward/permit_test.go
+++ b/internal/forward/permit_test.go
@@ -28,7 +28,9 @@
 		cold[0].PacedUntil = time.Now().Add(time.Hour)
 		snapshot := catalog.NewSnapshot(nil, warm)
 		balancer := balance.New(func() *catalog.Snapshot { return snapshot })
-		balancer.Permit = func(context.Context, balance.Wanted) balance.Permission { return balance.Permission{After: time.Hour} }
+		balancer.Permit = func(context.Context, balance.PermitRequest) balance.Permission {
+			return balance.Permission{RetryAfter: time.Hour}
+		}
 		checks := 0
 		f := &Forwarder{
 			Pool: upstream.NewPool(testDialect{}), Balancer: balancer, Zone: "z1",
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -37,7 +37,7 @@
 
 // Fingerprint identifies equal requests: same tenant, target and body.
 func (r *Request) Fingerprint() poison.Fingerprint {
-	return poison.Of(r.Tenant, r.Host, r.Method, r.URI, r.Body)
+	return poison.FingerprintOf(r.Tenant, r.Host, r.Method, r.URI, r.Body)
 }
 
 // Verdict is the reason for a refusal by this node.
--- a/internal/forward/retryafter.go
+++ b/internal/forward/retryafter.go
@@ -26,8 +26,8 @@
 		return held.Left
 	}
 	var paced *balance.PaceError
-	if errors.As(cause, &paced) && paced.After > 0 {
-		return paced.After + rand.N(max(1, fl.Balancer.Ran()))
+	if errors.As(cause, &paced) && paced.RetryAfter > 0 {
+		return paced.RetryAfter + rand.N(max(1, fl.Balancer.MeanHold()))
 	}
-	return fl.waitPolicy().retryAfter(fl.Balancer.Ran(), clock.Now(), rand.Float64())
+	return fl.waitPolicy().retryAfter(fl.Balancer.MeanHold(), clock.Now(), rand.Float64())
 }
--- a/internal/forward/retryafter_test.go
+++ b/internal/forward/retryafter_test.go
@@ -18,12 +18,12 @@
 	route := &catalog.Route{}
 	fl := &inflight{Forwarder: &Forwarder{Balancer: balancer}, route: route, request: &Request{}, attempts: NewAttempts(route)}
 	for range 100 {
-		delay := fl.retryAfter(&balance.PaceError{After: time.Hour})
+		delay := fl.retryAfter(&balance.PaceError{RetryAfter: time.Hour})
 		g.Expect(delay).To(gomega.BeNumerically(">=", time.Hour))
-		g.Expect(delay).To(gomega.BeNumerically("<=", time.Hour+balancer.Ran()))
+		g.Expect(delay).To(gomega.BeNumerically("<=", time.Hour+balancer.MeanHold()))
 	}
-	g.Expect(fl.retryAfter(&balance.PaceError{Paced: 1, Of: 2})).To(gomega.BeNumerically("<=", 2*balancer.Ran()))
-	g.Expect(fl.retryAfter(balance.ErrNoRoom)).To(gomega.BeNumerically("<=", 2*balancer.Ran()))
+	g.Expect(fl.retryAfter(&balance.PaceError{Paced: 1, Total: 2})).To(gomega.BeNumerically("<=", 2*balancer.MeanHold()))
+	g.Expect(fl.retryAfter(balance.ErrNoRoom)).To(gomega.BeNumerically("<=", 2*balancer.MeanHold()))
 }
 
 // A void permit must not eject the engine.
--- a/internal/forward/zonelost_test.go
+++ b/internal/forward/zonelost_test.go
@@ -20,8 +20,8 @@
 
 func (d reusedAddressDialect) Facts(status int, header http.Header) upstream.Facts {
 	facts := d.testDialect.Facts(status, header)
-	facts.Elsewhere = status == http.StatusMisdirectedRequest
-	facts.NotRun = facts.Elsewhere
+	facts.AddressReused = status == http.StatusMisdirectedRequest
+	facts.NotRun = facts.AddressReused
 	return facts
 }
 
--- a/internal/loadshare/choice.go
+++ b/internal/loadshare/choice.go
@@ -94,9 +94,9 @@
 	}
 }
 
-// Heard takes a sum and says whether to use it: an incomplete one only if there was no
+// ReceiveSum takes a sum and says whether to use it: an incomplete one only if there was no
 // complete one for answerTimeout.
-func (c *Choice) Heard(from transport.Address, sum Sum, now time.Time) bool {
+func (c *Choice) ReceiveSum(from transport.Address, sum Sum, now time.Time) bool {
 	if from != c.chosen {
 		return false
 	}
--- a/internal/loadshare/choice_test.go
+++ b/internal/loadshare/choice_test.go
@@ -55,10 +55,10 @@
 	now := start
 	for ; now.Sub(start) <= directDelay; now = now.Add(ReportInterval) {
 		g.Expect(pick(choice, nodes, "a0", now)).To(gomega.Equal(relay))
-		g.Expect(choice.Heard(relay, Sum{Fronts: maxDirectFronts, Complete: true}, now)).To(gomega.BeTrue())
+		g.Expect(choice.ReceiveSum(relay, Sum{Fronts: maxDirectFronts, Complete: true}, now)).To(gomega.BeTrue())
 	}
 	g.Expect(pick(choice, nodes, "a0", now)).To(gomega.Equal(transport.Address("a0")))
-	choice.Heard("a0", Sum{Fronts: maxDirectFronts + 1, Complete: true}, now)
+	choice.ReceiveSum("a0", Sum{Fronts: maxDirectFronts + 1, Complete: true}, now)
 	g.Expect(pick(choice, nodes, "a0", now)).To(gomega.Equal(relay))
 }
 
@@ -76,12 +76,12 @@
 	g.Expect(now.Sub(start)).To(gomega.BeNumerically("~", answerTimeout, ReportInterval))
 	g.Expect(string(second)).To(gomega.HavePrefix("a"))
 	for ; now.Sub(start) < answerTimeout+ejectionTime; now = now.Add(ReportInterval) {
-		choice.Heard(second, Sum{Fronts: 100, Complete: true}, now)
+		choice.ReceiveSum(second, Sum{Fronts: 100, Complete: true}, now)
 		picked, _ := choice.Pick(nodes, "", now)
 		g.Expect(picked).To(gomega.Equal(second))
 	}
 	now = now.Add(2 * ReportInterval)
-	choice.Heard(second, Sum{Fronts: 100, Complete: true}, now)
+	choice.ReceiveSum(second, Sum{Fronts: 100, Complete: true}, now)
 	g.Expect(pick(choice, nodes, "", now)).To(gomega.Equal(first))
 }
 
@@ -101,10 +101,10 @@
 	nodes := dataNodes("ab", 2)
 	choice := NewChoice("a")
 	first, _ := choice.Pick(nodes, "", start)
-	g.Expect(choice.Heard(first, Sum{Fronts: 100, Complete: true}, start)).To(gomega.BeTrue())
+	g.Expect(choice.ReceiveSum(first, Sum{Fronts: 100, Complete: true}, start)).To(gomega.BeTrue())
 	now := start
 	for picked := first; picked == first; picked, _ = choice.Pick(nodes, "", now) {
-		accepted := choice.Heard(first, Sum{Fronts: 100}, now)
+		accepted := choice.ReceiveSum(first, Sum{Fronts: 100}, now)
 		g.Expect(accepted).To(gomega.Equal(now.Sub(start) > answerTimeout), "the last complete sum is kept until answerTimeout")
 		now = now.Add(ReportInterval)
 	}
--- a/internal/loadshare/exchange.go
+++ b/internal/loadshare/exchange.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// PressInterval is the minimum interval between shares to the leader while batch work
+	// UrgentInterval is the minimum interval between shares to the leader while batch work
 	// must yield to requests, which wait for it.
-	PressInterval = 20 * time.Millisecond
+	UrgentInterval = 20 * time.Millisecond
 	// leaderInterval is the minimum interval between shares from the leader to a relay:
 	// batch load is as high as online load and changes faster.
 	leaderInterval = ReportInterval / 2
@@ -74,8 +74,8 @@
 	regionLeaders []transport.Address
 }
 
-// AlsoTo sets the leaders of the regions' batch work.
-func (e *Exchange) AlsoTo(leaders []transport.Address) { e.regionLeaders = leaders }
+// SetRegionLeaders sets the leaders of the regions' batch work.
+func (e *Exchange) SetRegionLeaders(leaders []transport.Address) { e.regionLeaders = leaders }
 
 // NewExchange returns the exchange of a data node.
 func NewExchange(self mirror.Node) *Exchange {
@@ -171,9 +171,9 @@
 	return !isolated && now.Sub(e.activeSince) >= warmupTime
 }
 
-// Own returns the share of this node: the load that front nodes reported to it, and
+// OwnShare returns the share of this node: the load that front nodes reported to it, and
 // its local load.
-func (e *Exchange) Own(local balance.Report, now time.Time) Share {
+func (e *Exchange) OwnShare(local balance.Report, now time.Time) Share {
 	load := balance.Report{}
 	load.Add(local)
 	for _, report := range e.reports {
@@ -198,7 +198,7 @@
 		case leader == e.self.Address:
 			interval = leaderInterval
 		case (address == leader || slices.Contains(e.regionLeaders, address)) && urgent:
-			interval = PressInterval
+			interval = UrgentInterval
 		}
 		receiver := e.peer(address)
 		if now.Sub(receiver.sentAt) >= interval {
--- a/internal/loadshare/exchange_test.go
+++ b/internal/loadshare/exchange_test.go
@@ -96,9 +96,9 @@
 
 // run simulates a span of time, with the front nodes' reports spread evenly.
 func (f *fleet) run(length time.Duration) {
-	for end := f.now.Add(length); f.now.Before(end); f.now = f.now.Add(PressInterval) {
+	for end := f.now.Add(length); f.now.Before(end); f.now = f.now.Add(UrgentInterval) {
 		for i, front := range f.fronts {
-			if step := f.now.Sub(start) / PressInterval; int(step)%4 == i%4 && front.count > 0 {
+			if step := f.now.Sub(start) / UrgentInterval; int(step)%4 == i%4 && front.count > 0 {
 				f.sendReport(front)
 			}
 		}
@@ -123,7 +123,7 @@
 	exchange.Report(front.address, onlineLoad(front.count), f.now)
 	table.PeerLoad(string(front.address), onlineLoad(front.count), f.now)
 	sum := Sum{Fronts: exchange.Fronts(f.now), Complete: exchange.Complete(f.now), Load: f.knownLoad(to)}
-	if front.choice.Heard(to, sum, f.now) {
+	if front.choice.ReceiveSum(to, sum, f.now) {
 		front.sum, front.heardAt = sum.Load, f.now
 	}
 }
@@ -142,7 +142,7 @@
 	if node.Address == f.leader {
 		local = f.leaderLoad
 	}
-	share := exchange.Own(local, f.now)
+	share := exchange.OwnShare(local, f.now)
 	for _, to := range exchange.Due(f.nodes, f.leader, f.urgent, f.now) {
 		if f.zoneOf(to) != node.Zone {
 			f.interZone++
--- a/internal/loadshare/regions_test.go
+++ b/internal/loadshare/regions_test.go
@@ -21,9 +21,9 @@
 	now := time.Unix(1000, 0)
 	due := func(leaders ...transport.Address) []transport.Address {
 		exchange := NewExchange(nodes[0])
-		exchange.AlsoTo(leaders)
+		exchange.SetRegionLeaders(leaders)
 		exchange.Report("front", balance.Report{balance.KeyOf("e"): {Counts: balance.Counts{1, 0}}}, now)
-		exchange.Own(nil, now)
+		exchange.OwnShare(nil, now)
 		return exchange.Due(nodes, "a2", false, now)
 	}
 	without := due()
--- a/internal/loadshare/spread_test.go
+++ b/internal/loadshare/spread_test.go
@@ -58,7 +58,7 @@
 			ended := running[0]
 			running = running[1:]
 			ended.front.table.End(ended.engine, balance.ClassOnline, now)
-			ended.front.table.Took(hold)
+			ended.front.table.RecordResidence(hold)
 			count[ended.engine]--
 		}
 		if now.Sub(start)%ReportInterval == 0 {
--- a/internal/mirror/agent.go
+++ b/internal/mirror/agent.go
@@ -237,7 +237,7 @@
 	first := a.table.Revision(delta.Kind) == 0
 	changed := merge(delta) || (first && a.table.Revision(delta.Kind) > 0)
 	revision := a.table.Revision(delta.Kind)
-	confirmedLater := revision >= delta.At && a.fresh.confirm(delta.Kind, confirmed)
+	confirmedLater := revision >= delta.Revision && a.fresh.confirm(delta.Kind, confirmed)
 	if changed || confirmedLater {
 		close(a.changed)
 		a.changed = make(chan struct{})
--- a/internal/mirror/agent_test.go
+++ b/internal/mirror/agent_test.go
@@ -105,7 +105,7 @@
 	s.store.mutex.Lock()
 	defer s.store.mutex.Unlock()
 	delta := s.store.model.list()
-	return delta.Objects, delta.At, nil
+	return delta.Objects, delta.Revision, nil
 }
 
 func (s nodeStore) Changes(ctx context.Context, _ string, after uint64, wait time.Duration) ([]Object, uint64, error) {
@@ -122,12 +122,12 @@
 			return nil, 0, ErrHistoryLost
 		}
 		if len(delta.Objects) > 0 {
-			return delta.Objects, delta.At, nil
+			return delta.Objects, delta.Revision, nil
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			return nil, delta.At, nil
+			return nil, delta.Revision, nil
 		case <-ctx.Done():
 			return nil, 0, ctx.Err()
 		}
@@ -229,7 +229,7 @@
 	f.hosts[node.Address] = host
 	store := nodeStore{f.store, node.Name, f}
 	f.agents[node.Name] = New(Options{
-		Self: node, DataNode: data, Kinds: []Kind{{Name: kind, Fresh: testFresh}}, Store: store, Registry: store, Sender: host, Receiver: host,
+		Self: node, DataNode: data, Kinds: []Kind{{Name: kind, MaxStaleness: testFresh}}, Store: store, Registry: store, Sender: host, Receiver: host,
 	})
 }
 
@@ -319,8 +319,8 @@
 	})
 }
 
-// A change must reach all nodes within Fresh while the store rejects or doesn't answer some
-// nodes or all watchers are down, at any time after the failure.
+// A change must reach all nodes within MaxStaleness while the store rejects or doesn't answer
+// some nodes or all watchers are down, at any time after the failure.
 func TestChangeReachesAllNodesDespiteFailures(t *testing.T) {
 	watchers := []string{"data-00", "data-01", "data-02"}
 	for name, fail := range map[string]func(f *testFleet){
@@ -464,7 +464,7 @@
 
 func TestWatchesEndEvenlySpaced(t *testing.T) {
 	g := gomega.NewWithT(t)
-	watched := Kind{Name: kind, Fresh: testFresh}
+	watched := Kind{Name: kind, MaxStaleness: testFresh}
 	period := watched.fraction(watchFraction)
 	for start := time.Duration(0); start < 2*period; start += 70 * time.Millisecond {
 		for rank := range watcherCount {
--- a/internal/mirror/drain_test.go
+++ b/internal/mirror/drain_test.go
@@ -11,7 +11,7 @@
 )
 
 // The last state of an object that is created and removed in quick succession must reach all
-// nodes within Fresh, also if the store rejects some nodes or compacts its history.
+// nodes within MaxStaleness, also if the store rejects some nodes or compacts its history.
 func TestQuickRemovalsAndRecreationsReachAllNodes(t *testing.T) {
 	for name, c := range map[string]struct {
 		steps  func(s *fakeStore)
@@ -55,12 +55,12 @@
 func TestRemovalReceivedBeforeCreationWins(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := NewTable([]string{kind})
-	table.Merge(Delta{Kind: kind, Whole: true, At: 3})
-	creation := Delta{Kind: kind, Since: 3, At: 5, Objects: []Object{{Name: "drain", Revision: 5}}}
-	g.Expect(table.Merge(Delta{Kind: kind, Since: 3, At: 6, Objects: []Object{{Name: "drain", Revision: 6, Gone: true}}})).To(gomega.BeFalse())
+	table.Merge(Delta{Kind: kind, IsSnapshot: true, Revision: 3})
+	creation := Delta{Kind: kind, Since: 3, Revision: 5, Objects: []Object{{Name: "drain", Revision: 5}}}
+	g.Expect(table.Merge(Delta{Kind: kind, Since: 3, Revision: 6, Objects: []Object{{Name: "drain", Revision: 6, Gone: true}}})).To(gomega.BeFalse())
 	g.Expect(table.Merge(creation)).To(gomega.BeFalse())
 	// A delta from a peer at the same revision that contains only the creation.
-	creation.At = 6
+	creation.Revision = 6
 	table.Merge(creation)
 	g.Expect(table.Objects(kind)).To(gomega.BeEmpty())
 	g.Expect(table.Changed(kind, 5)).To(gomega.BeTrue(), "the removal must be sent to peers that have the creation")
@@ -77,7 +77,7 @@
 		fleet.markNodes(fleet.store.unanswered, "late")
 		fleet.add(Node{Name: "late", Address: "late", Zone: "zone-0"}, false)
 		late := fleet.agents["late"]
-		late.options.Kinds = append(late.options.Kinds, Kind{Name: "not mirrored by peers", Fresh: testFresh})
+		late.options.Kinds = append(late.options.Kinds, Kind{Name: "not mirrored by peers", MaxStaleness: testFresh})
 		late.SetSeeds([]transport.Address{"data-00"})
 		late.Start()
 		time.Sleep(settleTime)
--- a/internal/mirror/fetchmessage.go
+++ b/internal/mirror/fetchmessage.go
@@ -18,7 +18,7 @@
 }
 
 type fixedKindRequest struct {
-	At              uint64
+	Revision        uint64
 	AgeMilliseconds uint32
 	Subset          bool
 }
@@ -26,9 +26,9 @@
 type fixedShift struct{ Shift uint8 }
 
 type fixedFetchedDelta struct {
-	At, Since       uint64
-	AgeMilliseconds uint32
-	Whole, Withheld bool
+	Revision, Since      uint64
+	AgeMilliseconds      uint32
+	IsSnapshot, Withheld bool
 }
 
 func (p pullRequest) marshalFetch(node, zone string) []byte {
@@ -80,7 +80,7 @@
 	if len(fields) == 0 {
 		return "", position{}, wire.ErrLength
 	}
-	requested = position{revision: fixed.At, age: milliseconds(fixed.AgeMilliseconds)}
+	requested = position{revision: fixed.Revision, age: milliseconds(fixed.AgeMilliseconds)}
 	if fixed.Subset {
 		requested.subset = &subset{node: node, zone: zone}
 		requested.subset.shifts, err = unmarshalShifts(fields[1:])
@@ -116,7 +116,7 @@
 func (r pullResponse) marshalFetched() []byte {
 	fields := [][]byte{pack(marshalNodes(r.nodes))}
 	for _, delta := range r.deltas {
-		fixed := fixedFetchedDelta{delta.At, delta.Since, uint32(delta.age.Milliseconds()), delta.Whole, delta.withheld}
+		fixed := fixedFetchedDelta{delta.Revision, delta.Since, uint32(delta.age.Milliseconds()), delta.IsSnapshot, delta.withheld}
 		parts := append([][]byte{[]byte(delta.Kind), delta.encoded}, marshalShifts(delta.shifts)...)
 		fields = append(fields, mustMarshal(fixed, parts...))
 	}
@@ -159,7 +159,7 @@
 		return responseDelta{}, wire.ErrLength
 	}
 	delta := responseDelta{
-		Delta: Delta{Kind: string(fields[0]), At: fixed.At, Since: fixed.Since, Whole: fixed.Whole},
+		Delta: Delta{Kind: string(fields[0]), Revision: fixed.Revision, Since: fixed.Since, IsSnapshot: fixed.IsSnapshot},
 		age:   time.Duration(fixed.AgeMilliseconds) * time.Millisecond, withheld: fixed.Withheld,
 	}
 	if delta.shifts, err = unmarshalShifts(fields[2:]); err != nil {
--- a/internal/mirror/freshness.go
+++ b/internal/mirror/freshness.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Fractions of a kind's Fresh that the steps of propagating a change may take. Together they
-// leave room for the last call.
+// Fractions of a kind's MaxStaleness that the steps of propagating a change may take. Together
+// they leave room for the last call.
 const (
 	// watchFraction is the period of a watcher's calls. As watcherCount watchers are evenly
-	// spaced, one of them hears from the store every quarter of Fresh.
+	// spaced, one of them hears from the store every quarter of MaxStaleness.
 	watchFraction = 0.75
 	// watchSlackFraction is how much longer than its hold a watch may take before it fails.
 	watchSlackFraction = 0.2
@@ -43,15 +43,15 @@
 // Kind configures the mirroring of a kind of objects.
 type Kind struct {
 	Name string
-	// Fresh is the time within which a change in the store must be known on every node that
-	// can reach the store or a peer.
-	Fresh time.Duration
+	// MaxStaleness is the time within which a change in the store must be known on every node
+	// that can reach the store or a peer.
+	MaxStaleness time.Duration
 	// Place reads an object's place from its content, which decides which nodes mirror the
 	// object; nil if all nodes mirror all objects. See subset.
 	Place func(content []byte) Place
 }
 
-func (k Kind) fraction(f float64) time.Duration { return time.Duration(f * float64(k.Fresh)) }
+func (k Kind) fraction(f float64) time.Duration { return time.Duration(f * float64(k.MaxStaleness)) }
 
 // freshness holds, by kind, the time at which the table was last known to match the store. It
 // is not safe for concurrent use.
--- a/internal/mirror/message.go
+++ b/internal/mirror/message.go
@@ -25,14 +25,14 @@
 type fixedEmpty struct{}
 
 type fixedPosition struct {
-	At              uint64
+	Revision        uint64
 	AgeMilliseconds uint32
 }
 
 type fixedDelta struct {
-	At, Since       uint64
+	Revision, Since uint64
 	AgeMilliseconds uint32
-	Whole           bool
+	IsSnapshot      bool
 }
 
 type fixedObject struct {
@@ -90,7 +90,7 @@
 		if err != nil {
 			return pullRequest{}, err
 		}
-		request.kinds[string(kind[0])] = position{revision: fixedPos.At, age: milliseconds(fixedPos.AgeMilliseconds)}
+		request.kinds[string(kind[0])] = position{revision: fixedPos.Revision, age: milliseconds(fixedPos.AgeMilliseconds)}
 	}
 	return request, nil
 }
@@ -153,7 +153,7 @@
 	for _, object := range delta.Objects {
 		fields = append(fields, marshalObject(object))
 	}
-	return mustMarshal(fixedDelta{delta.At, delta.Since, uint32(delta.age.Milliseconds()), delta.Whole}, fields...)
+	return mustMarshal(fixedDelta{delta.Revision, delta.Since, uint32(delta.age.Milliseconds()), delta.IsSnapshot}, fields...)
 }
 
 func unmarshalDelta(message []byte) (responseDelta, error) {
@@ -166,7 +166,7 @@
 		return responseDelta{}, wire.ErrLength
 	}
 	delta := responseDelta{
-		Delta: Delta{Kind: string(fields[0]), At: fixed.At, Since: fixed.Since, Whole: fixed.Whole},
+		Delta: Delta{Kind: string(fields[0]), Revision: fixed.Revision, Since: fixed.Since, IsSnapshot: fixed.IsSnapshot},
 		age:   milliseconds(fixed.AgeMilliseconds),
 	}
 	for _, field := range fields[1:] {
--- a/internal/mirror/partial_store_test.go
+++ b/internal/mirror/partial_store_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// A change must reach all nodes within Fresh if the store answers only a few non-watchers.
-// Guards against nodes that read the store but don't notify peers.
+// A change must reach all nodes within MaxStaleness if the store answers only a few
+// non-watchers. Guards against nodes that read the store but don't notify peers.
 func TestChangeReachesAllNodesWhenStoreAnswersFew(t *testing.T) {
 	for _, c := range []struct {
 		dataNodes, fronts int
--- a/internal/mirror/pulls.go
+++ b/internal/mirror/pulls.go
@@ -80,17 +80,17 @@
 	}
 }
 
-// Askers lists the nodes that pulled from this one within peerTTL.
-func (a *Agent) Askers() []transport.Address {
+// RecentPullers lists the nodes that pulled from this one within peerTTL.
+func (a *Agent) RecentPullers() []transport.Address {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	askers := make([]transport.Address, 0, len(a.peers))
+	pullers := make([]transport.Address, 0, len(a.peers))
 	for peer, at := range a.peers {
 		if clock.Since(at) <= peerTTL {
-			askers = append(askers, peer)
+			pullers = append(pullers, peer)
 		}
 	}
-	return askers
+	return pullers
 }
 
 func (a *Agent) recordPeer(peer transport.Address) {
@@ -222,7 +222,7 @@
 		grace = initialRelayGrace
 	}
 	behind := func() bool {
-		return slices.ContainsFunc(response.deltas, func(delta responseDelta) bool { return delta.withheld && a.revision(delta.Kind) < delta.At })
+		return slices.ContainsFunc(response.deltas, func(delta responseDelta) bool { return delta.withheld && a.revision(delta.Kind) < delta.Revision })
 	}
 	return !a.awaitUntil(clock.Now().Add(grace), func() bool { return !behind() })
 }
--- a/internal/mirror/region_test.go
+++ b/internal/mirror/region_test.go
@@ -13,7 +13,7 @@
 // once it is stale, as its region may be cut off.
 func TestFrontNodePullsFromOwnRegionUntilStale(t *testing.T) {
 	g := gomega.NewWithT(t)
-	kind := Kind{Name: "k", Fresh: time.Minute}
+	kind := Kind{Name: "k", MaxStaleness: time.Minute}
 	agent := New(Options{Self: Node{Name: "f", Zone: "a", Region: "north"}, Kinds: []Kind{kind}, Receiver: &fakeHost{}})
 	agent.addNodes([]Node{
 		{Name: "a1", Address: "a1", Zone: "a", Region: "north", Started: 1}, {Name: "b1", Address: "b1", Zone: "b", Region: "north", Started: 1},
--- a/internal/mirror/serve.go
+++ b/internal/mirror/serve.go
@@ -46,7 +46,7 @@
 	response := a.newResponse(&request)
 	for i := range response.deltas {
 		delta := &response.deltas[i]
-		if request.revisionsOnly && (len(delta.Objects) > 0 || delta.Whole) {
+		if request.revisionsOnly && (len(delta.Objects) > 0 || delta.IsSnapshot) {
 			delta.Objects, delta.withheld = nil, true
 			continue
 		}
@@ -159,19 +159,19 @@
 // encode encodes a delta's objects. A snapshot may be replaced by a cached one that is slightly
 // older, but not older than what the requester has.
 func (c *snapshotCache) encode(delta *responseDelta, requested position, now time.Time) {
-	if !delta.Whole || requested.subset != nil || len(delta.Objects) < minCachedObjects {
+	if !delta.IsSnapshot || requested.subset != nil || len(delta.Objects) < minCachedObjects {
 		delta.encoded = packObjects(delta.Objects)
 		return
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	cached, found := c.kinds[delta.Kind]
-	if !found || cached.revision < requested.revision || (cached.revision != delta.At && now.Sub(cached.encodedAt) > snapshotCacheTTL) {
-		cached = cachedSnapshot{revision: delta.At, encodedAt: now, confirmed: now.Add(-delta.age), encoded: packObjects(delta.Objects)}
+	if !found || cached.revision < requested.revision || (cached.revision != delta.Revision && now.Sub(cached.encodedAt) > snapshotCacheTTL) {
+		cached = cachedSnapshot{revision: delta.Revision, encodedAt: now, confirmed: now.Add(-delta.age), encoded: packObjects(delta.Objects)}
 		c.kinds[delta.Kind] = cached
 	}
-	if cached.revision != delta.At {
-		delta.At, delta.age = cached.revision, now.Sub(cached.confirmed)
+	if cached.revision != delta.Revision {
+		delta.Revision, delta.age = cached.revision, now.Sub(cached.confirmed)
 	}
 	delta.encoded = cached.encoded
 }
--- a/internal/mirror/storereader.go
+++ b/internal/mirror/storereader.go
@@ -116,10 +116,10 @@
 	return a.started.Add(a.strictestKind().fraction(fraction)).Sub(now)
 }
 
-// strictestKind is the kind with the lowest Fresh. An unsynced node lists all kinds by its
-// delay, as they are used together.
+// strictestKind is the kind with the lowest MaxStaleness. An unsynced node lists all kinds by
+// its delay, as they are used together.
 func (a *Agent) strictestKind() Kind {
-	return slices.MinFunc(a.options.Kinds, func(x, y Kind) int { return cmp.Compare(x.Fresh, y.Fresh) })
+	return slices.MinFunc(a.options.Kinds, func(x, y Kind) int { return cmp.Compare(x.MaxStaleness, y.MaxStaleness) })
 }
 
 // rank returns this node's index among the healthy data nodes and whether it is a watcher. The
@@ -148,7 +148,7 @@
 	// The store's state is known only up to the end of the requested hold: the response may
 	// have been read later.
 	confirmed := started.Add(min(clock.Since(started), task.hold))
-	a.merge("watch", Delta{Kind: kind.Name, Since: after, At: max(revision, after), Objects: objects}, confirmed)
+	a.merge("watch", Delta{Kind: kind.Name, Since: after, Revision: max(revision, after), Objects: objects}, confirmed)
 	return len(objects) > 0, nil
 }
 
@@ -164,7 +164,7 @@
 	if err != nil {
 		return err
 	}
-	a.merge("list", Delta{Kind: kind.Name, Whole: true, At: revision, Objects: objects}, started)
+	a.merge("list", Delta{Kind: kind.Name, IsSnapshot: true, Revision: revision, Objects: objects}, started)
 	return nil
 }
 
@@ -187,7 +187,7 @@
 	if err != nil {
 		return err
 	}
-	a.merge("list", Delta{Kind: kind.Name, Whole: true, At: max(revision, current), Objects: withChanges(objects, changed)}, started)
+	a.merge("list", Delta{Kind: kind.Name, IsSnapshot: true, Revision: max(revision, current), Objects: withChanges(objects, changed)}, started)
 	return nil
 }
 
@@ -215,8 +215,8 @@
 	a.lastStoreResponse = clock.Now()
 }
 
-// Heard returns when the store last answered this node.
-func (a *Agent) Heard() time.Time {
+// LastStoreResponse returns when the store last answered this node.
+func (a *Agent) LastStoreResponse() time.Time {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.lastStoreResponse
--- a/internal/mirror/subset_test.go
+++ b/internal/mirror/subset_test.go
@@ -43,7 +43,7 @@
 	for i := range count {
 		objects = append(objects, Object{Name: fmt.Sprint("e", i), Revision: uint64(i + 1), Content: fmt.Appendf(nil, "g zone-%d", i%zones)})
 	}
-	table.Merge(Delta{Kind: kind, Whole: true, At: uint64(count), Objects: objects})
+	table.Merge(Delta{Kind: kind, IsSnapshot: true, Revision: uint64(count), Objects: objects})
 }
 
 // A front node's subset must not grow with the fleet and must prefer its own zone, and objects
@@ -88,7 +88,7 @@
 	g := gomega.NewWithT(t)
 	all := newSubsetTable("", "")
 	fillTable(all, 5000, 5)
-	all.Merge(Delta{Kind: kind, Since: 5000, At: 5003, Objects: []Object{
+	all.Merge(Delta{Kind: kind, Since: 5000, Revision: 5003, Objects: []Object{
 		{Name: "s1", Revision: 5001, Content: []byte("small zone-1")}, {Name: "s2", Revision: 5002, Content: []byte("small zone-2")},
 		{Name: "unreadable", Revision: 5003},
 	}})
@@ -122,14 +122,14 @@
 					}
 					objects = append(objects, Object{Name: name, Revision: revision, Gone: gone, Content: fmt.Appendf(nil, "g zone-%d", i%2)})
 				}
-				all.Merge(Delta{Kind: kind, Since: all.Revision(kind), At: revision, Objects: objects})
+				all.Merge(Delta{Kind: kind, Since: all.Revision(kind), Revision: revision, Objects: objects})
 			case 1: // change or move one object
 				revision++
-				all.Merge(Delta{Kind: kind, Since: all.Revision(kind), At: revision, Objects: []Object{
+				all.Merge(Delta{Kind: kind, Since: all.Revision(kind), Revision: revision, Objects: []Object{
 					{Name: fmt.Sprint("e", rapid.IntRange(0, next-1).Draw(t, "which")), Revision: revision, Content: fmt.Appendf(nil, "g zone-%d", revision%3)}}})
 			case 2: // list all objects again
 				revision++
-				all.Merge(Delta{Kind: kind, Whole: true, At: revision, Objects: all.Objects(kind)})
+				all.Merge(Delta{Kind: kind, IsSnapshot: true, Revision: revision, Objects: all.Objects(kind)})
 			}
 			if rapid.Bool().Draw(t, "pull") {
 				pullTable(partial, all)
@@ -170,7 +170,7 @@
 	before := len(front.Objects(kind))
 	g.Expect(before).To(gomega.BeNumerically("<", 1000))
 	removed := front.Objects(kind)[0].Name
-	front.Merge(Delta{Kind: kind, Since: 4000, At: 4002, Objects: []Object{
+	front.Merge(Delta{Kind: kind, Since: 4000, Revision: 4002, Objects: []Object{
 		{Name: removed, Revision: 4001, Gone: true}, {Name: "foreign", Revision: 4002, Content: []byte("g zone-9")},
 	}})
 	g.Expect(front.Objects(kind)).To(gomega.HaveLen(before), "one object removed, one of a new zone added")
@@ -192,8 +192,8 @@
 	g.Expect(decoded).To(gomega.Equal(request))
 	objects := []Object{{Name: "a", Revision: 4, Content: []byte("x")}, {Name: "b", Revision: 5, Gone: true, Content: nil}}
 	sent := pullResponse{nodes: request.nodes, deltas: []responseDelta{
-		{Delta: Delta{Kind: kind, At: 9, Since: 3, Whole: true}, age: 70 * time.Millisecond, shifts: shifts, encoded: packObjects(objects)},
-		{Delta: Delta{Kind: "all", At: 9}, withheld: true, shifts: map[Place]uint8{}},
+		{Delta: Delta{Kind: kind, Revision: 9, Since: 3, IsSnapshot: true}, age: 70 * time.Millisecond, shifts: shifts, encoded: packObjects(objects)},
+		{Delta: Delta{Kind: "all", Revision: 9}, withheld: true, shifts: map[Place]uint8{}},
 	}}
 	got, err := unmarshalFetched(sent.marshalFetched())
 	g.Expect(err).NotTo(gomega.HaveOccurred())
--- a/internal/mirror/table.go
+++ b/internal/mirror/table.go
@@ -23,11 +23,11 @@
 // Delta carries changes of a collection, or a snapshot of it.
 type Delta struct {
 	Kind string
-	// Whole says that Objects is a snapshot of the collection; else they are changes.
-	Whole bool
-	// At is the store's revision up to which the receiver is complete after the merge.
-	At uint64
-	// Since is the revision that the receiver must have reached, unless Whole.
+	// IsSnapshot says that Objects is a snapshot of the collection; else they are changes.
+	IsSnapshot bool
+	// Revision is the store's revision up to which the receiver is complete after the merge.
+	Revision uint64
+	// Since is the revision that the receiver must have reached, unless IsSnapshot.
 	Since   uint64
 	Objects []Object
 }
@@ -154,17 +154,17 @@
 	if c == nil || c.revision == 0 || c.revision < revision {
 		return Delta{}, nil, false
 	}
-	delta := Delta{Kind: kind, At: c.revision, Since: revision, Whole: revision == 0 || revision < c.horizon}
+	delta := Delta{Kind: kind, Revision: c.revision, Since: revision, IsSnapshot: revision == 0 || revision < c.horizon}
 	if sub != nil {
-		if shifts := sub.fitShifts(c.counts); delta.Whole || !sameShifts(shifts, sub.shifts) {
-			delta.Whole = true
+		if shifts := sub.fitShifts(c.counts); delta.IsSnapshot || !sameShifts(shifts, sub.shifts) {
+			delta.IsSnapshot = true
 			sub = &subset{node: sub.node, zone: sub.zone, shifts: shifts}
 		}
 	}
 	changes, all := c.log.since(revision)
 	switch {
-	case delta.Whole || (!all && sub != nil):
-		delta.Whole = true
+	case delta.IsSnapshot || (!all && sub != nil):
+		delta.IsSnapshot = true
 		delta.Objects = c.objectsIn(sub)
 	case !all:
 		delta.Objects = c.scan(revision)
@@ -236,7 +236,7 @@
 		return delta, nil
 	}
 	sub := c.subset
-	if delta.Whole {
+	if delta.IsSnapshot {
 		counts := map[Place]int{}
 		for _, object := range delta.Objects {
 			counts[c.placeOf(object.Content)]++
@@ -249,7 +249,7 @@
 		switch {
 		case object.Gone || sub.contains(object.Name, c.placeOf(object.Content)):
 			kept = append(kept, object)
-		case present && !delta.Whole:
+		case present && !delta.IsSnapshot:
 			kept = append(kept, Object{Name: object.Name, Revision: object.Revision, Gone: true})
 		}
 	}
@@ -268,22 +268,22 @@
 // table keeps a subset.
 func (t *Table) mergeSubset(delta Delta, shifts map[Place]uint8) bool {
 	c := t.collections[delta.Kind]
-	if c == nil || delta.At < c.revision || (!delta.Whole && delta.Since > c.revision) {
+	if c == nil || delta.Revision < c.revision || (!delta.IsSnapshot && delta.Since > c.revision) {
 		return false
 	}
 	if c.subset != nil {
-		if !delta.Whole && !sameShifts(shifts, c.subset.shifts) {
+		if !delta.IsSnapshot && !sameShifts(shifts, c.subset.shifts) {
 			return false // computed for shifts that are out of date
 		}
 		c.subset.shifts = shifts
 	}
 	var changed bool
-	if delta.Whole {
+	if delta.IsSnapshot {
 		changed = c.replace(delta)
 	} else {
 		changed = c.applyChanges(delta)
 	}
-	c.revision = delta.At
+	c.revision = delta.Revision
 	return changed
 }
 
@@ -291,7 +291,7 @@
 	changed := false
 	// Tombstones don't cover objects that came and went before this snapshot.
 	clear(c.tombstones)
-	c.horizon = delta.At
+	c.horizon = delta.Revision
 	listed := make(map[string]bool, len(delta.Objects))
 	for _, object := range delta.Objects {
 		listed[object.Name] = true
@@ -303,7 +303,7 @@
 			changed = true
 		}
 	}
-	c.log.reset(delta.At)
+	c.log.reset(delta.Revision)
 	return changed
 }
 
--- a/internal/mirror/table_test.go
+++ b/internal/mirror/table_test.go
@@ -22,22 +22,22 @@
 func TestMergeIgnoresDeltaWithGap(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := NewTable([]string{kind})
-	g.Expect(table.Merge(Delta{Kind: kind, Since: 5, At: 9, Objects: []Object{{Name: "a", Revision: 7}}})).To(gomega.BeFalse())
+	g.Expect(table.Merge(Delta{Kind: kind, Since: 5, Revision: 9, Objects: []Object{{Name: "a", Revision: 7}}})).To(gomega.BeFalse())
 	g.Expect(table.Revision(kind)).To(gomega.BeZero())
-	g.Expect(table.Merge(Delta{Kind: kind, Whole: true, At: 9, Objects: []Object{{Name: "a", Revision: 7}}})).To(gomega.BeTrue())
-	g.Expect(table.Merge(Delta{Kind: kind, Whole: true, At: 8})).To(gomega.BeFalse(), "an older snapshot must not remove objects")
+	g.Expect(table.Merge(Delta{Kind: kind, IsSnapshot: true, Revision: 9, Objects: []Object{{Name: "a", Revision: 7}}})).To(gomega.BeTrue())
+	g.Expect(table.Merge(Delta{Kind: kind, IsSnapshot: true, Revision: 8})).To(gomega.BeFalse(), "an older snapshot must not remove objects")
 	g.Expect(table.Objects(kind)).To(gomega.HaveLen(1))
 }
 
 func TestOldDeltaDoesNotRestoreRemovedObject(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := NewTable([]string{kind})
-	table.Merge(Delta{Kind: kind, Whole: true, At: 5, Objects: []Object{{Name: "a", Revision: 4}}})
-	table.Merge(Delta{Kind: kind, Since: 5, At: 6, Objects: []Object{{Name: "a", Revision: 6, Gone: true}}})
+	table.Merge(Delta{Kind: kind, IsSnapshot: true, Revision: 5, Objects: []Object{{Name: "a", Revision: 4}}})
+	table.Merge(Delta{Kind: kind, Since: 5, Revision: 6, Objects: []Object{{Name: "a", Revision: 6, Gone: true}}})
 	g.Expect(table.Objects(kind)).To(gomega.BeEmpty())
-	table.Merge(Delta{Kind: kind, Since: 3, At: 6, Objects: []Object{{Name: "a", Revision: 4}}})
+	table.Merge(Delta{Kind: kind, Since: 3, Revision: 6, Objects: []Object{{Name: "a", Revision: 4}}})
 	g.Expect(table.Objects(kind)).To(gomega.BeEmpty())
-	table.Merge(Delta{Kind: kind, Since: 6, At: 8, Objects: []Object{{Name: "a", Revision: 8}}})
+	table.Merge(Delta{Kind: kind, Since: 6, Revision: 8, Objects: []Object{{Name: "a", Revision: 8}}})
 	g.Expect(table.Objects(kind)).To(gomega.HaveLen(1))
 }
 
@@ -65,7 +65,7 @@
 }
 
 func (s *storeModel) list() Delta {
-	delta := Delta{Kind: kind, Whole: true, At: s.revision}
+	delta := Delta{Kind: kind, IsSnapshot: true, Revision: s.revision}
 	for _, object := range s.objects {
 		delta.Objects = append(delta.Objects, object)
 	}
@@ -73,7 +73,7 @@
 }
 
 func (s *storeModel) since(revision uint64) Delta {
-	delta := Delta{Kind: kind, Since: revision, At: s.revision}
+	delta := Delta{Kind: kind, Since: revision, Revision: s.revision}
 	latest := map[string]Object{}
 	for _, object := range s.history {
 		if object.Revision > revision {
@@ -152,7 +152,7 @@
 	g := gomega.NewWithT(t)
 	sent := pullResponse{
 		nodes: []Node{{Name: "n", Address: "1.2.3.4:5", Zone: "z", Region: "r", Started: 7}},
-		deltas: []responseDelta{{age: 70 * time.Millisecond, Delta: Delta{Kind: kind, At: 9, Since: 3, Whole: true, Objects: []Object{
+		deltas: []responseDelta{{age: 70 * time.Millisecond, Delta: Delta{Kind: kind, Revision: 9, Since: 3, IsSnapshot: true, Objects: []Object{
 			{Name: "a", Revision: 4, Content: []byte("x")}, {Name: "b", Revision: 5, Gone: true, Content: []byte{}},
 		}}}},
 	}
--- a/internal/poison/fingerprint.go
+++ b/internal/poison/fingerprint.go
@@ -11,8 +11,9 @@
 // cryptographic hash, so that no caller can forge the fingerprint of another's request.
 type Fingerprint [16]byte
 
-// Of returns the fingerprint of a request. tenant is empty if callers are not authenticated.
-func Of(tenant, host, method, target string, body []byte) Fingerprint {
+// FingerprintOf returns the fingerprint of a request. tenant is empty if callers are not
+// authenticated.
+func FingerprintOf(tenant, host, method, target string, body []byte) Fingerprint {
 	hash := sha256.New()
 	for _, part := range [][]byte{[]byte(tenant), []byte(host), []byte(method), []byte(target), body} {
 		var length [8]byte
@@ -28,8 +29,8 @@
 
 var errInvalidFingerprint = errors.New("poison: invalid fingerprint")
 
-// Parse is the inverse of String.
-func Parse(text string) (Fingerprint, error) {
+// ParseFingerprint is the inverse of String.
+func ParseFingerprint(text string) (Fingerprint, error) {
 	var f Fingerprint
 	decoded, err := hex.DecodeString(text)
 	if err != nil || len(decoded) != len(f) {
--- a/internal/poison/guard.go
+++ b/internal/poison/guard.go
@@ -57,9 +57,10 @@
 
 // Options configure a Guard.
 type Options struct {
-	// Ended reports whether the engine of a lost connection has crashed, that is, ended
-	// without an announced shutdown. It delays the request's retry and must return quickly.
-	Ended func(ctx context.Context, engine catalog.Engine) bool
+	// EngineCrashed reports whether the engine of a lost connection has crashed, that is,
+	// ended without an announced shutdown. It delays the request's retry and must return
+	// quickly.
+	EngineCrashed func(ctx context.Context, engine catalog.Engine) bool
 	// Report sends records to a data node, which spreads and stores them; nil on data
 	// nodes.
 	Report func(ctx context.Context, records []Record) error
@@ -137,8 +138,8 @@
 	return until.Sub(now), held
 }
 
-// Break describes the loss of a connection on which an engine had a request.
-type Break struct {
+// LostConnection describes the loss of a connection on which an engine had a request.
+type LostConnection struct {
 	Engine  catalog.Engine
 	Request string // request id
 	// Answering is set if events of the answer had arrived.
@@ -146,12 +147,12 @@
 	Fingerprint func() Fingerprint
 }
 
-// Broke records a crash against the request of a lost connection if the engine has
+// ConnectionLost records a crash against the request of a lost connection if the engine has
 // crashed. It returns after the first check; an engine that seems to run is rechecked later.
-func (g *Guard) Broke(ctx context.Context, lost Break) {
+func (g *Guard) ConnectionLost(ctx context.Context, lost LostConnection) {
 	switch {
 	case g == nil:
-	case g.options.Ended(ctx, lost.Engine):
+	case g.options.EngineCrashed(ctx, lost.Engine):
 		g.recordCrash(lost.Fingerprint(), lost)
 	default:
 		g.scheduleRecheck(lost)
@@ -160,7 +161,7 @@
 
 // scheduleRecheck checks an engine again after recheckDelay. If any engine answers the
 // request by then, no crash is recorded against it.
-func (g *Guard) scheduleRecheck(lost Break) {
+func (g *Guard) scheduleRecheck(lost LostConnection) {
 	f := lost.Fingerprint()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -171,7 +172,7 @@
 	g.hasRechecks.Store(true)
 	g.tasks.Go(func() {
 		clock.Pause(g.running, recheckDelay)
-		if g.finishRecheck(f) && g.options.Ended(g.running, lost.Engine) {
+		if g.finishRecheck(f) && g.options.EngineCrashed(g.running, lost.Engine) {
 			g.recordCrash(f, lost)
 		}
 	})
@@ -192,10 +193,10 @@
 }
 
 // recordCrash records the crash of an engine against its request.
-func (g *Guard) recordCrash(f Fingerprint, lost Break) {
+func (g *Guard) recordCrash(f Fingerprint, lost LostConnection) {
 	now := g.options.Now()
-	crash := End{Engine: lost.Engine.ID, Answering: lost.Answering}
-	record := Record{Fingerprint: f, Ends: []End{crash}, Last: now}
+	crash := Crash{Engine: lost.Engine.ID, Answering: lost.Answering}
+	record := Record{Fingerprint: f, Crashes: []Crash{crash}, Last: now}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if g.merge(record) {
@@ -203,7 +204,7 @@
 	}
 	merged, _ := g.table.Get(f)
 	eventCrashed.Info("request", lost.Request, "fingerprint", f, "engine", lost.Engine.ID, "answering", lost.Answering,
-		"ended", len(merged.Ends), "sound", merged.Served)
+		"ended", len(merged.Crashes), "sound", merged.Served)
 }
 
 // Served records that an engine answered a request completely.
@@ -242,9 +243,9 @@
 	return nil
 }
 
-// Learn merges all records of the store. Those that the store no longer has are dropped:
+// LoadRecords merges all records of the store. Those that the store no longer has are dropped:
 // an operator removed them or they expired.
-func (g *Guard) Learn(records []Record) {
+func (g *Guard) LoadRecords(records []Record) {
 	now := g.options.Now()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -267,8 +268,8 @@
 	}
 }
 
-// Learnt reports whether Learn has been called.
-func (g *Guard) Learnt() bool { return g.loaded.Load() }
+// Loaded reports whether LoadRecords has been called.
+func (g *Guard) Loaded() bool { return g.loaded.Load() }
 
 // merge adds a record to the table and reports whether that changed it. The caller holds
 // the mutex, here and in update, schedulePublish, scheduleSync and isSynced.
@@ -288,9 +289,9 @@
 	record, _ := g.table.Get(f)
 	switch {
 	case after && !before:
-		eventHeld.Info("fingerprint", f, "ends", record.Ends, "until", until)
+		eventHeld.Info("fingerprint", f, "ends", record.Crashes, "until", until)
 	case before && !after:
-		eventReleased.Info("fingerprint", f, "ends", record.Ends, "sound", record.Served)
+		eventReleased.Info("fingerprint", f, "ends", record.Crashes, "sound", record.Served)
 	}
 	return changed
 }
@@ -327,7 +328,7 @@
 	if !found || !record.persistent() {
 		return !isStored
 	}
-	return isStored && slices.Equal(record.Ends, stored.Ends)
+	return isStored && slices.Equal(record.Crashes, stored.Crashes)
 }
 
 func signal(channel chan struct{}) {
--- a/internal/poison/guard_test.go
+++ b/internal/poison/guard_test.go
@@ -70,7 +70,7 @@
 	c := &testCluster{store: &fakeStore{table: NewTable()}}
 	c.store.onChange = func(records []Record) {
 		for _, guard := range append([]*Guard{c.data}, c.fronts...) {
-			guard.Learn(records)
+			guard.LoadRecords(records)
 		}
 	}
 	c.data = c.newGuard(Options{Spread: func(records []Record, _ bool) {
@@ -90,7 +90,7 @@
 
 func (c *testCluster) newGuard(options Options) *Guard {
 	options.Store, options.Now = c.store, time.Now
-	options.Ended = func(_ context.Context, engine catalog.Engine) bool { return engine.Address != "up" }
+	options.EngineCrashed = func(_ context.Context, engine catalog.Engine) bool { return engine.Address != "up" }
 	return NewGuard(options)
 }
 
@@ -115,7 +115,7 @@
 // crash has engines crash under a request at a front node.
 func (c *testCluster) crash(front, request int, engines ...string) {
 	for _, engine := range engines {
-		c.fronts[front].Broke(context.Background(), Break{Engine: catalog.Engine{ID: engine}, Fingerprint: func() Fingerprint { return print(request) }})
+		c.fronts[front].ConnectionLost(context.Background(), LostConnection{Engine: catalog.Engine{ID: engine}, Fingerprint: func() Fingerprint { return print(request) }})
 	}
 }
 
@@ -152,7 +152,7 @@
 func TestGuardIgnoresLostConnectionToRunningEngine(t *testing.T) {
 	c := newTestCluster(t, 1)
 	for i := range 5 {
-		c.fronts[0].Broke(t.Context(), Break{
+		c.fronts[0].ConnectionLost(t.Context(), LostConnection{
 			Engine: catalog.Engine{ID: fmt.Sprint("e", i), Address: "up"}, Fingerprint: func() Fingerprint { return print(1) },
 		})
 	}
@@ -198,13 +198,13 @@
 	unavailable := &fakeStore{table: NewTable(), unavailable: true}
 	other := c.data
 	first := NewGuard(Options{
-		Store: unavailable, Now: time.Now, Ended: func(context.Context, catalog.Engine) bool { return true },
+		Store: unavailable, Now: time.Now, EngineCrashed: func(context.Context, catalog.Engine) bool { return true },
 		Spread: func(records []Record, _ bool) { _ = other.Receive("first", Marshal(records), false) },
 	})
 	first.Start()
 	t.Cleanup(first.Close)
 	for _, engine := range []string{"a", "b", "c"} {
-		first.Broke(t.Context(), Break{Engine: catalog.Engine{ID: engine}, Fingerprint: func() Fingerprint { return print(1) }})
+		first.ConnectionLost(t.Context(), LostConnection{Engine: catalog.Engine{ID: engine}, Fingerprint: func() Fingerprint { return print(1) }})
 	}
 	reported := time.Now()
 	eventually(t, "the store has the record", func() bool { return c.store.has(print(1)) })
@@ -218,7 +218,7 @@
 	c.crash(0, 1, "a", "b", "c")
 	eventually(t, "the store has the record", func() bool { return c.store.has(print(1)) })
 	fresh := c.newFrontGuard(1)
-	fresh.Learn(c.store.table.All())
+	fresh.LoadRecords(c.store.table.All())
 	if !isHeld(fresh, 1) {
 		t.Error("request not held back after a restart")
 	}
--- a/internal/poison/message.go
+++ b/internal/poison/message.go
@@ -23,8 +23,8 @@
 	fields := make([][]byte, 0, len(records))
 	for i := range records {
 		record := &records[i]
-		crashes := make([][]byte, 0, len(record.Ends))
-		for _, crash := range record.Ends {
+		crashes := make([][]byte, 0, len(record.Crashes))
+		for _, crash := range record.Crashes {
 			crashes = append(crashes, mustMarshal(fixedCrash{crash.Answering}, []byte(crash.Engine)))
 		}
 		fields = append(fields, mustMarshal(fixedRecord{record.Fingerprint, record.Last.UnixMilli(), record.Served}, crashes...))
@@ -70,7 +70,7 @@
 		if err != nil {
 			return Record{}, err
 		}
-		record.Ends = append(record.Ends, End{Engine: string(engine[0]), Answering: crash.Answering})
+		record.Crashes = append(record.Crashes, Crash{Engine: string(engine[0]), Answering: crash.Answering})
 	}
 	return record, nil
 }
--- a/internal/poison/publish.go
+++ b/internal/poison/publish.go
@@ -159,7 +159,7 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	delete(g.unsynced, f)
-	if latest, _ := g.table.Get(f); !slices.Equal(latest.Ends, record.Ends) {
+	if latest, _ := g.table.Get(f); !slices.Equal(latest.Crashes, record.Crashes) {
 		g.scheduleSync(f, g.options.Now()) // changed during the call
 	}
 	return nil
--- a/internal/poison/recheck_test.go
+++ b/internal/poison/recheck_test.go
@@ -15,7 +15,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		guard, lostConnection := newRecheckGuard(t, 100*time.Millisecond)
 		for _, engine := range []string{"a", "b", "c"} {
-			guard.Broke(context.Background(), lostConnection(engine))
+			guard.ConnectionLost(context.Background(), lostConnection(engine))
 		}
 		time.Sleep(time.Second)
 		if !isHeld(guard, 1) {
@@ -35,7 +35,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				guard, lostConnection := newRecheckGuard(t, c.crashDelay)
 				for _, engine := range []string{"a", "b", "c"} {
-					guard.Broke(context.Background(), lostConnection(engine))
+					guard.ConnectionLost(context.Background(), lostConnection(engine))
 				}
 				if c.served {
 					guard.Served(func() Fingerprint { return print(1) })
@@ -51,15 +51,15 @@
 
 // newRecheckGuard returns a front node's guard whose engines count as crashed after a delay,
 // and a function that returns the lost connection of request 1 to an engine.
-func newRecheckGuard(t *testing.T, delay time.Duration) (*Guard, func(engine string) Break) {
+func newRecheckGuard(t *testing.T, delay time.Duration) (*Guard, func(engine string) LostConnection) {
 	crashTime := time.Now().Add(delay)
 	guard := NewGuard(Options{
-		Ended:  func(context.Context, catalog.Engine) bool { return time.Now().After(crashTime) },
-		Report: func(context.Context, []Record) error { return nil }, Now: time.Now,
+		EngineCrashed: func(context.Context, catalog.Engine) bool { return time.Now().After(crashTime) },
+		Report:        func(context.Context, []Record) error { return nil }, Now: time.Now,
 	})
 	guard.Start()
 	t.Cleanup(guard.Close)
-	return guard, func(engine string) Break {
-		return Break{Engine: catalog.Engine{ID: engine}, Fingerprint: func() Fingerprint { return print(1) }}
+	return guard, func(engine string) LostConnection {
+		return LostConnection{Engine: catalog.Engine{ID: engine}, Fingerprint: func() Fingerprint { return print(1) }}
 	}
 }
--- a/internal/poison/table.go
+++ b/internal/poison/table.go
@@ -39,8 +39,8 @@
 	maxRecords = 4096
 )
 
-// End is the crash of an engine while it had a request.
-type End struct {
+// Crash describes the crash of an engine while it had a request.
+type Crash struct {
 	Engine string // with its incarnation
 	// Answering is set if events of the answer had arrived, so that the request may well
 	// be a bystander.
@@ -50,19 +50,19 @@
 // Record lists the crashes of engines under one request.
 type Record struct {
 	Fingerprint Fingerprint
-	// Ends is sorted by engine.
-	Ends []End
+	// Crashes is sorted by engine.
+	Crashes []Crash
 	// Last is the time of the last crash or of the answer. It is wall-clock time of the node
 	// that saw it, as it must be valid on other machines and across restarts.
 	Last time.Time
-	// Served is set once an engine has answered the request completely; Ends is empty then.
+	// Served is set once an engine has answered the request completely; Crashes is empty then.
 	Served bool
 }
 
 // weight returns the sum of the weights of the crashes.
 func (r *Record) weight() int {
 	weight := 0
-	for _, crash := range r.Ends {
+	for _, crash := range r.Crashes {
 		if crash.Answering {
 			weight += answeringWeight
 		} else {
@@ -77,7 +77,7 @@
 
 // persistent reports whether the record belongs in the store. Most records with a single
 // crash are those of bystanders.
-func (r *Record) persistent() bool { return len(r.Ends) > 1 }
+func (r *Record) persistent() bool { return len(r.Crashes) > 1 }
 
 // retention returns how long the record is kept after Last.
 func (r *Record) retention() time.Duration {
@@ -93,11 +93,11 @@
 		return false
 	}
 	if other.Served {
-		r.Served, r.Ends, r.Last = true, nil, other.Last
+		r.Served, r.Crashes, r.Last = true, nil, other.Last
 		return true
 	}
 	changed := false
-	for _, crash := range other.Ends {
+	for _, crash := range other.Crashes {
 		changed = r.add(crash) || changed
 	}
 	if changed && other.Last.After(r.Last) {
@@ -108,23 +108,23 @@
 
 // add adds a crash and reports whether that changed r. If nodes disagree on whether the
 // engine was answering, it was not.
-func (r *Record) add(crash End) bool {
-	index, found := slices.BinarySearchFunc(r.Ends, crash, func(x, y End) int { return cmp.Compare(x.Engine, y.Engine) })
+func (r *Record) add(crash Crash) bool {
+	index, found := slices.BinarySearchFunc(r.Crashes, crash, func(x, y Crash) int { return cmp.Compare(x.Engine, y.Engine) })
 	switch {
-	case found && r.Ends[index].Answering && !crash.Answering:
-		r.Ends[index].Answering = false
+	case found && r.Crashes[index].Answering && !crash.Answering:
+		r.Crashes[index].Answering = false
 		return true
-	case found || len(r.Ends) >= maxRecordCrashes:
+	case found || len(r.Crashes) >= maxRecordCrashes:
 		return false
 	}
-	r.Ends = slices.Insert(r.Ends, index, crash)
+	r.Crashes = slices.Insert(r.Crashes, index, crash)
 	return true
 }
 
 // clone returns a deep copy.
 func (r *Record) clone() Record {
 	copied := *r
-	copied.Ends = slices.Clone(r.Ends)
+	copied.Crashes = slices.Clone(r.Crashes)
 	return copied
 }
 
@@ -218,7 +218,7 @@
 
 // holdTime returns how long the request is held back after the last crash.
 func (r *Record) holdTime() time.Duration {
-	switch crashes := len(r.Ends); {
+	switch crashes := len(r.Crashes); {
 	case crashes >= maxCrashes:
 		return heldRetention
 	case r.weight() >= holdWeight+silentWeight: // by weight, as more crashes of half weight are needed
--- a/internal/poison/table_test.go
+++ b/internal/poison/table_test.go
@@ -14,12 +14,14 @@
 var noon = time.UnixMilli(1_800_000_000_000)
 
 // print returns the fingerprint of a numbered request.
-func print(number int) Fingerprint { return Of("", "h", "POST", fmt.Sprint("/", number), nil) }
+func print(number int) Fingerprint {
+	return FingerprintOf("", "h", "POST", fmt.Sprint("/", number), nil)
+}
 
 func crashRecord(number int, engines ...string) Record {
 	record := Record{Fingerprint: print(number), Last: noon}
 	for _, engine := range engines {
-		record.Ends = append(record.Ends, End{Engine: engine})
+		record.Crashes = append(record.Crashes, Crash{Engine: engine})
 	}
 	return record
 }
@@ -54,7 +56,7 @@
 			continue
 		}
 		sent++
-		table.Merge(Record{Fingerprint: print(1), Ends: []End{{Engine: fmt.Sprint("e", sent)}}, Last: now})
+		table.Merge(Record{Fingerprint: print(1), Crashes: []Crash{{Engine: fmt.Sprint("e", sent)}}, Last: now})
 	}
 	if sent != maxCrashes {
 		t.Errorf("sent %d times within %v", sent, 100*nextHold)
@@ -84,7 +86,7 @@
 	table := NewTable()
 	table.Merge(crashRecord(0, "a", "b", "c"))
 	for i := 1; i <= 3*maxRecords; i++ {
-		table.Merge(Record{Fingerprint: print(i), Ends: []End{{Engine: "a"}}, Last: noon.Add(time.Duration(i))})
+		table.Merge(Record{Fingerprint: print(i), Crashes: []Crash{{Engine: "a"}}, Last: noon.Add(time.Duration(i))})
 	}
 	if table.Len() > maxRecords {
 		t.Errorf("table exceeds its limit: %d records", table.Len())
@@ -97,7 +99,7 @@
 func TestTableCountsAnsweringEnginesHalf(t *testing.T) {
 	table := NewTable()
 	for i := range 2*crashThreshold - 1 {
-		table.Merge(Record{Fingerprint: print(1), Ends: []End{{Engine: fmt.Sprint("e", i), Answering: true}}, Last: noon})
+		table.Merge(Record{Fingerprint: print(1), Crashes: []Crash{{Engine: fmt.Sprint("e", i), Answering: true}}, Last: noon})
 	}
 	if _, held := table.HeldUntil(print(1), noon); held {
 		t.Fatal("held back too early")
@@ -112,7 +114,7 @@
 // first event.
 func TestTableDoesNotHoldBystanderOfThreeCrashes(t *testing.T) {
 	table := NewTable()
-	table.Merge(Record{Fingerprint: print(1), Last: noon, Ends: []End{{"e1", true}, {"e3", true}, {"e4", false}}})
+	table.Merge(Record{Fingerprint: print(1), Last: noon, Crashes: []Crash{{"e1", true}, {"e3", true}, {"e4", false}}})
 	if _, held := table.HeldUntil(print(1), noon); held {
 		t.Error("held back")
 	}
@@ -122,12 +124,12 @@
 // crashThreshold in number.
 func TestTableFirstHoldIsShortAfterFourCrashes(t *testing.T) {
 	table := NewTable()
-	table.Merge(Record{Fingerprint: print(1), Last: noon, Ends: []End{{"e1", false}, {"e2", true}, {"e3", false}, {"e4", true}}})
+	table.Merge(Record{Fingerprint: print(1), Last: noon, Crashes: []Crash{{"e1", false}, {"e2", true}, {"e3", false}, {"e4", true}}})
 	until, held := table.HeldUntil(print(1), noon)
 	if !held || !until.Equal(noon.Add(firstHold)) {
 		t.Errorf("held %v until %v", held, until)
 	}
-	table.Merge(Record{Fingerprint: print(1), Last: noon.Add(firstHold), Ends: []End{{"e5", true}}})
+	table.Merge(Record{Fingerprint: print(1), Last: noon.Add(firstHold), Crashes: []Crash{{"e5", true}}})
 	if until, held := table.HeldUntil(print(1), noon.Add(firstHold)); !held || !until.Equal(noon.Add(firstHold+heldRetention)) {
 		t.Errorf("after the fifth crash: held %v until %v", held, until)
 	}
@@ -137,7 +139,7 @@
 // fail (KNOWN-RED.txt): the table does not record whether a retry was allowed before.
 func TestTableFirstHoldIsShortAfterFiveCrashes(t *testing.T) {
 	table := NewTable()
-	table.Merge(Record{Fingerprint: print(1), Last: noon, Ends: []End{{"e1", false}, {"e2", true}, {"e3", true}, {"e4", true}, {"e5", true}}})
+	table.Merge(Record{Fingerprint: print(1), Last: noon, Crashes: []Crash{{"e1", false}, {"e2", true}, {"e3", true}, {"e4", true}, {"e5", true}}})
 	if until, held := table.HeldUntil(print(1), noon); !held || !until.Equal(noon.Add(firstHold)) {
 		t.Errorf("held %v until %v", held, until)
 	}
@@ -173,8 +175,8 @@
 			if engineOf[item] != engine {
 				continue
 			}
-			end := End{Engine: fmt.Sprint(engine, "+", crash), Answering: isAnswering(now.Sub(since[item]))}
-			table.Merge(Record{Fingerprint: print(item), Ends: []End{end}, Last: now})
+			end := Crash{Engine: fmt.Sprint(engine, "+", crash), Answering: isAnswering(now.Sub(since[item]))}
+			table.Merge(Record{Fingerprint: print(item), Crashes: []Crash{end}, Last: now})
 			engineOf[item], since[item] = (engine+1+rng.IntN(simEngines-1))%simEngines, now
 		}
 	}
@@ -207,7 +209,7 @@
 				record.Served = true
 				return record
 			}
-			record.Ends = []End{{Engine: fmt.Sprint("e", rapid.IntRange(1, 6).Draw(t, "engine")), Answering: rapid.Bool().Draw(t, "answering")}}
+			record.Crashes = []Crash{{Engine: fmt.Sprint("e", rapid.IntRange(1, 6).Draw(t, "engine")), Answering: rapid.Bool().Draw(t, "answering")}}
 			return record
 		}), 1, 30).Draw(t, "records")
 		inOrder, shuffled := NewTable(), NewTable()
@@ -223,7 +225,7 @@
 			_, heldShuffled := shuffled.HeldUntil(f, noon)
 			first, _ := inOrder.Get(f)
 			second, _ := shuffled.Get(f)
-			if heldInOrder != heldShuffled || first.Served != second.Served || !slices.Equal(first.Ends, second.Ends) {
+			if heldInOrder != heldShuffled || first.Served != second.Served || !slices.Equal(first.Crashes, second.Crashes) {
 				t.Fatalf("merged in order: %+v; shuffled and twice: %+v", first, second)
 			}
 		}
@@ -247,11 +249,11 @@
 	if err != nil || !reflect.DeepEqual(read, records) {
 		t.Errorf("%+v, %v", read, err)
 	}
-	if f, err := Parse(print(1).String()); err != nil || f != print(1) {
+	if f, err := ParseFingerprint(print(1).String()); err != nil || f != print(1) {
 		t.Errorf("%v, %v", f, err)
 	}
-	if _, err := Parse("no fingerprint"); err == nil {
-		t.Error("Parse accepted an invalid fingerprint")
+	if _, err := ParseFingerprint("no fingerprint"); err == nil {
+		t.Error("ParseFingerprint accepted an invalid fingerprint")
 	}
 }
 
@@ -270,8 +272,8 @@
 func TestFingerprintDependsOnEveryPart(t *testing.T) {
 	seen := map[Fingerprint]bool{}
 	for _, f := range []Fingerprint{
-		Of("a", "h", "POST", "/x", []byte("y")), Of("", "h", "POST", "/x", []byte("y")), Of("a", "g", "POST", "/x", []byte("y")),
-		Of("a", "h", "PUT", "/x", []byte("y")), Of("a", "h", "POST", "/xy", nil), Of("ah", "", "POST", "/x", []byte("y")),
+		FingerprintOf("a", "h", "POST", "/x", []byte("y")), FingerprintOf("", "h", "POST", "/x", []byte("y")), FingerprintOf("a", "g", "POST", "/x", []byte("y")),
+		FingerprintOf("a", "h", "PUT", "/x", []byte("y")), FingerprintOf("a", "h", "POST", "/xy", nil), FingerprintOf("ah", "", "POST", "/x", []byte("y")),
 	} {
 		if seen[f] {
 			t.Error("two requests share a fingerprint")
@@ -283,6 +285,6 @@
 func BenchmarkFingerprint(b *testing.B) {
 	body := make([]byte, 20<<10)
 	for b.Loop() {
-		Of("", "host.example", "POST", "/path/of/a/request", body)
+		FingerprintOf("", "host.example", "POST", "/path/of/a/request", body)
 	}
 }
--- a/internal/quota/collector.go
+++ b/internal/quota/collector.go
@@ -141,7 +141,7 @@
 
 // Report takes a front node's report.
 func (c *Collector) Report(from transport.Address, report Report, now time.Time) {
-	src := source{from, report.Life}
+	src := source{from, report.Incarnation}
 	c.totals = nil
 	if report.Gone {
 		delete(c.reports, src)
@@ -427,8 +427,8 @@
 	return silent
 }
 
-// Unheard returns the number of silent zones.
-func (c *Collector) Unheard(now time.Time) int { return len(c.silentZones(now)) }
+// SilentZoneCount returns the number of silent zones.
+func (c *Collector) SilentZoneCount(now time.Time) int { return len(c.silentZones(now)) }
 
 // currentSilentZones counts the silent zones and all zones. What front nodes reported
 // applies until this node can tell by itself.
--- a/internal/quota/collector_test.go
+++ b/internal/quota/collector_test.go
@@ -37,7 +37,7 @@
 	total := func(now time.Time) float64 { return sumOf(c, now).Counts[1].Admitted }
 	c.Share("a1", Share{Incarnation: 7, Zone: "a", Counts: admittedCounts(100)}, start)
 	now := start.Add(20 * time.Millisecond)
-	c.Report("front0", Report{Life: 3, Counts: admittedCounts(30)}, now)
+	c.Report("front0", Report{Incarnation: 3, Counts: admittedCounts(30)}, now)
 	g.Expect(total(now)).To(gomega.BeNumerically("~", 100, 1e-9))
 	now = now.Add(5 * time.Millisecond)
 	c.Share("a1", Share{Incarnation: 7, Zone: "a", Counts: admittedCounts(100)}, now)
@@ -47,7 +47,7 @@
 	g.Expect(total(now)).To(gomega.BeNumerically("~", 100, 1e-9))
 	now = now.Add(shareTimeout)
 	for front := range 7 {
-		c.Report(transport.Address(rune('1'+front)), Report{Life: 4, Counts: admittedCounts(10)}, now)
+		c.Report(transport.Address(rune('1'+front)), Report{Incarnation: 4, Counts: admittedCounts(10)}, now)
 	}
 	g.Expect(total(now)).To(gomega.BeNumerically("~", 100, 1e-9), "a1 failed")
 }
@@ -77,15 +77,15 @@
 		to := transport.Address([]string{"a0", "a1"}[turn%2])
 		report, formerRelay := front.Report(5, to, now)
 		if relay := relays[formerRelay]; relay != nil {
-			relay.Report("front0", Report{Life: 5, Gone: true}, now)
+			relay.Report("front0", Report{Incarnation: 5, Gone: true}, now)
 		}
 		relays[to].Report("front0", report, now)
-		sum := relays[to].Sum("front0", func(Key) float64 { return bounds.Of(limit) }, now)
+		sum := relays[to].Sum("front0", func(Key) float64 { return bounds.MaxAdmitted(limit) }, now)
 		if turn == 0 {
 			sum = Sum{Incarnation: 1, Counts: admittedCounts(60), SilentZones: silentZones}
 		}
 		g.Expect(sum.SilentZones).To(gomega.Equal(silentZones), "reported by the front node")
-		front.Heard(to, sum, now)
+		front.ReceiveSum(to, sum, now)
 		now = now.Add(3 * reportInterval)
 		d := front.Check(1, limit, true, now, func() float64 { return 0 })
 		g.Expect(d.Verdict).To(gomega.Equal(Admitted))
@@ -105,7 +105,7 @@
 	begin, now := start.Add(10*time.Second), start
 	silentZones := func(until time.Duration, answers bool) int {
 		for ; now.Sub(begin) < until; now = now.Add(reportInterval) {
-			c.Report("front0", Report{Life: 3, Counts: admittedCounts(30)}, now)
+			c.Report("front0", Report{Incarnation: 3, Counts: admittedCounts(30)}, now)
 			_, send := c.ShareFor("b", now)
 			g.Expect(send).To(gomega.BeTrue())
 			if answers {
@@ -133,7 +133,7 @@
 		if now.Sub(start)%(57*time.Second) >= 40*time.Second {
 			continue
 		}
-		c.Report("front0", Report{Life: 3, Counts: admittedCounts(30)}, now)
+		c.Report("front0", Report{Incarnation: 3, Counts: admittedCounts(30)}, now)
 		c.ShareFor("b", now)
 		sums++
 		if sumOf(c, now).SilentZones.Silent > 0 {
@@ -144,7 +144,7 @@
 	g.Expect(withReserve).To(gomega.BeNumerically("<=", int(silentZoneTimeout/reportInterval)))
 	c.Share("b0", Share{Incarnation: 8, Zone: "b"}, start.Add(10*time.Minute))
 	for now := start.Add(10 * time.Minute); now.Sub(start) < 10*time.Minute+5*time.Second; now = now.Add(reportInterval) {
-		c.Report("front0", Report{Life: 3, Counts: admittedCounts(30)}, now)
+		c.Report("front0", Report{Incarnation: 3, Counts: admittedCounts(30)}, now)
 		c.ShareFor("b", now)
 	}
 	g.Expect(sumOf(c, start.Add(10*time.Minute+5*time.Second)).SilentZones.Silent).NotTo(gomega.BeZero(), "the zone returned and failed again")
@@ -154,7 +154,7 @@
 func TestRememberedCountsUseReserveOfSilentZones(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := NewCollector("a", bounds.Window, 1)
-	c.Report("front0", Report{Life: 3, Counts: admittedCounts(10), Remembered: admittedCounts(60), SilentZones: SilentZones{2, 3}}, start)
+	c.Report("front0", Report{Incarnation: 3, Counts: admittedCounts(10), Remembered: admittedCounts(60), SilentZones: SilentZones{2, 3}}, start)
 	sum := sumOf(c, start)
 	g.Expect(sum.Counts[1].Admitted).To(gomega.BeNumerically("~", 60, 1e-9))
 	g.Expect(sum.InReserve[1].Admitted).To(gomega.BeNumerically("~", 50, 1e-9), "10 of the 60 are reported here")
--- a/internal/quota/counts.go
+++ b/internal/quota/counts.go
@@ -130,10 +130,10 @@
 
 // Report is a front node's report of the requests it admitted itself.
 type Report struct {
-	// Life is the node's incarnation number, drawn at its start. Counts of an earlier
+	// Incarnation is the node's incarnation number, drawn at its start. Counts of an earlier
 	// incarnation are kept beside the present ones until they expire.
-	Life   uint32
-	Counts Counts
+	Incarnation uint32
+	Counts      Counts
 	// Gone says that the node reports to another relay from now on.
 	Gone bool
 	// Remembered are the counts of other nodes, sent to a new relay, which may have
@@ -193,7 +193,7 @@
 func (r Report) Marshal() []byte {
 	counts := r.Counts.marshal(maxCounts)
 	remembered := r.Remembered.marshal(maxCounts - len(counts)/countSize)
-	return marshal(reportHeader{r.Life, r.Gone, r.SilentZones}, counts, remembered)
+	return marshal(reportHeader{r.Incarnation, r.Gone, r.SilentZones}, counts, remembered)
 }
 
 // UnmarshalReport decodes what Report.Marshal encoded.
@@ -208,7 +208,7 @@
 		return Report{}, err
 	}
 	remembered, err := unmarshalCounts(fields[1])
-	return Report{Life: header.Incarnation, Gone: header.Gone, Counts: counts, Remembered: remembered, SilentZones: header.SilentZones}, err
+	return Report{Incarnation: header.Incarnation, Gone: header.Gone, Counts: counts, Remembered: remembered, SilentZones: header.SilentZones}, err
 }
 
 // Marshal encodes the share. Recovered gets the space that Counts leave.
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -55,8 +55,8 @@
 // between nodes.
 const toleratedFraction = 0.25
 
-// Of returns the number of requests to admit within the window.
-func (b Bounds) Of(limit Limit) float64 {
+// MaxAdmitted returns the number of requests to admit within the window.
+func (b Bounds) MaxAdmitted(limit Limit) float64 {
 	exact := limit.Rate*b.Window.Seconds() + limit.Burst
 	return exact + toleratedFraction*(b.Overage*exact+b.Slack)
 }
@@ -77,12 +77,12 @@
 // Decision is a verdict and the counts that led to it.
 type Decision struct {
 	Verdict Verdict
-	// ComeBack is the time after which a refused caller should retry.
-	ComeBack time.Duration
+	// RetryAfter is the time after which a refused caller should retry.
+	RetryAfter time.Duration
 	// Own and Others are the requests admitted within the window, Bound their maximum,
-	// and Age the age of Others. Others includes Room, the reserve for silent zones.
-	Own, Others, Room, Bound float64
-	Age                      time.Duration
+	// and Age the age of Others. Others includes Reserve, which is kept for silent zones.
+	Own, Others, Reserve, Bound float64
+	Age                         time.Duration
 }
 
 // Limiter decides on requests at a front node. It is not safe for concurrent use.
@@ -144,9 +144,9 @@
 	}
 	others := l.others[key]
 	age := now.Sub(l.sumAt)
-	d := Decision{Own: t.admitted.count(now), Bound: l.bounds.Of(limit), Age: age}
-	d.Room = max(0, l.silentZones.fraction()*d.Bound-l.inReserve[key].Admitted)
-	d.Others = l.othersCount(key, d.Room, now)
+	d := Decision{Own: t.admitted.count(now), Bound: l.bounds.MaxAdmitted(limit), Age: age}
+	d.Reserve = max(0, l.silentZones.fraction()*d.Bound-l.inReserve[key].Admitted)
+	d.Others = l.othersCount(key, d.Reserve, now)
 	if !final && l.stale(d) {
 		d.Verdict = Unsure
 		return d
@@ -160,7 +160,7 @@
 		t.admitted.add(now)
 		l.unreported = true
 	} else {
-		d.ComeBack = t.retryAfter(limit, others.Demand, now)
+		d.RetryAfter = t.retryAfter(limit, others.Demand, now)
 	}
 	return d
 }
@@ -223,10 +223,10 @@
 	return t.retryAt.Sub(now)
 }
 
-// Heard takes a relay's answer to a report. After a change of sender, the previous
+// ReceiveSum takes a relay's answer to a report. After a change of sender, the previous
 // one's counts apply, too, until they expire, as the new one may not know them yet.
 // Late answers of a former relay are ignored.
-func (l *Limiter) Heard(from transport.Address, sum Sum, now time.Time) {
+func (l *Limiter) ReceiveSum(from transport.Address, sum Sum, now time.Time) {
 	if from != l.relay {
 		return
 	}
@@ -271,7 +271,7 @@
 		l.formerRelay, l.relay, l.departureNotices = l.relay, relay, handoverReports
 		l.savePrevious(now)
 	}
-	report = Report{Life: incarnation, Counts: l.ownCounts(now)}
+	report = Report{Incarnation: incarnation, Counts: l.ownCounts(now)}
 	if l.previousReports > 0 {
 		l.previousReports--
 		report.Remembered, report.SilentZones = l.previousCounts(now), l.silentZones
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -68,9 +68,9 @@
 func TestMessagesRoundTripAndFitDatagram(t *testing.T) {
 	g := gomega.NewWithT(t)
 	counts := Counts{1: {Admitted: 2.25, Demand: 7}, 2: {Admitted: 16000, Demand: 65000}}
-	report, err := UnmarshalReport(Report{Life: 9, Counts: counts, Remembered: Counts{4: {Admitted: 5}}, SilentZones: SilentZones{1, 3}}.Marshal())
+	report, err := UnmarshalReport(Report{Incarnation: 9, Counts: counts, Remembered: Counts{4: {Admitted: 5}}, SilentZones: SilentZones{1, 3}}.Marshal())
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(report).To(gomega.Equal(Report{Life: 9, Counts: counts, Remembered: Counts{4: {Admitted: 5}}, SilentZones: SilentZones{1, 3}}))
+	g.Expect(report).To(gomega.Equal(Report{Incarnation: 9, Counts: counts, Remembered: Counts{4: {Admitted: 5}}, SilentZones: SilentZones{1, 3}}))
 	share, err := UnmarshalShare(Share{Incarnation: 8, Zone: "z", Counts: counts, Recovered: Counts{3: {Admitted: 1}}}.Marshal())
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(share).To(gomega.Equal(Share{Incarnation: 8, Zone: "z", Counts: counts, Recovered: Counts{3: {Admitted: 1}}}))
@@ -94,7 +94,7 @@
 
 // Arbitrary input must not panic, and decoded reports must encode to valid ones.
 func FuzzMessages(f *testing.F) {
-	f.Add(Report{Life: 9, Counts: Counts{1: {2, 3}}}.Marshal())
+	f.Add(Report{Incarnation: 9, Counts: Counts{1: {2, 3}}}.Marshal())
 	f.Add(Share{Zone: "z", Counts: Counts{1: {2, 3}}}.Marshal())
 	f.Add(Sum{Counts: Counts{1: {2, 3}}}.Marshal())
 	f.Fuzz(func(t *testing.T, encoded []byte) {
@@ -202,7 +202,7 @@
 	report, formerRelay := front.limiter.Report(front.incarnation, relay.name, f.now)
 	for _, candidate := range f.relays {
 		if candidate.name == formerRelay && !f.separated(front.zone, candidate.zone) {
-			departure := Report{Life: front.incarnation, Gone: true}
+			departure := Report{Incarnation: front.incarnation, Gone: true}
 			f.send("report", len(departure.Marshal()), reportDelay, func() { candidate.Report(front.name, departure, f.now) })
 		}
 	}
@@ -211,10 +211,10 @@
 			return
 		}
 		relay.Report(front.name, report, f.now)
-		sum := relay.Sum(front.name, func(Key) float64 { return bounds.Of(f.limit) }, f.now)
+		sum := relay.Sum(front.name, func(Key) float64 { return bounds.MaxAdmitted(f.limit) }, f.now)
 		f.send("sum", len(sum.Marshal()), reportDelay, func() {
 			if !front.isolated {
-				front.limiter.Heard(relay.name, sum, f.now)
+				front.limiter.ReceiveSum(relay.name, sum, f.now)
 			}
 		})
 	})
@@ -603,12 +603,12 @@
 	g := gomega.NewWithT(t)
 	l := NewLimiter(bounds)
 	limit := Limit{Rate: 2, Burst: 0}
-	l.Heard("", Sum{Counts: Counts{}}, start)
+	l.ReceiveSum("", Sum{Counts: Counts{}}, start)
 	var retries []time.Duration
 	for range 25 {
 		d := l.Check(1, limit, false, start, rand.Float64)
 		if d.Verdict == Refused {
-			retries = append(retries, d.ComeBack)
+			retries = append(retries, d.RetryAfter)
 		}
 	}
 	g.Expect(retries).NotTo(gomega.BeEmpty())
--- a/internal/slowstart/asker.go
+++ b/internal/slowstart/asker.go
@@ -47,8 +47,8 @@
 type Permission struct {
 	// Until is when the granted permit expires; zero if none was granted.
 	Until time.Time
-	// After is how long to wait before the next ask for the engine.
-	After time.Duration
+	// RetryAfter is how long to wait before the next ask for the engine.
+	RetryAfter time.Duration
 	// Warm is set if the engine needs no permits.
 	Warm bool
 }
@@ -62,9 +62,9 @@
 	}
 }
 
-// Ask starts an ask for an engine at the first of its granters that is not skipped. Take,
-// GiveUp or Drop ends it. If no granter may be asked now, to is empty and after is the time
-// until one may be.
+// Ask starts an ask for an engine at the first of its granters that is not skipped.
+// HandleAnswer, GiveUp or Drop ends it. If no granter may be asked now, to is empty and after
+// is the time until one may be.
 func (a *Asker) Ask(engine string, granters []transport.Address, now time.Time) (number uint64, to transport.Address, after time.Duration) {
 	if a.pendingByEngine[engine] >= maxPendingAsks {
 		return 0, "", busyPause
@@ -83,8 +83,8 @@
 	return 0, "", after
 }
 
-// Take ends an ask with its answer; false if it is not pending.
-func (a *Asker) Take(answer Answer, now time.Time) (Permission, bool) {
+// HandleAnswer ends an ask with its answer; false if it is not pending.
+func (a *Asker) HandleAnswer(answer Answer, now time.Time) (Permission, bool) {
 	asked, known := a.finish(answer.Number)
 	if !known {
 		return Permission{}, false
@@ -96,13 +96,13 @@
 	case Warm:
 		return Permission{Until: asked.at.Add(PermitTTL), Warm: true}, true
 	case Closed:
-		a.skip(skipScope{granter: asked.to}, min(answer.After, window), now)
-		return Permission{After: busyPause}, true
+		a.skip(skipScope{granter: asked.to}, min(answer.RetryAfter, window), now)
+		return Permission{RetryAfter: busyPause}, true
 	case Unknown:
-		a.skip(skipScope{asked.to, asked.engine}, min(answer.After, window), now)
-		return Permission{After: busyPause}, true
+		a.skip(skipScope{asked.to, asked.engine}, min(answer.RetryAfter, window), now)
+		return Permission{RetryAfter: busyPause}, true
 	}
-	return Permission{After: min(answer.After, maxRetryAfter)}, true
+	return Permission{RetryAfter: min(answer.RetryAfter, maxRetryAfter)}, true
 }
 
 // GiveUp ends an ask that was not answered in time. skipped reports whether its granter is
@@ -110,16 +110,16 @@
 func (a *Asker) GiveUp(number uint64, now time.Time) (permission Permission, skipped bool) {
 	asked, known := a.finish(number)
 	if !known {
-		return Permission{After: shortSkip}, false
+		return Permission{RetryAfter: shortSkip}, false
 	}
 	a.unanswered[asked.to]++
 	if a.unanswered[asked.to] < maxUnanswered {
 		a.skip(skipScope{granter: asked.to}, shortSkip, now)
-		return Permission{After: busyPause}, false
+		return Permission{RetryAfter: busyPause}, false
 	}
 	a.unanswered[asked.to] = maxUnanswered - 1
 	a.skip(skipScope{granter: asked.to}, longSkip, now)
-	return Permission{After: busyPause}, true
+	return Permission{RetryAfter: busyPause}, true
 }
 
 // Drop ends an ask whose request was cancelled, which does not count against the granter.
--- a/internal/slowstart/granter.go
+++ b/internal/slowstart/granter.go
@@ -64,10 +64,10 @@
 	return &Granter{closedUntil: now.Add(window), permits: map[string]*enginePermits{}}
 }
 
-// See updates the names of the data nodes. If one has left, the granter closes for a window, as
-// the other may have granted until now for engines that this node takes over. A node that
-// joins takes engines over from this one, so that the granter stays open.
-func (g *Granter) See(dataNodes []string, now time.Time) {
+// SetDataNodes updates the names of the data nodes. If one has left, the granter closes for a
+// window, as the other may have granted until now for engines that this node takes over. A
+// node that joins takes engines over from this one, so that the granter stays open.
+func (g *Granter) SetDataNodes(dataNodes []string, now time.Time) {
 	gone := func(name string) bool { return !slices.Contains(dataNodes, name) }
 	if slices.ContainsFunc(g.dataNodes, gone) {
 		g.closedUntil = now.Add(window)
--- a/internal/slowstart/message.go
+++ b/internal/slowstart/message.go
@@ -42,9 +42,9 @@
 type Answer struct {
 	Number  uint64
 	Verdict Verdict
-	// After is the time before the next ask: for the engine if Denied, to this node for the
-	// engine if Unknown, to this node for any engine if Closed.
-	After time.Duration
+	// RetryAfter is the time before the next ask: for the engine if Denied, to this node for
+	// the engine if Unknown, to this node for any engine if Closed.
+	RetryAfter time.Duration
 }
 
 type fixedAsk struct {
@@ -79,10 +79,10 @@
 
 // Marshal encodes the answer.
 func (a Answer) Marshal() []byte {
-	return marshal(fixedAnswer{a.Number, uint8(a.Verdict), uint16(min(a.After, maxEncodedAfter) / time.Millisecond)})
+	return marshal(fixedAnswer{a.Number, uint8(a.Verdict), uint16(min(a.RetryAfter, maxEncodedAfter) / time.Millisecond)})
 }
 
-// maxEncodedAfter bounds After in a message, so that its milliseconds fit into 16 bits.
+// maxEncodedAfter bounds RetryAfter in a message, so that its milliseconds fit into 16 bits.
 const maxEncodedAfter = 60 * time.Second
 
 // UnmarshalAnswer is the inverse of Answer.Marshal.
@@ -93,7 +93,7 @@
 	}
 	return Answer{
 		Number: fixed.Number, Verdict: Verdict(fixed.Verdict),
-		After: time.Duration(fixed.AfterMilliseconds) * time.Millisecond,
+		RetryAfter: time.Duration(fixed.AfterMilliseconds) * time.Millisecond,
 	}, nil
 }
 
--- a/internal/slowstart/slowstart_test.go
+++ b/internal/slowstart/slowstart_test.go
@@ -123,15 +123,15 @@
 func TestGranterIsClosedAfterStartAndNodeLoss(t *testing.T) {
 	g := gomega.NewWithT(t)
 	granter := NewGranter(start)
-	granter.See([]string{"a"}, start)
-	granter.See([]string{"a", "b"}, start.Add(window/2))
+	granter.SetDataNodes([]string{"a"}, start)
+	granter.SetDataNodes([]string{"a", "b"}, start.Add(window/2))
 	verdict, after := granter.Grant("e", 8, start.Add(window-time.Millisecond))
 	g.Expect(verdict).To(gomega.Equal(Closed))
 	g.Expect(after).To(gomega.Equal(time.Millisecond))
-	granter.See([]string{"b", "a"}, start.Add(window))
+	granter.SetDataNodes([]string{"b", "a"}, start.Add(window))
 	verdict, _ = granter.Grant("e", 8, start.Add(window))
 	g.Expect(verdict).To(gomega.Equal(Granted))
-	granter.See([]string{"a"}, start.Add(window))
+	granter.SetDataNodes([]string{"a"}, start.Add(window))
 	verdict, _ = granter.Grant("e", 8, start.Add(2*window-1))
 	g.Expect(verdict).To(gomega.Equal(Closed))
 }
@@ -146,7 +146,7 @@
 		g.Expect(to).To(gomega.BeEquivalentTo("first"))
 		permission, aside := asker.GiveUp(number, now)
 		g.Expect(aside).To(gomega.Equal(i == maxUnanswered-1))
-		g.Expect(permission).To(gomega.Equal(Permission{After: busyPause}), "the next ask goes to the second granter")
+		g.Expect(permission).To(gomega.Equal(Permission{RetryAfter: busyPause}), "the next ask goes to the second granter")
 		number, to, _ = asker.Ask("other", granters, now)
 		g.Expect(to).To(gomega.BeEquivalentTo("second"), "an ask for another engine does not wait for the first granter, too")
 		asker.Drop(number)
@@ -158,7 +158,7 @@
 	number, to, _ := asker.Ask("e", granters, now)
 	g.Expect(to).To(gomega.BeEquivalentTo("second"))
 	now = now.Add(time.Millisecond - longSkip)
-	permission, known := asker.Take(Answer{Number: number, Verdict: Closed, After: 300 * time.Millisecond}, now)
+	permission, known := asker.HandleAnswer(Answer{Number: number, Verdict: Closed, RetryAfter: 300 * time.Millisecond}, now)
 	g.Expect(known).To(gomega.BeTrue())
 	g.Expect(permission.Until.IsZero()).To(gomega.BeTrue())
 	_, to, after := asker.Ask("e", granters, now)
@@ -179,14 +179,14 @@
 	asker := NewAsker(7)
 	granters := []transport.Address{"first", "second"}
 	number, _, _ := asker.Ask("new", granters, start)
-	permission, known := asker.Take(Answer{Number: number, Verdict: Unknown, After: 100 * time.Millisecond}, start)
+	permission, known := asker.HandleAnswer(Answer{Number: number, Verdict: Unknown, RetryAfter: 100 * time.Millisecond}, start)
 	g.Expect(known).To(gomega.BeTrue())
-	g.Expect(permission).To(gomega.Equal(Permission{After: busyPause}))
+	g.Expect(permission).To(gomega.Equal(Permission{RetryAfter: busyPause}))
 	_, to, _ := asker.Ask("other", granters, start)
 	g.Expect(to).To(gomega.BeEquivalentTo("first"))
 	number, to, _ = asker.Ask("new", granters, start)
 	g.Expect(to).To(gomega.BeEquivalentTo("second"))
-	asker.Take(Answer{Number: number, Verdict: Unknown, After: time.Hour}, start)
+	asker.HandleAnswer(Answer{Number: number, Verdict: Unknown, RetryAfter: time.Hour}, start)
 	_, to, after := asker.Ask("new", granters, start)
 	g.Expect(to).To(gomega.BeEmpty())
 	g.Expect(after).To(gomega.Equal(100 * time.Millisecond))
@@ -203,7 +203,7 @@
 	only := []transport.Address{"only"}
 	number, _, _ := asker.Ask("e", only, start)
 	unanswered, _, _ := asker.Ask("e", only, start)
-	asker.Take(Answer{Number: number, Verdict: Closed, After: time.Minute}, start)
+	asker.HandleAnswer(Answer{Number: number, Verdict: Closed, RetryAfter: time.Minute}, start)
 	asker.GiveUp(unanswered, start) // must not shorten the skip
 	_, to, after := asker.Ask("e", only, start.Add(window-time.Millisecond))
 	g.Expect(to).To(gomega.BeEmpty())
@@ -221,7 +221,7 @@
 		number, to, _ := asker.Ask("e", only, start)
 		g.Expect(to).To(gomega.BeEquivalentTo("only"))
 		asker.Drop(number)
-		_, known := asker.Take(Answer{Number: number, Verdict: Granted}, start)
+		_, known := asker.HandleAnswer(Answer{Number: number, Verdict: Granted}, start)
 		g.Expect(known).To(gomega.BeFalse())
 	}
 }
@@ -238,7 +238,7 @@
 	g.Expect(after).To(gomega.Equal(busyPause))
 	_, to, _ = asker.Ask("other", []transport.Address{"first"}, start)
 	g.Expect(to).NotTo(gomega.BeEmpty())
-	asker.Take(Answer{Number: last}, start)
+	asker.HandleAnswer(Answer{Number: last}, start)
 	_, to, _ = asker.Ask("e", []transport.Address{"first"}, start)
 	g.Expect(to).NotTo(gomega.BeEmpty())
 }
@@ -249,7 +249,7 @@
 	read, err := UnmarshalAsk(ask.Marshal())
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(read).To(gomega.Equal(ask))
-	answer := Answer{Number: 3, Verdict: Warm, After: 137 * time.Millisecond}
+	answer := Answer{Number: 3, Verdict: Warm, RetryAfter: 137 * time.Millisecond}
 	got, err := UnmarshalAnswer(answer.Marshal())
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(got).To(gomega.Equal(answer))
@@ -358,7 +358,7 @@
 	if sent.incarnation != f.incarnation {
 		return
 	}
-	if permission, known := f.asker.Take(sent.answer, c.now); known && !permission.Until.IsZero() {
+	if permission, known := f.asker.HandleAnswer(sent.answer, c.now); known && !permission.Until.IsZero() {
 		f.permits = append(f.permits, heldPermit{sent.engine, sent.data, permission.Until})
 	}
 }
@@ -555,10 +555,10 @@
 	c.deliverAsk(0, false)
 	if len(c.answers) == 0 {
 		permission, _ := c.fronts[front].asker.GiveUp(number, c.now)
-		return permission.After
+		return permission.RetryAfter
 	}
 	sent := c.answers[0]
 	c.deliverAnswer(0, false)
 	c.send(front)
-	return sent.answer.After
+	return sent.answer.RetryAfter
 }
--- a/internal/system/core.go
+++ b/internal/system/core.go
@@ -89,7 +89,7 @@
 	c.agent = mirror.New(c.mirrorOptions(dataNode))
 	c.facts.agent = c.agent
 	c.guard = c.newGuard(dataNode)
-	c.facts.learnt = c.guard.Learnt
+	c.facts.learnt = c.guard.Loaded
 	c.handlePoison(dataNode)
 	c.pool = upstream.NewPool(adapter.Engines)
 	c.balancer = balance.New(c.facts.Snapshot)
@@ -120,18 +120,18 @@
 	options := mirror.Options{
 		Self: c.self(), DataNode: dataNode,
 		Kinds: []mirror.Kind{
-			{Name: c.adapter.ConfigurationKind, Fresh: c.settings.Platform.Apply},
-			{Name: c.adapter.EnginesKind, Fresh: c.settings.Platform.Leave, Place: c.adapter.EnginePlace},
-			{Name: c.adapter.PoisonKind, Fresh: poisonFresh},
+			{Name: c.adapter.ConfigurationKind, MaxStaleness: c.settings.Platform.Apply},
+			{Name: c.adapter.EnginesKind, MaxStaleness: c.settings.Platform.Leave, Place: c.adapter.EnginePlace},
+			{Name: c.adapter.PoisonKind, MaxStaleness: poisonFresh},
 		},
 		Store: c.adapter.Store, Registry: c.adapter.Registry, Sender: c.peers, Receiver: c.peers,
 		Changed: c.mirrorChanged,
 	}
 	if c.settings.Platform.Drain > 0 {
-		options.Kinds = append(options.Kinds, mirror.Kind{Name: c.adapter.ZoneDrainsKind, Fresh: c.settings.Platform.Drain})
+		options.Kinds = append(options.Kinds, mirror.Kind{Name: c.adapter.ZoneDrainsKind, MaxStaleness: c.settings.Platform.Drain})
 	}
 	if dataNode {
-		options.Kinds = append(options.Kinds, mirror.Kind{Name: c.adapter.EvacuationsKind, Fresh: evacuationFresh})
+		options.Kinds = append(options.Kinds, mirror.Kind{Name: c.adapter.EvacuationsKind, MaxStaleness: evacuationFresh})
 	}
 	options.Seeds = addresses(c.settings.Peers.Seeds)
 	return options
@@ -140,7 +140,7 @@
 // mirrorChanged takes that objects of a kind changed; it doesn't block.
 func (c *core) mirrorChanged(kind string) {
 	if kind == c.adapter.PoisonKind {
-		waited := !c.guard.Learnt()
+		waited := !c.guard.Loaded()
 		c.learnPoison()
 		if !waited {
 			return
--- a/internal/system/data.go
+++ b/internal/system/data.go
@@ -78,7 +78,7 @@
 	d.peers.HandleDatagram(kindLoadShare, d.takeLoadShare)
 	d.quotas = newQuotaExchange(settings, d.peers, d.facts.Snapshot)
 	d.registerGauges(map[string]gauge{
-		"chutelock_limits_zones_unheard": {"Zones that leave counts of limits unanswered: room is kept for their part.", d.quotas.unheard},
+		"chutelock_limits_zones_unheard": {"Zones that leave counts of limits unanswered: room is kept for their part.", d.quotas.silentZoneCount},
 	})
 	d.peers.HandleDatagram(kindQuotaReport, d.quotas.takeReport)
 	d.peers.HandleDatagram(kindQuotaShare, d.quotas.takeShare)
--- a/internal/system/drains.go
+++ b/internal/system/drains.go
@@ -51,7 +51,7 @@
 	var watch drainWatch
 	for c.rest(drainInterval) {
 		zones := c.facts.drainedZones()
-		underWay := c.balancer.OwnIn(zones)
+		underWay := c.balancer.OwnByZone(zones)
 		online, batch := 0, 0
 		for _, counts := range underWay {
 			online += counts[balance.ClassOnline]
@@ -91,7 +91,7 @@
 // Collect implements prometheus.Collector.
 func (m drainMetrics) Collect(into chan<- prometheus.Metric) {
 	zones := m.facts.drainedZones()
-	underWay := m.balancer.OwnIn(zones)
+	underWay := m.balancer.OwnByZone(zones)
 	for _, zone := range zones {
 		into <- prometheus.MustNewConstMetric(descZoneDrained, prometheus.GaugeValue, 1, zone)
 		for class, count := range underWay[zone] {
--- a/internal/system/drains_test.go
+++ b/internal/system/drains_test.go
@@ -29,7 +29,7 @@
 
 func (m fakeMirror) Since(kind string, _ uint64) (mirror.Delta, bool) {
 	objects, at := m.Objects(kind)
-	return mirror.Delta{Kind: kind, Whole: true, At: at, Objects: objects}, at > 0
+	return mirror.Delta{Kind: kind, IsSnapshot: true, Revision: at, Objects: objects}, at > 0
 }
 
 // drainFacts are those of a node before three engines, one a zone, each named after it.
@@ -145,7 +145,7 @@
 	g.Expect(gathered(g, c)).To(gomega.Equal(map[string]float64{
 		"chutelock_zone_drained": 2, "chutelock_drained_zone_requests": 1,
 	}))
-	g.Expect(byZone(c.facts.drainedZones(), c.balancer.OwnIn(c.facts.drainedZones()))).To(gomega.Equal("a: 0 online, 1 batch; empty: 0 online, 0 batch"))
+	g.Expect(byZone(c.facts.drainedZones(), c.balancer.OwnByZone(c.facts.drainedZones()))).To(gomega.Equal("a: 0 online, 1 batch; empty: 0 online, 0 batch"))
 }
 
 // gathered sums each of the metrics up.
--- a/internal/system/facts.go
+++ b/internal/system/facts.go
@@ -237,10 +237,10 @@
 		}
 		f.roster.Put(catalog.Entry{Instance: object.Name, Engine: engine})
 	}
-	if delta.Whole {
+	if delta.IsSnapshot {
 		f.roster.KeepOnly(present)
 	}
-	f.listed, f.listedAt = f.roster.Engines(), delta.At
+	f.listed, f.listedAt = f.roster.Engines(), delta.Revision
 }
 
 // place tells each engine its region, and whether its zone is drained.
--- a/internal/system/front.go
+++ b/internal/system/front.go
@@ -69,11 +69,11 @@
 	f.limits = newLimits(settings.Quota, f.peers, f.reportReceiver)
 	f.edge = &edge.Edge{
 		Admit: f.limits.admit, Withdraw: f.limits.withdraw,
-		Dialect:  adapter.Callers,
-		Room:     edge.NewRoom(int64(settings.Memory.Limit) << 20),
-		Snapshot: f.facts.Snapshot,
-		Current:  func() bool { return f.configurationAge() <= settings.Platform.Apply },
-		Lapsed: func() bool {
+		Dialect:              adapter.Callers,
+		MemoryBudget:         edge.NewMemoryBudget(int64(settings.Memory.Limit) << 20),
+		Snapshot:             f.facts.Snapshot,
+		ConfigurationCurrent: func() bool { return f.configurationAge() <= settings.Platform.Apply },
+		ConfigurationExpired: func() bool {
 			return settings.Platform.Revoke > 0 && f.configurationAge() > settings.Platform.Revoke
 		},
 		Forwarder: &forward.Forwarder{
--- a/internal/system/limits.go
+++ b/internal/system/limits.go
@@ -18,8 +18,8 @@
 type limits struct {
 	peers transport.Sender
 	// receiver is the data node that takes reports.
-	receiver func() (transport.Address, bool)
-	life     uint32
+	receiver    func() (transport.Address, bool)
+	incarnation uint32
 
 	mutex   sync.Mutex // guards what is below; a leaf
 	limiter *quota.Limiter
@@ -36,7 +36,7 @@
 
 func newLimits(settings config.Quota, peers transport.Sender, receiver func() (transport.Address, bool)) *limits {
 	return &limits{
-		peers: peers, receiver: receiver, life: rand.Uint32(), limiter: quota.NewLimiter(quotaBounds(settings)),
+		peers: peers, receiver: receiver, incarnation: rand.Uint32(), limiter: quota.NewLimiter(quotaBounds(settings)),
 		heard: make(chan struct{}),
 	}
 }
@@ -92,12 +92,12 @@
 		return nil
 	}
 	l.mutex.Lock()
-	report, left := l.limiter.Report(l.life, to, clock.Now())
+	report, left := l.limiter.Report(l.incarnation, to, clock.Now())
 	heard := l.heard
 	l.mutex.Unlock()
 	if left != "" {
 		// Told again with the next reports; if all are lost, its count runs out by itself.
-		_ = l.peers.Datagram(left, kindQuotaReport, quota.Report{Life: l.life, Gone: true}.Marshal())
+		_ = l.peers.Datagram(left, kindQuotaReport, quota.Report{Incarnation: l.incarnation, Gone: true}.Marshal())
 	}
 	// A report that can't be sent is like a lost one: no sum comes back.
 	_ = l.peers.Datagram(to, kindQuotaReport, report.Marshal())
@@ -113,7 +113,7 @@
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.limiter.Heard(from, sum, clock.Now())
+	l.limiter.ReceiveSum(from, sum, clock.Now())
 	close(l.heard)
 	l.heard = make(chan struct{})
 }
@@ -155,11 +155,11 @@
 	_ = e.peers.Datagram(from, kindQuotaSum, sum.Marshal())
 }
 
-// unheard is the number of zones of which nobody is heard.
-func (e *quotaExchange) unheard() float64 {
+// silentZoneCount is the number of zones of which nobody is heard.
+func (e *quotaExchange) silentZoneCount() float64 {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return float64(e.collector.Unheard(clock.Now()))
+	return float64(e.collector.SilentZoneCount(clock.Now()))
 }
 
 // refresh reads the limits of a new configuration; the caller holds the mutex.
@@ -183,7 +183,7 @@
 	if !known {
 		return 0
 	}
-	return e.bounds.Of(limit)
+	return e.bounds.MaxAdmitted(limit)
 }
 
 // takeShare takes what another data node counts.
--- a/internal/system/loadexchange.go
+++ b/internal/system/loadexchange.go
@@ -78,7 +78,7 @@
 		case <-d.shareDue:
 		}
 		d.sendShares()
-		if !d.rest(loadshare.PressInterval) {
+		if !d.rest(loadshare.UrgentInterval) {
 			return
 		}
 	}
@@ -88,12 +88,12 @@
 	now := clock.Now()
 	nodes := d.agent.Nodes()
 	leader, _ := d.ledger.Leader(0)
-	pressed := d.balancer.AnyPressed()
+	urgent := d.balancer.AnyPreemptionNeeded()
 	regional := d.regionLeaders()
 	d.exchangeMutex.Lock()
-	share := d.exchange.Own(d.balancer.Own(), now)
-	d.exchange.AlsoTo(regional)
-	receivers := d.exchange.Due(nodes, leader, pressed, now)
+	share := d.exchange.OwnShare(d.balancer.Own(), now)
+	d.exchange.SetRegionLeaders(regional)
+	receivers := d.exchange.Due(nodes, leader, urgent, now)
 	lapsed := d.exchange.Lapsed(now)
 	d.exchangeMutex.Unlock()
 	for _, peer := range lapsed {
--- a/internal/system/loadreport.go
+++ b/internal/system/loadreport.go
@@ -24,9 +24,9 @@
 )
 
 const (
-	// pressInterval is the least time between two reports of a front node: one
+	// urgentInterval is the least time between two reports of a front node: one
 	// that has to take slots back from batch work doesn't wait for the next.
-	pressInterval = loadshare.PressInterval
+	urgentInterval = loadshare.UrgentInterval
 	// answerInterval is the least time between two answers to a front node, and
 	// sumInterval between two sums.
 	answerInterval = loadshare.ReportInterval / 2
@@ -64,7 +64,7 @@
 		case <-f.stop:
 			return
 		case <-ticker.C:
-		case <-f.balancer.Pressed():
+		case <-f.balancer.Preemptions():
 		}
 		f.limits.reportDue()
 		own := f.balancer.Own()
@@ -81,7 +81,7 @@
 			continue
 		}
 		f.sendReport(kindLoadReport, own)
-		if !f.rest(pressInterval) {
+		if !f.rest(urgentInterval) {
 			return
 		}
 	}
@@ -179,7 +179,7 @@
 	}
 	f.choiceMutex.Lock()
 	defer f.choiceMutex.Unlock()
-	if f.choice.Heard(from, sum, clock.Now()) {
+	if f.choice.ReceiveSum(from, sum, clock.Now()) {
 		f.balancer.PeerLoad("others", sum.Load.Without(f.reported))
 	}
 	close(f.nextSum)
--- a/internal/system/metrics.go
+++ b/internal/system/metrics.go
@@ -78,7 +78,7 @@
 			return 0
 		}},
 		"chutelock_store_silence_seconds": {"Time since the platform's store last answered this node; watchers' is short.", func() float64 {
-			return clock.Since(c.agent.Heard()).Seconds()
+			return clock.Since(c.agent.LastStoreResponse()).Seconds()
 		}},
 		"chutelock_configuration_age_seconds": {"Time since this node's configuration was known to be the newest.", func() float64 {
 			return c.agent.Age(c.adapter.ConfigurationKind).Seconds()
--- a/internal/system/poison.go
+++ b/internal/system/poison.go
@@ -39,7 +39,7 @@
 // newGuard returns the node's guard. Data nodes spread and keep records, others report
 // theirs to one.
 func (c *core) newGuard(dataNode bool) *poison.Guard {
-	options := poison.Options{Ended: c.engineEnded, Store: c.adapter.Poison, Now: time.Now}
+	options := poison.Options{EngineCrashed: c.engineEnded, Store: c.adapter.Poison, Now: time.Now}
 	if dataNode {
 		options.Spread = c.spreadPoison
 	} else {
@@ -73,7 +73,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, endedTimeout)
 	defer cancel()
-	return c.pool.Refuses(ctx, engine.Address, engine.ID)
+	return c.pool.RefusesConnections(ctx, engine.Address, engine.ID)
 }
 
 // reportPoison hands records to a data node, those of this node's zone and region first.
@@ -109,7 +109,7 @@
 func (c *core) spreadPoison(records []poison.Record, wide bool) {
 	message := poison.Marshal(records)
 	self := c.self().Address
-	targets := c.agent.Askers()
+	targets := c.agent.RecentPullers()
 	if wide {
 		for _, node := range c.agent.Nodes() {
 			targets = append(targets, node.Address)
@@ -126,7 +126,7 @@
 // learnPoison hands what the store has to the guard.
 func (c *core) learnPoison() {
 	objects, _ := c.agent.Objects(c.adapter.PoisonKind)
-	c.guard.Learn(c.adapter.PoisonRecords(objects))
+	c.guard.LoadRecords(c.adapter.PoisonRecords(objects))
 }
 
 // registerPoison adds the figures of the guard.
--- a/internal/system/slowstart.go
+++ b/internal/system/slowstart.go
@@ -125,23 +125,23 @@
 }
 
 // permit asks whether a paced engine may get a request.
-func (p *permits) permit(ctx context.Context, wanted balance.Wanted) balance.Permission {
-	engine := wanted.Engine
-	to, permission := p.ask(ctx, wanted, slowstart.Granters(p.nodes(), engine))
+func (p *permits) permit(ctx context.Context, request balance.PermitRequest) balance.Permission {
+	engine := request.Engine
+	to, permission := p.ask(ctx, request, slowstart.Granters(p.nodes(), engine))
 	if permission.Warm {
 		p.warm(engine)
 	}
 	if permission.Until.IsZero() {
 		p.denied.Add(1)
-		eventEnginePaced.Info("request", wanted.Request, "engine", engine.ID, "pause", permission.After, "peer", to)
+		eventEnginePaced.Info("request", request.Request, "engine", engine.ID, "pause", permission.RetryAfter, "peer", to)
 	} else {
 		p.granted.Add(1)
 	}
-	return balance.Permission{Until: permission.Until, After: permission.After}
+	return balance.Permission{Until: permission.Until, RetryAfter: permission.RetryAfter}
 }
 
-func (p *permits) ask(ctx context.Context, wanted balance.Wanted, granters []mirror.Node) (transport.Address, slowstart.Permission) {
-	engine := wanted.Engine
+func (p *permits) ask(ctx context.Context, request balance.PermitRequest, granters []mirror.Node) (transport.Address, slowstart.Permission) {
+	engine := request.Engine
 	addresses := make([]transport.Address, 0, len(granters))
 	for _, granter := range granters {
 		addresses = append(addresses, granter.Address)
@@ -155,11 +155,11 @@
 	}
 	p.mutex.Unlock()
 	if to == "" {
-		return "", slowstart.Permission{After: after}
+		return "", slowstart.Permission{RetryAfter: after}
 	}
 	p.asked.Add(1)
 	ask := slowstart.Ask{
-		Number: number, Engine: catalog.Instance(engine.ID), Revision: engine.Revision, Factor: factorOf(wanted, now),
+		Number: number, Engine: catalog.Instance(engine.ID), Revision: engine.Revision, Factor: factorOf(request, now),
 		MaybePast: engine.ColdMaybePast,
 	}
 	// An ask that can't be sent is like a lost one.
@@ -187,11 +187,11 @@
 
 // factorOf is how many times its cold pace an engine may get: a step of the rise holds as
 // long as nothing failed there.
-func factorOf(wanted balance.Wanted, now time.Time) uint8 {
-	if wanted.Failing {
+func factorOf(request balance.PermitRequest, now time.Time) uint8 {
+	if request.Failing {
 		return 1
 	}
-	return uint8(wanted.Engine.PaceFactor(now))
+	return uint8(request.Engine.PaceFactor(now))
 }
 
 // giveUp ends an ask that got no answer in time; one that was taken as the time ran out
@@ -221,7 +221,7 @@
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	permission, known := p.asker.Take(answer, clock.Now())
+	permission, known := p.asker.HandleAnswer(answer, clock.Now())
 	if !known {
 		return
 	}
@@ -288,10 +288,10 @@
 )
 
 func (g *granting) answer(ask slowstart.Ask, now time.Time) slowstart.Answer {
-	answer := slowstart.Answer{Number: ask.Number, Verdict: slowstart.Unknown, After: unknownPause}
+	answer := slowstart.Answer{Number: ask.Number, Verdict: slowstart.Unknown, RetryAfter: unknownPause}
 	nodes, snapshot := g.nodes(), g.facts()
 	if snapshot.Configuration == nil {
-		answer.Verdict, answer.After = slowstart.Closed, closedPause
+		answer.Verdict, answer.RetryAfter = slowstart.Closed, closedPause
 		return answer
 	}
 	engine, known := snapshot.Engine(ask.Engine)
@@ -314,8 +314,8 @@
 	allowance := factor * g.bound.Allowance(snapshot.Configuration.Services[engine.Service].ColdRate)
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.granter.See(names(nodes), now)
-	answer.Verdict, answer.After = g.granter.Grant(ask.Engine, allowance, now)
+	g.granter.SetDataNodes(names(nodes), now)
+	answer.Verdict, answer.RetryAfter = g.granter.Grant(ask.Engine, allowance, now)
 	return answer
 }
 
--- a/internal/system/slowstart_test.go
+++ b/internal/system/slowstart_test.go
@@ -95,7 +95,7 @@
 			granted++
 			continue
 		}
-		g.Expect(answer).To(gomega.Equal(slowstart.Answer{Verdict: slowstart.Unknown, After: unknownPause}))
+		g.Expect(answer).To(gomega.Equal(slowstart.Answer{Verdict: slowstart.Unknown, RetryAfter: unknownPause}))
 	}
 	g.Expect(granted).To(gomega.Equal(2))
 }
@@ -119,8 +119,8 @@
 	g := gomega.NewWithT(t)
 	now := time.Now()
 	rising := catalog.Engine{ColdUntil: now.Add(-1500 * time.Millisecond), PacedUntil: now.Add(time.Second)}
-	g.Expect(factorOf(balance.Wanted{Engine: rising}, now)).To(gomega.BeEquivalentTo(4))
-	g.Expect(factorOf(balance.Wanted{Engine: rising, Failing: true}, now)).To(gomega.BeEquivalentTo(1))
+	g.Expect(factorOf(balance.PermitRequest{Engine: rising}, now)).To(gomega.BeEquivalentTo(4))
+	g.Expect(factorOf(balance.PermitRequest{Engine: rising, Failing: true}, now)).To(gomega.BeEquivalentTo(1))
 }
 
 // A node that can't grant for one engine may for others; without a configuration for none.
@@ -128,7 +128,7 @@
 	g := gomega.NewWithT(t)
 	node := granter(catalog.Engine{}, "a")
 	answer := node.answer(slowstart.Ask{Number: 3, Engine: "new"}, time.Now())
-	g.Expect(answer).To(gomega.Equal(slowstart.Answer{Number: 3, Verdict: slowstart.Unknown, After: unknownPause}))
+	g.Expect(answer).To(gomega.Equal(slowstart.Answer{Number: 3, Verdict: slowstart.Unknown, RetryAfter: unknownPause}))
 	empty := catalog.NewSnapshot(nil, nil)
 	node.facts = func() *catalog.Snapshot { return empty }
 	g.Expect(node.answer(slowstart.Ask{Engine: "e"}, time.Now()).Verdict).To(gomega.Equal(slowstart.Closed))
@@ -160,7 +160,7 @@
 	left, leave := context.WithCancel(context.Background())
 	leave()
 	for range 20 {
-		p.permit(left, balance.Wanted{Engine: catalog.Engine{ID: "e"}})
+		p.permit(left, balance.PermitRequest{Engine: catalog.Engine{ID: "e"}})
 	}
 	g.Expect(asks).To(gomega.Equal(20))
 	g.Expect(p.unanswered.Load()).To(gomega.BeZero())
@@ -186,7 +186,7 @@
 		var asked slowstart.Ask
 		left, leave := context.WithCancel(context.Background())
 		p := asking(func(ask slowstart.Ask) { asked = ask; leave() })
-		p.permit(left, balance.Wanted{Engine: catalog.Engine{ID: "e", Revision: 5, ColdMaybePast: maybe}})
+		p.permit(left, balance.PermitRequest{Engine: catalog.Engine{ID: "e", Revision: 5, ColdMaybePast: maybe}})
 		g.Expect(asked.MaybePast).To(gomega.Equal(maybe))
 		g.Expect(asked.Revision).To(gomega.BeEquivalentTo(5))
 	}
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -31,8 +31,8 @@
 // errForeignResponse reports received bytes that are no response to the request.
 var errForeignResponse = errors.New("received data is not a response to this request")
 
-// Answer is an engine's response with its body still unread. It must be closed.
-type Answer struct {
+// Response is an engine's response with its body still unread. It must be closed.
+type Response struct {
 	Status int
 	Header http.Header
 	Facts
@@ -53,7 +53,7 @@
 
 // Exchange sends a call to the engine at address and returns its response once the head is
 // read. The connection is closed when ctx ends, also while the body is read.
-func (p *Pool) Exchange(ctx context.Context, address string, call *Call) (*Answer, error) {
+func (p *Pool) Exchange(ctx context.Context, address string, call *Call) (*Response, error) {
 	conn, err := p.get(ctx, address, call.Engine)
 	if err != nil {
 		return nil, &Error{Fate: FateNotSent, Step: "dial", Peer: address, Cause: err}
@@ -77,7 +77,7 @@
 	return response, nil
 }
 
-func (p *Pool) exchange(conn *connection, call *Call) (response *Answer, step string, err error) {
+func (p *Pool) exchange(conn *connection, call *Call) (response *Response, step string, err error) {
 	message := p.encode(call)
 	written := make(chan error, 1)
 	if len(message) <= maxDirectWrite {
@@ -101,7 +101,7 @@
 }
 
 // readHead reads response heads until one belongs to the call.
-func (p *Pool) readHead(conn *connection, call *Call) (*Answer, error) {
+func (p *Pool) readHead(conn *connection, call *Call) (*Response, error) {
 	request := &http.Request{Method: call.Method}
 	for range maxSurplusResponses {
 		response, err := http.ReadResponse(conn.reader, request)
@@ -115,7 +115,7 @@
 		switch {
 		case facts.ID == call.ID || (facts.ID == "" && facts.NotRun):
 			restoreConnectionHeader(response)
-			return &Answer{
+			return &Response{
 				Status: response.StatusCode, Header: response.Header, Facts: facts, Length: response.ContentLength,
 				Framed: response.ContentLength >= 0 || len(response.TransferEncoding) > 0,
 				pool:   p, conn: conn, body: response.Body,
@@ -147,36 +147,36 @@
 }
 
 // Read implements io.Reader for the body. It returns io.EOF only if the body is complete.
-func (a *Answer) Read(buffer []byte) (int, error) {
-	n, err := a.body.Read(buffer)
+func (r *Response) Read(buffer []byte) (int, error) {
+	n, err := r.body.Read(buffer)
 	if errors.Is(err, io.EOF) {
-		a.complete = true
+		r.complete = true
 	} else if err != nil {
-		a.readFailed = true
+		r.readFailed = true
 	}
 	return n, err
 }
 
 // SetReadDeadline sets the deadline for reading the body.
-func (a *Answer) SetReadDeadline(at time.Time) { _ = a.conn.SetReadDeadline(at) }
+func (r *Response) SetReadDeadline(at time.Time) { _ = r.conn.SetReadDeadline(at) }
 
 // Close ends the exchange. The connection is kept if the response was read and the request
 // written completely; else it is closed, which tells the engine to stop.
-func (a *Answer) Close() {
-	notCanceled := a.stopCancel()
-	if !a.complete || a.readFailed || !notCanceled || !a.requestSent() {
-		a.conn.Close()
+func (r *Response) Close() {
+	notCanceled := r.stopCancel()
+	if !r.complete || r.readFailed || !notCanceled || !r.requestSent() {
+		r.conn.Close()
 		return
 	}
-	a.pool.release(a.conn, a.Header)
+	r.pool.release(r.conn, r.Header)
 }
 
 // requestSent reports whether the whole request was written, and waits briefly for it.
-func (a *Answer) requestSent() bool {
+func (r *Response) requestSent() bool {
 	timer := time.NewTimer(writeGracePeriod)
 	defer timer.Stop()
 	select {
-	case err := <-a.written:
+	case err := <-r.written:
 		return err == nil
 	case <-timer.C:
 		return false
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -196,7 +196,7 @@
 			g.Expect(pool.idle[poolKey(address, "")]).To(gomega.BeEmpty(), "the idle connection is in use")
 			g.Expect(pool.Opened.Load()).To(gomega.BeNumerically(">", 0))
 			if !allowed {
-				return ErrUnwanted
+				return ErrEngineExcluded
 			}
 			return nil
 		}})
@@ -208,7 +208,7 @@
 	}
 	for _, id := range []string{"new", "kept"} {
 		err := send(id, false)
-		g.Expect(err).To(gomega.MatchError(ErrUnwanted))
+		g.Expect(err).To(gomega.MatchError(ErrEngineExcluded))
 		g.Expect(fateOf(err)).To(gomega.Equal(FateNotSent))
 		g.Expect(send("after "+id, true)).To(gomega.Succeed())
 	}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -119,9 +119,9 @@
 	return &connection{Conn: conn, reader: bufio.NewReaderSize(conn, readBufferSize), key: key}, nil
 }
 
-// Refuses reports whether connections to an engine's address are refused. A connection that
-// succeeds is kept for the next request; a timeout doesn't count as refused.
-func (p *Pool) Refuses(ctx context.Context, address, engineID string) bool {
+// RefusesConnections reports whether connections to an engine's address are refused. A
+// connection that succeeds is kept for the next request; a timeout doesn't count as refused.
+func (p *Pool) RefusesConnections(ctx context.Context, address, engineID string) bool {
 	conn, err := p.dial(ctx, address, poolKey(address, engineID))
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
--- a/internal/upstream/types.go
+++ b/internal/upstream/types.go
@@ -57,9 +57,9 @@
 	NotRun bool
 	// Signed reports that the response carries an engine's signature.
 	Signed bool
-	// Elsewhere reports that another engine has this address now.
-	Elsewhere bool
-	Load      *Load
+	// AddressReused reports that another engine has this address now.
+	AddressReused bool
+	Load          *Load
 }
 
 // Dialect translates between calls, responses and the engines' headers.
@@ -74,8 +74,8 @@
 // come from the engine.
 var ErrUnsigned = errors.New("upstream: success response without the engine's signature")
 
-// ErrUnwanted is returned by a call's Proceed if the engine may get no new requests.
-var ErrUnwanted = errors.New("upstream: the engine may get no new requests")
+// ErrEngineExcluded is returned by a call's Proceed if the engine may get no new requests.
+var ErrEngineExcluded = errors.New("upstream: the engine may get no new requests")
 
 // Fate tells whether a request may have run whose exchange failed.
 type Fate uint8
