--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -9,85 +9,85 @@
 	"chutelock.dev/chutelock/internal/apikey"
 )
 
-// Kind says how a route's requests are answered.
+// Kind is the form in which a route's requests are answered.
 type Kind uint8
 
 // Kinds of routes.
 const (
-	// KindWhole answers with one body.
+	// KindWhole answers with a single body.
 	KindWhole Kind = iota
 	// KindStream answers with numbered events.
 	KindStream
-	// KindBatch takes jobs of many items that run later.
+	// KindBatch accepts jobs of many items that run asynchronously.
 	KindBatch
 )
 
-// String names the kind as in logs.
+// String returns the name of the kind used in logs.
 func (k Kind) String() string { return [...]string{"whole", "stream", "batch"}[k] }
 
-// Backend is a service that takes a share of a route's requests.
+// Backend is a service that receives a share of a route's requests.
 type Backend struct {
 	Service string
 	// Weight is the share relative to the route's other backends.
 	Weight float64
 }
 
-// Route says how the requests of a host and path prefix are treated.
+// Route defines how requests for a host and path prefix are handled.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Repeatable requests may run more than once.
+	// Repeatable is set if a request may run more than once.
 	Repeatable bool
-	// Resumable streams may be continued at another engine.
+	// Resumable is set if a stream may be continued on another engine.
 	Resumable bool
-	// Timeout is the longest time that a request is held; 0 means no bound.
+	// Timeout bounds the time that a request is held; 0 means no bound.
 	Timeout time.Duration
-	// Target is the time within which an answer (a stream's first event, a
-	// job's acceptance) earns full credit.
+	// Target is the latency objective of a response, a stream's first event or a job's
+	// acceptance.
 	Target time.Duration
-	// GapTarget is the longest pause between two events of a stream in time.
+	// GapTarget is the latency objective between two events of a stream.
 	GapTarget time.Duration
 	// Attempts is the number of engines that one request may be run on.
 	Attempts int
-	// Priority is the rank of the requests; 0 goes first.
+	// Priority of the requests; 0 is the highest.
 	Priority int
 	Backends []Backend
-	// Completion is when a job's results are due, after it was submitted.
+	// Completion is the time from a job's submission until its results are due.
 	Completion time.Duration
-	// Retention is when an item may be given up, after its job was submitted.
+	// Retention is the time from a job's submission until its items may be abandoned.
 	Retention time.Duration
-	// QueuedTokens bounds the tokens of accepted unfinished items of each tenant; 0 is
-	// no bound.
+	// QueuedTokens bounds the tokens of each tenant's accepted unfinished items; 0 means no
+	// bound.
 	QueuedTokens int64
-	// Public routes need no key.
+	// Public is set if callers need no key.
 	Public bool
-	// Regions are where the route's requests may be served and kept.
+	// Regions are where the route's requests may be served and stored.
 	Regions Regions
 }
 
-// MayRunAgain says whether a request whose fate is unknown may be sent again.
+// MayRunAgain reports whether a request with an unknown outcome may be retried.
 func (r *Route) MayRunAgain() bool {
 	return r.Repeatable || (r.Kind == KindStream && r.Resumable)
 }
 
-// Service is a group of equal engines.
+// Service is a group of interchangeable engines.
 type Service struct {
 	Name string
-	// Connections is what one engine takes from all callers together.
+	// Connections bounds the connections to one engine from all clients together.
 	Connections int
-	// Slots is the number of requests an engine works on at a time.
+	// Slots is the number of requests that an engine processes concurrently.
 	Slots int
-	// CacheTokens is the memory of one engine, in tokens.
+	// CacheTokens is the cache size of one engine, in tokens.
 	CacheTokens int
-	// ColdTime is how long an engine stays cold after a start during traffic, and
-	// ColdRate how many requests a second a cold one bears; a ColdRate of 0 is no bound.
+	// ColdTime is how long an engine stays cold after it starts under traffic. ColdRate is
+	// the requests per second that a cold engine sustains; 0 means no bound.
 	ColdTime time.Duration
 	ColdRate float64
 }
 
-// Limits bound what callers may send.
+// Limits bound the requests of callers.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -95,30 +95,29 @@
 	IdleTimeout   time.Duration
 }
 
-// Configuration is one version of everything that operators set.
+// Configuration is one version of the operators' settings for all nodes.
 type Configuration struct {
 	Version  uint64
 	Routes   []Route
 	Services map[string]Service
 	Limits   Limits
 
-	tenants []Tenant
-	byName  map[string]*Tenant
-	keys    map[apikey.Hash]*Tenant // nil if callers need no key
-	bound   map[string]Regions      // of the tenants that have any
+	tenants       []Tenant
+	byName        map[string]*Tenant
+	keys          map[apikey.Hash]*Tenant // nil if callers need no key
+	tenantRegions map[string]Regions      // by tenant name; only restricted tenants
 }
 
-// Match returns the route of the host with the longest prefix that begins the
-// path, or nil.
+// Match returns the host's route with the longest prefix of the path, or nil.
 func (c *Configuration) Match(host, path string) *Route {
 	if c == nil {
 		return nil
 	}
-	host = withoutPort(host)
+	host = stripPort(host)
 	var best *Route
 	for i := range c.Routes {
 		route := &c.Routes[i]
-		if !route.ofHost(host) || !strings.HasPrefix(path, route.Prefix) {
+		if !route.matchesHost(host) || !strings.HasPrefix(path, route.Prefix) {
 			continue
 		}
 		if best == nil || len(route.Prefix) > len(best.Prefix) {
@@ -128,19 +127,19 @@
 	return best
 }
 
-// OfHost says whether the route is of a host, with or without its port.
-func (r *Route) OfHost(host string) bool { return r.ofHost(withoutPort(host)) }
+// OfHost reports whether the route is for the host, given with or without a port.
+func (r *Route) OfHost(host string) bool { return r.matchesHost(stripPort(host)) }
 
-func (r *Route) ofHost(name string) bool { return strings.EqualFold(r.Host, name) }
+func (r *Route) matchesHost(name string) bool { return strings.EqualFold(r.Host, name) }
 
-func withoutPort(host string) string {
+func stripPort(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 {
 		return host[:colon]
 	}
 	return host
 }
 
-// Route returns the route of the name, or nil.
+// Route returns the route with the given name, or nil.
 func (c *Configuration) Route(name string) *Route {
 	if c == nil {
 		return nil
@@ -155,62 +154,61 @@
 
 // Engine is one incarnation of a model engine.
 type Engine struct {
-	// ID is new with each start of an engine; see EngineID.
+	// ID changes with each start of the engine; see EngineID.
 	ID string
-	// Born is when the engine started, by its own clock; zero if it doesn't tell.
+	// Born is the engine's start time by its own clock; zero if unknown.
 	Born    time.Time
 	Service string
 	Address string // "ip:port"
 	Zone    string
-	// Region is the zone's; empty if the settings don't tell.
+	// Region of the zone; empty if the settings assign none.
 	Region string
 	Slots  int
-	// Leaving engines get no new requests.
+	// Leaving is set if the engine is shutting down and gets no new requests.
 	Leaving bool
-	// Drained engines get no new requests either, as their zone is to be empty of
-	// them; unlike leaving ones they come back.
+	// Drained is set while the engine's zone is drained and the engine gets no new requests.
 	Drained bool
-	// Revision is the store's, of the last change of the engine's entry.
+	// Revision is the store's revision of the last change of the engine's entry.
 	Revision uint64
-	// ToldCold is how much longer the engine stayed cold when its entry was written.
+	// ToldCold is the remaining cold time at the time the entry was written.
 	ToldCold time.Duration
-	// ColdUntil is when the engine bears its full rate, as far as known here; zero if
-	// it is not known to be cold.
+	// ColdUntil is when the engine can take its full rate, as far as this node knows; zero
+	// if it is not known to be cold.
 	ColdUntil time.Time
-	// PacedUntil is until when requests need a permit: a while longer than ColdUntil;
-	// zero if the service has no ColdRate.
+	// PacedUntil is when requests to the engine stop needing permits, which is later than
+	// ColdUntil; zero if the service has no ColdRate.
 	PacedUntil time.Time
-	// ColdMaybePast says that the entry that tells of the cold may be older than what this
-	// node has seen.
+	// ColdMaybePast is set if the cold time may be over because this node does not know how
+	// old the entry is.
 	ColdMaybePast bool
 }
 
-// mayServe says whether the engine may get new requests.
+// mayServe reports whether the engine may get new requests.
 func (e *Engine) mayServe() bool { return !e.Leaving && !e.Drained }
 
-// Snapshot is what a node knows at one moment.
+// Snapshot is a consistent view of the configuration and the engines.
 type Snapshot struct {
-	Configuration *Configuration // nil while none is known
-	all           []Engine
-	engines       map[string][]Engine
+	Configuration *Configuration // nil until one is known
+	engines       []Engine
+	serving       map[string][]Engine
 	byID          map[string]*Engine
-	// byInstance finds engines whose ID tells their start, by their instance names: peers
-	// of an earlier version tell only these.
+	// byInstance indexes engines whose ID includes the start time by instance name, the only
+	// name that peers of an earlier version send.
 	byInstance map[string]*Engine
 }
 
-// NewSnapshot joins a configuration and engines.
+// NewSnapshot returns a snapshot that takes ownership of engines and sorts them by ID.
 func NewSnapshot(configuration *Configuration, engines []Engine) *Snapshot {
 	snapshot := &Snapshot{
 		Configuration: configuration,
-		all:           engines,
-		engines:       map[string][]Engine{},
+		engines:       engines,
+		serving:       map[string][]Engine{},
 		byID:          make(map[string]*Engine, len(engines)),
 		byInstance:    map[string]*Engine{},
 	}
 	slices.SortFunc(engines, func(x, y Engine) int { return strings.Compare(x.ID, y.ID) })
-	for service, count := range servingByService(engines) {
-		snapshot.engines[service] = make([]Engine, 0, count)
+	for service, count := range countServing(engines) {
+		snapshot.serving[service] = make([]Engine, 0, count)
 	}
 	for i := range engines {
 		engine := &engines[i]
@@ -219,13 +217,13 @@
 			snapshot.byInstance[instance] = engine
 		}
 		if engine.mayServe() {
-			snapshot.engines[engine.Service] = append(snapshot.engines[engine.Service], *engine)
+			snapshot.serving[engine.Service] = append(snapshot.serving[engine.Service], *engine)
 		}
 	}
 	return snapshot
 }
 
-func servingByService(engines []Engine) map[string]int {
+func countServing(engines []Engine) map[string]int {
 	counts := map[string]int{}
 	for i := range engines {
 		if engines[i].mayServe() {
@@ -235,13 +233,13 @@
 	return counts
 }
 
-// Engines lists all engines, leaving ones included, by ID.
-func (s *Snapshot) Engines() []Engine { return s.all }
+// Engines returns all engines in order of ID, including leaving and drained ones.
+func (s *Snapshot) Engines() []Engine { return s.engines }
 
-// Serving lists the engines of a service that may get new requests, by ID.
-func (s *Snapshot) Serving(service string) []Engine { return s.engines[service] }
+// Serving returns the engines of a service that may get new requests, in order of ID.
+func (s *Snapshot) Serving(service string) []Engine { return s.serving[service] }
 
-// Engine finds an engine by its ID, or by its instance name alone, leaving ones included.
+// Engine returns an engine by its ID or instance name, including leaving and drained ones.
 func (s *Snapshot) Engine(id string) (Engine, bool) {
 	engine := s.find(id)
 	if engine == nil {
@@ -257,13 +255,13 @@
 	return s.byInstance[id]
 }
 
-// Usable says whether an engine may get a new request for the service.
+// Usable reports whether an engine may get a new request for the service.
 func (s *Snapshot) Usable(id, service string) bool {
 	engine := s.find(id)
 	return engine != nil && engine.mayServe() && engine.Service == service
 }
 
-// Services lists the services of a route, by falling weight.
+// Services returns the names of the route's services in order of decreasing weight.
 func (r *Route) Services() []string {
 	backends := append([]Backend(nil), r.Backends...)
 	sort.SliceStable(backends, func(i, j int) bool { return backends[i].Weight > backends[j].Weight })
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -6,7 +6,7 @@
 	"github.com/onsi/gomega"
 )
 
-func TestMatchTakesTheLongestPrefixOfTheHost(t *testing.T) {
+func TestMatchPrefersLongestPrefix(t *testing.T) {
 	g := gomega.NewWithT(t)
 	configuration := &Configuration{Routes: []Route{
 		{Name: "short", Host: "a.example", Prefix: "/x/"},
@@ -22,7 +22,7 @@
 	g.Expect((*Configuration)(nil).Match("a.example", "/x/")).To(gomega.BeNil())
 }
 
-func TestLeavingEnginesAreKnownButNotServing(t *testing.T) {
+func TestSnapshotExcludesLeavingEnginesFromServing(t *testing.T) {
 	g := gomega.NewWithT(t)
 	snapshot := NewSnapshot(nil, []Engine{
 		{ID: "b", Service: "s"}, {ID: "a", Service: "s"}, {ID: "c", Service: "s", Leaving: true}, {ID: "d", Service: "other"},
@@ -37,7 +37,7 @@
 	g.Expect(known).To(gomega.BeTrue())
 }
 
-func TestOnlyRepeatableOrResumableRequestsMayRunAgain(t *testing.T) {
+func TestMayRunAgainRequiresRepeatableOrResumable(t *testing.T) {
 	g := gomega.NewWithT(t)
 	g.Expect((&Route{Repeatable: true}).MayRunAgain()).To(gomega.BeTrue())
 	g.Expect((&Route{Kind: KindStream, Resumable: true}).MayRunAgain()).To(gomega.BeTrue())
--- a/internal/catalog/doc.go
+++ b/internal/catalog/doc.go
@@ -1,8 +1,7 @@
-// Package catalog holds what a node knows about its work: the configuration
-// (routes, services, limits) and the engines behind each service. A value of
-// this package is immutable once published; nodes exchange whole new values.
+// Package catalog holds a node's view of the configuration (routes, services,
+// tenants, limits) and of the engines of each service.
 //
-// In: decoded configuration objects and engine entries, with their revisions.
-// Out: a Snapshot that answers which route a request takes and which engines
-// may serve it. The package does no I/O and reads no clock.
+// A Snapshot answers which route a request takes and which engines may serve
+// it. It is immutable once published and replaced as a whole. The package does
+// no I/O and reads no clock.
 package catalog
--- a/internal/catalog/incarnation.go
+++ b/internal/catalog/incarnation.go
@@ -6,26 +6,25 @@
 	"time"
 )
 
-// startMark parts an engine's instance name from its start in an ID.
-const startMark = "@"
+// startSeparator separates the instance name from the start time in an engine's ID.
+const startSeparator = "@"
 
-// EngineID is the ID of one start of an engine: its instance name, and when it was born
-// where engines tell that. An engine may start anew under the name that it had; all that
-// was known of it by its ID is of the former start then.
+// EngineID returns the ID of one incarnation of an engine: its instance name and, if known,
+// its start time. State kept by ID thus does not carry over to a restarted engine.
 func EngineID(instance string, born time.Time) string {
-	if born.IsZero() && !strings.Contains(instance, startMark) {
+	if born.IsZero() && !strings.Contains(instance, startSeparator) {
 		return instance
 	}
 	start := int64(0)
 	if !born.IsZero() {
 		start = born.UnixMilli()
 	}
-	return instance + startMark + strconv.FormatInt(start, 10)
+	return instance + startSeparator + strconv.FormatInt(start, 10)
 }
 
-// Instance is the name by which the engine of an ID is addressed.
+// Instance returns the instance name in an engine's ID.
 func Instance(id string) string {
-	if at := strings.LastIndex(id, startMark); at >= 0 {
+	if at := strings.LastIndex(id, startSeparator); at >= 0 {
 		return id[:at]
 	}
 	return id
--- a/internal/catalog/lapse.go
+++ b/internal/catalog/lapse.go
@@ -2,72 +2,71 @@
 
 import "time"
 
-// LapseHold is how long engines whose entries lapsed together stay in use. The
-// store may be down for longer than engines need to enter themselves again; one
-// that has really left refuses, or can't be reached, and is set aside.
+// LapseHold is how long engines whose entries expired together stay in use. Those
+// that really left refuse connections or are unreachable, and are ejected.
 const LapseHold = 6 * time.Second
 
-// Lapses tells engines that left from entries that lapsed: when the store
-// could not take heartbeats, many entries of a service disappear at once and
-// come back with the engines' next heartbeats. It is pure.
+// Lapses distinguishes engines that left from expired entries: if the store
+// cannot accept heartbeats, many entries of a service expire at once and return
+// with the engines' next heartbeats. It does no I/O and is not safe for
+// concurrent use.
 type Lapses struct {
 	present map[string]*Engine
-	missing map[string]missing
+	missing map[string]missingEngine
 }
 
-type missing struct {
+type missingEngine struct {
 	engine Engine
 	since  time.Time
 }
 
-// NewLapses returns a value that has seen no engines.
+// NewLapses returns a Lapses without engines.
 func NewLapses() *Lapses {
-	return &Lapses{present: map[string]*Engine{}, missing: map[string]missing{}}
+	return &Lapses{present: map[string]*Engine{}, missing: map[string]missingEngine{}}
 }
 
-// Update takes the listed engines and returns those to use: the listed ones,
-// and with them the missing ones of each service of which more are missing
-// than listed. Engines of drained zones serve nobody, so they count on neither side:
-// were two of three zones drained, the third one's could lapse together and count as
-// few beside them. again says when to call next, if nothing changes before; zero
-// means not at all.
-func (l *Lapses) Update(listed []Engine, drained func(zone string) bool, now time.Time) (engines []Engine, again time.Time) {
-	l.note(listed, now)
-	here, gone := map[string]int{}, map[string]int{}
+// Update returns the engines to use: the listed ones, and the missing ones of each
+// service with more engines missing than listed. Engines of drained zones are not
+// counted, or they could outnumber those of the remaining zones when these expire
+// together. nextUpdate is when to call Update again if nothing changes before; zero
+// if it need not be called.
+func (l *Lapses) Update(listed []Engine, drained func(zone string) bool, now time.Time) (engines []Engine, nextUpdate time.Time) {
+	l.trackMissing(listed, now)
+	listedCount, missingCount := map[string]int{}, map[string]int{}
 	for _, engine := range listed {
 		if !engine.Leaving && !drained(engine.Zone) {
-			here[engine.Service]++
+			listedCount[engine.Service]++
 		}
 	}
-	for _, one := range l.missing {
-		if !drained(one.engine.Zone) {
-			gone[one.engine.Service]++
+	for _, m := range l.missing {
+		if !drained(m.engine.Zone) {
+			missingCount[m.engine.Service]++
 		}
 	}
 	engines = make([]Engine, 0, len(listed)+len(l.missing))
 	engines = append(engines, listed...)
-	for _, one := range l.missing {
-		if gone[one.engine.Service] <= here[one.engine.Service] {
+	for _, m := range l.missing {
+		if missingCount[m.engine.Service] <= listedCount[m.engine.Service] {
 			continue
 		}
-		engines = append(engines, one.engine)
-		if end := one.since.Add(LapseHold); again.IsZero() || end.Before(again) {
-			again = end
+		engines = append(engines, m.engine)
+		if end := m.since.Add(LapseHold); nextUpdate.IsZero() || end.Before(nextUpdate) {
+			nextUpdate = end
 		}
 	}
-	return engines, again
+	return engines, nextUpdate
 }
 
-// note compares the list with the one before, which must not have changed since. Engines
-// that said they leave, and those whose address another has now, are not missing.
-func (l *Lapses) note(listed []Engine, now time.Time) {
+// trackMissing compares the list with the previous one, which must not have been modified.
+// Engines that announced to leave and those whose address is reused are not missing.
+func (l *Lapses) trackMissing(listed []Engine, now time.Time) {
 	current := make(map[string]*Engine, len(listed))
 	for i := range listed {
 		current[listed[i].ID] = &listed[i]
 	}
 	for id, engine := range l.present {
 		if _, still := current[id]; !still && !engine.Leaving {
-			l.missing[id] = missing{*engine, now}
+			l.missing[id] = missingEngine{*engine, now}
 		}
 	}
 	l.present = current
@@ -78,9 +77,9 @@
 	for i := range listed {
 		addresses[listed[i].Address] = true
 	}
-	for id, one := range l.missing {
+	for id, m := range l.missing {
 		_, back := current[id]
-		if back || addresses[one.engine.Address] || now.Sub(one.since) >= LapseHold {
+		if back || addresses[m.engine.Address] || now.Sub(m.since) >= LapseHold {
 			delete(l.missing, id)
 		}
 	}
--- a/internal/catalog/regions.go
+++ b/internal/catalog/regions.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// Regions are the regions in which requests may be served and their bodies kept; nil
-// is no restriction, and an empty set that isn't nil allows none.
+// Regions are the regions in which requests may be served and their bodies stored. nil
+// means no restriction; an empty non-nil set allows no region.
 type Regions []string
 
-// Allow says whether the region is one of them.
+// Allow reports whether the region is allowed.
 func (r Regions) Allow(region string) bool { return r == nil || slices.Contains(r, region) }
 
-// And returns the regions that both allow.
+// And returns the intersection of both sets.
 func (r Regions) And(other Regions) Regions {
 	switch {
 	case r == nil:
@@ -21,16 +21,16 @@
 	case other == nil:
 		return r
 	}
-	both := Regions{}
+	common := Regions{}
 	for _, region := range r {
 		if slices.Contains(other, region) {
-			both = append(both, region)
+			common = append(common, region)
 		}
 	}
-	return both
+	return common
 }
 
-// RegionsOf are the regions of a tenant's requests on the route; tenant may be nil.
+// RegionsOf returns the regions of a tenant's requests on the route; tenant may be nil.
 func (r *Route) RegionsOf(tenant *Tenant) Regions {
 	if tenant == nil {
 		return r.Regions
@@ -38,31 +38,31 @@
 	return r.Regions.And(tenant.Regions)
 }
 
-// RegionsNow are the regions of a tenant's request on a route by this version of the
-// configuration. before are those that held when the request came: a tenant that is
-// gone since binds as it did.
-func (c *Configuration) RegionsNow(route *Route, tenant string, before Regions) Regions {
+// RegionsNow returns the regions of a tenant's request on a route by this version of the
+// configuration. initial are those in force when the request arrived; they still apply if the
+// tenant has been removed since.
+func (c *Configuration) RegionsNow(route *Route, tenant string, initial Regions) Regions {
 	regions := route.Regions
-	if newest := c.Route(route.Name); newest != nil {
-		regions = newest.Regions
+	if current := c.Route(route.Name); current != nil {
+		regions = current.Regions
 	}
-	if ofTenant, bound := c.bound[tenant]; bound {
-		return regions.And(ofTenant)
+	if tenantRegions, restricted := c.tenantRegions[tenant]; restricted {
+		return regions.And(tenantRegions)
 	}
-	if before != nil && tenant != "" && c.Tenant(tenant) == nil {
-		return regions.And(before)
+	if initial != nil && tenant != "" && c.Tenant(tenant) == nil {
+		return regions.And(initial)
 	}
 	return regions
 }
 
-// KeptRegions lists the regions in which jobs of some batch route and tenant have to be
-// kept, in order; empty if none is restricted.
+// KeptRegions returns, in order, the regions to which the jobs of any batch route and tenant
+// are restricted; empty if none is.
 func (c *Configuration) KeptRegions() []string {
 	if c == nil {
 		return nil
 	}
 	sets := map[string]Regions{"": nil}
-	for _, regions := range c.bound {
+	for _, regions := range c.tenantRegions {
 		sets[strings.Join(regions, "\x00")] = regions
 	}
 	kept := map[string]bool{}
--- a/internal/catalog/roster.go
+++ b/internal/catalog/roster.go
@@ -5,61 +5,57 @@
 	"strings"
 )
 
-// Entry is what the platform's store says under the name of an instance.
+// Entry is the entry of an engine instance in the platform's store.
 type Entry struct {
 	Instance string
-	// Engine is nil if the entry names none to use: it can't be read, or comes from
-	// another writer.
+	// Engine is nil if the entry is invalid or from a foreign writer.
 	Engine *Engine
 }
 
-// Roster keeps the engines that the store's entries name, one changed entry at a time. It
-// is pure, and not safe for concurrent use.
-//
-// To decode all of 10,000 entries for each change takes 135 ms and 13 MB; one costs 3.3 ms and
-// 1.9 MB, the list included, beside other load (BenchmarkOneChangeOfThousands).
+// Roster maintains the list of engines incrementally, so that a changed entry does not
+// require decoding all others. It does no I/O and is not safe for concurrent use.
 type Roster struct {
-	entries []Entry // by instance
-	born    int     // engines that tell when they were born
-	named   int     // entries that name an engine
+	entries    []Entry // in order of instance
+	withStart  int     // engines with a start time
+	withEngine int     // entries with an engine
 }
 
 // NewRoster returns an empty roster.
 func NewRoster() *Roster { return &Roster{} }
 
-// Put takes an entry that is new or changed. An entry that an engine's former start wrote
-// late says nothing of the present one, and is passed over.
+// Put adds or replaces an entry. It ignores an entry written late by an earlier incarnation
+// of the engine.
 func (r *Roster) Put(entry Entry) {
 	at, found := r.find(entry.Instance)
 	if !found {
-		r.count(entry.Engine, 1)
+		r.addCounts(entry.Engine, 1)
 		r.entries = slices.Insert(r.entries, at, entry)
 		return
 	}
-	known := r.entries[at].Engine
-	if known != nil && entry.Engine != nil && entry.Engine.Born.Before(known.Born) {
+	previous := r.entries[at].Engine
+	if previous != nil && entry.Engine != nil && entry.Engine.Born.Before(previous.Born) {
 		return
 	}
-	r.count(known, -1)
-	r.count(entry.Engine, 1)
+	r.addCounts(previous, -1)
+	r.addCounts(entry.Engine, 1)
 	r.entries[at] = entry
 }
 
-// Remove drops the entry of an instance.
+// Remove removes the entry of an instance.
 func (r *Roster) Remove(instance string) {
 	if at, found := r.find(instance); found {
-		r.count(r.entries[at].Engine, -1)
+		r.addCounts(r.entries[at].Engine, -1)
 		r.entries = slices.Delete(r.entries, at, at+1)
 	}
 }
 
-// KeepOnly drops the entries of all other instances.
+// KeepOnly removes the entries of all other instances.
 func (r *Roster) KeepOnly(instances map[string]bool) {
 	r.entries = slices.DeleteFunc(r.entries, func(entry Entry) bool {
 		if instances[entry.Instance] {
 			return false
 		}
-		r.count(entry.Engine, -1)
+		r.addCounts(entry.Engine, -1)
 		return true
 	})
 }
@@ -70,26 +66,26 @@
 	})
 }
 
-func (r *Roster) count(engine *Engine, sign int) {
+func (r *Roster) addCounts(engine *Engine, sign int) {
 	if engine == nil {
 		return
 	}
-	r.named += sign
+	r.withEngine += sign
 	if !engine.Born.IsZero() {
-		r.born += sign
+		r.withStart += sign
 	}
 }
 
-// Unusable counts the entries that name no engine to use.
+// Unusable returns the number of entries without a usable engine.
 func (r *Roster) Unusable() int { return len(r.entries) - len(r.Engines()) }
 
-// Engines lists the engines, by instance. Where most tell when they were born, all do, and
-// an entry that doesn't is of another writer.
+// Engines returns the engines in order of instance. If most entries have a start time, those
+// without one are from a foreign writer and left out.
 func (r *Roster) Engines() []Engine {
-	allBorn := 2*r.born > r.named
-	engines := make([]Engine, 0, r.named)
+	startRequired := 2*r.withStart > r.withEngine
+	engines := make([]Engine, 0, r.withEngine)
 	for _, entry := range r.entries {
-		if entry.Engine != nil && !(allBorn && entry.Engine.Born.IsZero()) {
+		if entry.Engine != nil && !(startRequired && entry.Engine.Born.IsZero()) {
 			engines = append(engines, *entry.Engine)
 		}
 	}
--- a/internal/catalog/roster_test.go
+++ b/internal/catalog/roster_test.go
@@ -8,27 +8,26 @@
 	"github.com/onsi/gomega"
 )
 
-func born(instance string, second int64) *Engine {
+func startedEngine(instance string, second int64) *Engine {
 	start := time.Unix(second, 0)
 	return &Engine{ID: EngineID(instance, start), Born: start, Service: "s", Slots: 8}
 }
 
-func ids(engines []Engine) (list []string) {
+func engineIDs(engines []Engine) (list []string) {
 	for _, engine := range engines {
 		list = append(list, engine.ID)
 	}
 	return list
 }
 
-// An entry that a former start wrote late doesn't bring that back, and a later start
-// takes the place of the one before.
-func TestAFormerStartsLateEntryIsPassedOver(t *testing.T) {
+// Guards against replacing an engine by an earlier incarnation whose entry arrives late.
+func TestRosterIgnoresEntryOfEarlierStart(t *testing.T) {
 	g := gomega.NewWithT(t)
 	roster := NewRoster()
-	roster.Put(Entry{"a", born("a", 100)})
-	roster.Put(Entry{"a", born("a", 200)})
-	g.Expect(ids(roster.Engines())).To(gomega.Equal([]string{"a@200000"}))
-	late := born("a", 100)
+	roster.Put(Entry{"a", startedEngine("a", 100)})
+	roster.Put(Entry{"a", startedEngine("a", 200)})
+	g.Expect(engineIDs(roster.Engines())).To(gomega.Equal([]string{"a@200000"}))
+	late := startedEngine("a", 100)
 	late.Leaving = true
 	roster.Put(Entry{"a", late})
 	g.Expect(roster.Engines()).To(gomega.HaveLen(1))
@@ -38,32 +37,32 @@
 	g.Expect(roster.Engines()).To(gomega.BeEmpty())
 }
 
-// An entry without a birth is no engine's where the others have one; it costs none its place.
-func TestAnEntryWithoutABirthIsForeignWhereOthersHaveOne(t *testing.T) {
+// Guards against using entries of foreign writers as engines.
+func TestRosterExcludesEntryWithoutStartIfMostHaveOne(t *testing.T) {
 	g := gomega.NewWithT(t)
 	roster := NewRoster()
 	for i := range 3 {
-		roster.Put(Entry{fmt.Sprint("e", i), born(fmt.Sprint("e", i), 100)})
+		roster.Put(Entry{fmt.Sprint("e", i), startedEngine(fmt.Sprint("e", i), 100)})
 	}
 	roster.Put(Entry{"foreign", &Engine{ID: "foreign", Service: "s", Slots: 8}})
 	roster.Put(Entry{"unreadable", nil})
-	g.Expect(ids(roster.Engines())).To(gomega.Equal([]string{"e0@100000", "e1@100000", "e2@100000"}))
+	g.Expect(engineIDs(roster.Engines())).To(gomega.Equal([]string{"e0@100000", "e1@100000", "e2@100000"}))
 	g.Expect(roster.Unusable()).To(gomega.Equal(2))
 	plain := NewRoster()
 	for i := range 3 {
 		plain.Put(Entry{fmt.Sprint("e", i), &Engine{ID: fmt.Sprint("e", i)}})
 	}
-	plain.Put(Entry{"foreign", born("foreign", 100)})
-	g.Expect(plain.Engines()).To(gomega.HaveLen(4), "where most have none, it proves nothing")
+	plain.Put(Entry{"foreign", startedEngine("foreign", 100)})
+	g.Expect(plain.Engines()).To(gomega.HaveLen(4), "most entries have no start time, so none is required")
 	plain.Put(Entry{"e0", nil})
 	plain.KeepOnly(map[string]bool{"e0": true, "e1": true})
-	g.Expect(ids(plain.Engines())).To(gomega.Equal([]string{"e1"}))
+	g.Expect(engineIDs(plain.Engines())).To(gomega.Equal([]string{"e1"}))
 }
 
-// Peers of an earlier version tell instance names only.
-func TestAnEngineIsFoundByItsInstanceName(t *testing.T) {
+// Peers of an earlier version send instance names only.
+func TestSnapshotFindsEngineByInstanceName(t *testing.T) {
 	g := gomega.NewWithT(t)
-	snapshot := NewSnapshot(nil, []Engine{*born("a", 100), {ID: "b", Service: "s"}})
+	snapshot := NewSnapshot(nil, []Engine{*startedEngine("a", 100), {ID: "b", Service: "s"}})
 	for _, id := range []string{"a", "a@100000", "b"} {
 		g.Expect(snapshot.Usable(id, "s")).To(gomega.BeTrue(), id)
 	}
--- a/internal/catalog/tenants.go
+++ b/internal/catalog/tenants.go
@@ -6,29 +6,26 @@
 	"chutelock.dev/chutelock/internal/apikey"
 )
 
-// Tenant is a customer of the operators: its keys name it, and its limits hold for
-// all nodes together.
+// Tenant is a customer, identified by its keys. Its limits apply to all nodes together.
 type Tenant struct {
 	Name string
-	// Priority is the rank of the tenant's requests, in place of that of their
-	// routes, if Ranked.
+	// Priority overrides the priority of the routes if Ranked is set.
 	Priority int
 	Ranked   bool
-	// Rate and Burst bound the tenant's requests over all nodes: within any span
-	// of time, Rate a second and Burst beyond. A Rate of 0 is no bound.
+	// Rate and Burst bound the tenant's requests over all nodes: within any interval,
+	// Rate per second plus Burst. A Rate of 0 means no bound.
 	Rate  float64
 	Burst float64
 	Keys  []apikey.Hash
-	// Regions are where the tenant's requests may be served and kept.
+	// Regions are where the tenant's requests may be served and stored.
 	Regions Regions
 }
 
-// Limited says whether there is a bound on the tenant's requests.
+// Limited reports whether the tenant's requests are rate-limited.
 func (t *Tenant) Limited() bool { return t != nil && t.Rate > 0 }
 
-// SetTenants makes the configuration ask for a key of one of the tenants on each
-// route that is not public. A key that stands with several tenants is the last
-// one's.
+// SetTenants sets the tenants and thereby requires a key of one of them on each route
+// that is not public. A key listed by several tenants belongs to the last of them.
 func (c *Configuration) SetTenants(tenants []Tenant) {
 	c.tenants = tenants
 	c.keys = make(map[apikey.Hash]*Tenant, len(tenants))
@@ -42,18 +39,18 @@
 			c.keys[key] = tenant
 		}
 		if tenant.Regions != nil {
-			if c.bound == nil {
-				c.bound = map[string]Regions{}
+			if c.tenantRegions == nil {
+				c.tenantRegions = map[string]Regions{}
 			}
-			c.bound[tenant.Name] = tenant.Regions
+			c.tenantRegions[tenant.Name] = tenant.Regions
 		}
 	}
 }
 
-// Keyed says whether callers need a key.
+// Keyed reports whether callers need a key on routes that are not public.
 func (c *Configuration) Keyed() bool { return c.keys != nil }
 
-// EachTenant goes through the tenants in their order.
+// EachTenant iterates over the tenants in the order given to SetTenants.
 func (c *Configuration) EachTenant() iter.Seq[*Tenant] {
 	return func(yield func(*Tenant) bool) {
 		if c == nil {
@@ -67,7 +64,7 @@
 	}
 }
 
-// Tenant returns the tenant of a name, or nil.
+// Tenant returns the tenant with the given name, or nil.
 func (c *Configuration) Tenant(name string) *Tenant {
 	if c == nil || name == "" {
 		return nil
@@ -78,7 +75,7 @@
 // TenantOf returns the tenant that holds a key, or nil.
 func (c *Configuration) TenantOf(key apikey.Hash) *Tenant { return c.keys[key] }
 
-// PriorityOf is the rank of a tenant's requests on a route; tenant may be nil.
+// PriorityOf returns the priority of a tenant's requests on the route; tenant may be nil.
 func (r *Route) PriorityOf(tenant *Tenant) int {
 	if tenant != nil && tenant.Ranked {
 		return tenant.Priority
--- a/internal/catalog/warmth.go
+++ b/internal/catalog/warmth.go
@@ -3,143 +3,142 @@
 import "time"
 
 const (
-	// returnMargin is added to the time for which engines of a zone that is drained no
-	// more count as cold: they may turn cold until the drain ends, and what they say of
-	// that comes up to 2 s later, within the cold time of 3 s and more. An estimate.
-	returnMargin = 500 * time.Millisecond
-	// riseStep is how long each step lasts in which the pace doubles once an engine is
-	// warm, and riseSteps how many there are: at 8 requests a second, 16 and 32. A step is
-	// slowstart.Span, within which the bound holds; that two do is an estimate, no engine's
-	// maker tells of it.
-	riseStep  = time.Second
-	riseSteps = 2
+	// drainMargin extends the cold time assumed for engines after the drain of their zone
+	// ends: they may turn cold until then, and their entries report it with a delay.
+	drainMargin = 500 * time.Millisecond
+	// The permitted rate doubles in rampSteps steps of rampStep once an engine is warm: from
+	// 8 requests per second to 16 and 32. rampStep equals slowstart.Span, over which the rate
+	// is bounded.
+	rampStep  = time.Second
+	rampSteps = 2
 )
 
-// Paced says whether requests to the engine need a permit.
+// Paced reports whether requests to the engine need a permit.
 func (e *Engine) Paced(now time.Time) bool { return now.Before(e.PacedUntil) }
 
-// PaceFactor is how many times the pace of a cold engine it may get: 1 as long as it is
-// cold, and then more step by step.
+// PaceFactor returns the multiple of its cold rate that a paced engine may get: 1 while it is
+// cold, doubling with each step after that.
 func (e *Engine) PaceFactor(now time.Time) int {
-	warm := now.Sub(e.ColdUntil)
-	if warm < 0 {
+	sinceWarm := now.Sub(e.ColdUntil)
+	if sinceWarm < 0 {
 		return 1
 	}
-	return 2 << min(int(warm/riseStep), riseSteps-1)
+	return 2 << min(int(sinceWarm/rampStep), rampSteps-1)
 }
 
-// Warmth keeps until when engines are cold, as far as a node can know. It is pure.
+// Warmth tracks how long engines stay cold, as far as this node knows. It does no I/O and is
+// not safe for concurrent use.
 type Warmth struct {
-	known map[string]warmth
-	begun bool
+	states      map[string]coldState
+	initialized bool
 }
 
-type warmth struct {
+type coldState struct {
 	revision uint64
-	// told is the remaining time of the entry's present revision, and since when that was
-	// first seen; maybePast says that it was in the first list.
-	told      time.Duration
-	since     time.Time
-	maybePast bool
-	// warmed is when the entry said that the engine is warm sooner than it had told.
-	warmed time.Time
-	// drained is of the last update, and returned when the drain was seen to end.
-	drained  bool
-	returned time.Time
-	// cold is what was last returned as a change.
-	cold bool
+	// reported is the remaining cold time in the entry's revision, and reportedAt when that
+	// revision was first seen. maybePast is set if it was in the first list.
+	reported   time.Duration
+	reportedAt time.Time
+	maybePast  bool
+	// warmAt is when the entry reported the engine warm before the reported time was over.
+	warmAt time.Time
+	// drained is the state at the last update, and drainEnded when a drain last ended.
+	drained    bool
+	drainEnded time.Time
+	// lastCold is the state last returned as a change.
+	lastCold bool
 }
 
-// WarmthChange is an engine that turned cold, or warm.
-type WarmthChange struct {
+// ColdChange is an engine that became cold or warm.
+type ColdChange struct {
 	Engine Engine
 	Cold   bool
 }
 
-// NewWarmth returns a value that has seen no engines.
-func NewWarmth() *Warmth { return &Warmth{known: map[string]warmth{}} }
+// NewWarmth returns a Warmth without engines.
+func NewWarmth() *Warmth { return &Warmth{states: map[string]coldState{}} }
 
-// Update sets until when the engines are cold and paced. It returns what changed, and
-// when to call next if nothing changes before; zero means not at all.
-func (w *Warmth) Update(engines []Engine, services map[string]Service, now time.Time) (changes []WarmthChange, again time.Time) {
-	known := map[string]warmth{}
+// Update sets ColdUntil, PacedUntil and ColdMaybePast of the engines. It returns the changes
+// and when to call Update again if nothing changes before; zero if it need not be called.
+func (w *Warmth) Update(engines []Engine, services map[string]Service, now time.Time) (changes []ColdChange, nextUpdate time.Time) {
+	states := map[string]coldState{}
 	for i := range engines {
 		engine := &engines[i]
-		state := w.next(engine, now)
+		state := w.nextState(engine, now)
 		service := services[engine.Service]
-		engine.ColdUntil = state.until(service)
-		engine.ColdMaybePast = state.maybePast && state.returned.IsZero()
+		engine.ColdUntil = state.coldUntil(service)
+		engine.ColdMaybePast = state.maybePast && state.drainEnded.IsZero()
 		if service.ColdRate > 0 && !engine.ColdUntil.IsZero() {
-			engine.PacedUntil = engine.ColdUntil.Add(riseSteps * riseStep)
+			engine.PacedUntil = engine.ColdUntil.Add(rampSteps * rampStep)
 		}
 		cold := service.ColdRate > 0 && now.Before(engine.ColdUntil)
-		if cold != state.cold {
-			state.cold = cold
-			changes = append(changes, WarmthChange{*engine, cold})
+		if cold != state.lastCold {
+			state.lastCold = cold
+			changes = append(changes, ColdChange{*engine, cold})
 		}
-		if cold && (again.IsZero() || engine.ColdUntil.Before(again)) {
-			again = engine.ColdUntil
+		if cold && (nextUpdate.IsZero() || engine.ColdUntil.Before(nextUpdate)) {
+			nextUpdate = engine.ColdUntil
 		}
-		if !state.plain() {
-			known[engine.ID] = state
+		if !state.isDefault() {
+			states[engine.ID] = state
 		}
 	}
-	w.known, w.begun = known, w.begun || len(engines) > 0
-	return changes, again
+	w.states, w.initialized = states, w.initialized || len(engines) > 0
+	return changes, nextUpdate
 }
 
-// next is what is known of an engine with its newest entry.
-func (w *Warmth) next(engine *Engine, now time.Time) warmth {
-	state, seen := w.known[engine.ID]
-	if !seen || state.revision != engine.Revision || state.told != engine.ToldCold {
-		state.warmed = time.Time{}
-		if engine.ToldCold == 0 && now.Before(state.toldUntil()) {
-			state.warmed = now
+// nextState returns the state of an engine updated with its current entry.
+func (w *Warmth) nextState(engine *Engine, now time.Time) coldState {
+	state, seen := w.states[engine.ID]
+	if !seen || state.revision != engine.Revision || state.reported != engine.ToldCold {
+		state.warmAt = time.Time{}
+		if engine.ToldCold == 0 && now.Before(state.reportedUntil()) {
+			state.warmAt = now
 		}
-		state.revision, state.told, state.since = engine.Revision, engine.ToldCold, now
-		state.maybePast = !w.begun
+		state.revision, state.reported, state.reportedAt = engine.Revision, engine.ToldCold, now
+		state.maybePast = !w.initialized
 	}
 	if state.drained && !engine.Drained {
-		state.returned = now
+		state.drainEnded = now
 	}
 	state.drained = engine.Drained
 	return state
 }
 
-// plain says that the engine was never seen cold, nor in a drained zone: there is nothing
-// to remember of it.
-func (s warmth) plain() bool {
-	return s.told == 0 && s.warmed.IsZero() && s.returned.IsZero() && !s.drained && !s.cold
+// isDefault reports whether no cold time and no drain is recorded, so that the state need not
+// be kept.
+func (s coldState) isDefault() bool {
+	return s.reported == 0 && s.warmAt.IsZero() && s.drainEnded.IsZero() && !s.drained && !s.lastCold
 }
 
-// toldUntil is when the engine is warm by its own words; zero if it never said that it
-// was cold.
-func (s warmth) toldUntil() time.Time {
-	if s.told > 0 {
-		return s.since.Add(s.told)
+// reportedUntil returns when the engine is warm according to its entries; zero if they never
+// reported it cold.
+func (s coldState) reportedUntil() time.Time {
+	if s.reported > 0 {
+		return s.reportedAt.Add(s.reported)
 	}
-	return s.warmed
+	return s.warmAt
 }
 
-// until is when the engine bears its full rate; zero if it was not cold.
-func (s warmth) until(service Service) time.Time {
-	until := s.toldUntil()
-	if s.returned.IsZero() || service.ColdTime <= 0 {
+// coldUntil returns when the engine can take its full rate; zero if it was not cold.
+func (s coldState) coldUntil(service Service) time.Time {
+	until := s.reportedUntil()
+	if s.drainEnded.IsZero() || service.ColdTime <= 0 {
 		return until
 	}
-	if back := s.returned.Add(service.ColdTime + returnMargin); back.After(until) {
+	if back := s.drainEnded.Add(service.ColdTime + drainMargin); back.After(until) {
 		return back
 	}
 	return until
 }
 
-// Warm notes that an engine's cold that the entry of a revision tells of is over. It has
-// no effect on what this node has seen begin.
+// Warm ends the cold time that a revision of an engine's entry reports. It has no effect if
+// this node knows when that cold time began.
 func (w *Warmth) Warm(id string, revision uint64) {
-	state, known := w.known[id]
+	state, known := w.states[id]
 	if !known || state.revision != revision || !state.maybePast {
 		return
 	}
-	state.since, state.maybePast = state.since.Add(-state.told-riseSteps*riseStep), false
-	w.known[id] = state
+	state.reportedAt, state.maybePast = state.reportedAt.Add(-state.reported-rampSteps*rampStep), false
+	w.states[id] = state
 }
