--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,14 +1,14 @@
-// Package clock tells the time by which leases, windows, deadlines and ages are kept.
+// Package clock provides a monotonic clock that includes the time during which the
+// machine was suspended, for leases, windows, deadlines and ages.
 //
-// The steady clock that time.Now carries stands still while a machine is suspended, so
-// that by it a fact that is ten seconds old looks as new as it was before, and a lease
-// that is over still holds. Now goes on meanwhile, as a machine that froze would see it,
-// and doesn't jump when the time of day is set.
+// The monotonic clock of time.Now stops while the machine is suspended, so that expired
+// leases would still look valid and old data fresh. Now continues meanwhile, and does not
+// jump when the wall clock is set.
 //
-// Times of Now are compared with others of Now only, by Sub, Before and After. Their
-// date is wrong by the time that the machine was suspended: what other machines or a
-// later start of the process read is taken from time.Now. Timers and deadlines of
-// contexts and connections run by the steady clock: they get durations, as from Until.
+// Times from Now are only comparable with each other, by Sub, Before and After. Their wall
+// clock reading is off by the suspended time: use time.Now for times that other machines or
+// a later run of the process read. Timers and deadlines of contexts and connections run on
+// the monotonic clock and take durations, such as those from Until.
 package clock
 
 import (
@@ -21,104 +21,104 @@
 	"chutelock.dev/chutelock/internal/telemetry"
 )
 
-var eventSuspended = telemetry.Define(1017, "suspended", "The machine was suspended for the time given, in which nothing of this process ran; what is known of others is older by it.")
+var eventSuspended = telemetry.Define(1017, "suspended", "The machine was suspended for the given time and this process did not run; its view of other nodes is older by that time.")
 
 const (
-	// tolerance is how far the time of day may move against the steady clock between
-	// two looks before it is asked whether the machine was suspended. It is set by
-	// slewing, by some 0.5 ms a second, and looks are reviewInterval apart at most.
-	tolerance = 5 * time.Millisecond
-	// reviewInterval is how often it is asked anyway: the time of day may be set back
-	// by as much as a suspension lasted.
-	reviewInterval = time.Second
-	// leastSuspension is less than any suspension, and more than what passes between
-	// the readings of two clocks.
-	leastSuspension = 2 * time.Millisecond
+	// driftTolerance is the change of the wall clock against the monotonic clock that
+	// triggers a check for a suspension. It exceeds the change by slewing, some 0.5 ms per
+	// second, within checkInterval.
+	driftTolerance = 5 * time.Millisecond
+	// checkInterval is the interval of checks without such a change, as the wall clock may
+	// be set back by the duration of a suspension.
+	checkInterval = time.Second
+	// minSuspension is less than any suspension and more than the time between the readings
+	// of two clocks.
+	minSuspension = 2 * time.Millisecond
 )
 
-// Source reads how long the machine has been up: with the time in which it was suspended,
-// and without. It fails where the system has no such clocks.
-type Source func() (boot, steady time.Duration, err error)
+// Source returns the machine's uptime with and without the time during which it was
+// suspended. It fails if the system has no such clocks.
+type Source func() (boot, monotonic time.Duration, err error)
 
-// Clock counts the time that the machine was suspended.
+// Clock is a monotonic clock that includes suspended time. It is safe for concurrent use.
 type Clock struct {
 	source    Source
 	start     time.Time
-	suspended atomic.Int64 // since start
-	drift     atomic.Int64 // of the time of day against the steady clock since start, when last looked at
-	reviewed  atomic.Int64 // steady time since start
+	suspended atomic.Int64 // nanoseconds since start
+	drift     atomic.Int64 // of the wall clock against the monotonic clock since start, at the last check
+	checkedAt atomic.Int64 // monotonic time since start
 
-	mutex  sync.Mutex // guards what is below; a leaf
-	offset time.Duration
-	known  bool // offset is that of an earlier reading
+	mutex  sync.Mutex    // guards the fields below; only locks of telemetry are taken while it is held
+	offset time.Duration // boot minus monotonic time that is counted already
+	known  bool          // offset is set
 }
 
-// New returns a clock with a source of its own.
+// New returns a clock that detects suspensions by the source.
 func New(source Source) *Clock {
 	c := &Clock{source: source, start: time.Now()}
-	c.review()
+	c.checkSuspension()
 	return c
 }
 
-// Now is the present time.
+// Now returns the current time.
 func (c *Clock) Now() time.Time {
 	now := time.Now()
-	steady := now.Sub(c.start)
-	drift := now.Round(0).Sub(c.start.Round(0)) - steady
-	moved := drift - time.Duration(c.drift.Load())
-	if moved.Abs() > tolerance || steady-time.Duration(c.reviewed.Load()) > reviewInterval {
+	monotonic := now.Sub(c.start)
+	drift := now.Round(0).Sub(c.start.Round(0)) - monotonic
+	driftChange := drift - time.Duration(c.drift.Load())
+	if driftChange.Abs() > driftTolerance || monotonic-time.Duration(c.checkedAt.Load()) > checkInterval {
 		c.drift.Store(int64(drift))
-		c.reviewed.Store(int64(steady))
-		c.review()
+		c.checkedAt.Store(int64(monotonic))
+		c.checkSuspension()
 	}
 	return now.Add(time.Duration(c.suspended.Load()))
 }
 
-// review asks how long the machine has been suspended.
-func (c *Clock) review() {
+// checkSuspension adds the time suspended since the last check.
+func (c *Clock) checkSuspension() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	boot, steady, err := c.source()
+	boot, monotonic, err := c.source()
 	if err != nil {
-		return // the system has no suspension, or doesn't tell: the steady clock serves
+		return // suspended time is unknown: use the monotonic clock alone
 	}
-	offset := boot - steady
+	offset := boot - monotonic
 	if !c.known {
 		c.offset, c.known = offset, true
 		return
 	}
-	if missed := offset - c.offset; missed >= leastSuspension {
+	if suspended := offset - c.offset; suspended >= minSuspension {
 		c.offset = offset
-		c.suspended.Add(int64(missed))
-		eventSuspended.Info("for", missed)
+		c.suspended.Add(int64(suspended))
+		eventSuspended.Info("for", suspended)
 	}
 }
 
-// Skip counts a suspension that there wasn't, as tests play one.
+// Skip simulates a suspension, for tests.
 func (c *Clock) Skip(lasted time.Duration) { c.suspended.Add(int64(lasted)) }
 
-// system is the process's clock.
+// system is the clock of the package-level functions.
 var system = New(readSystem)
 
-func readSystem() (boot, steady time.Duration, err error) {
-	var withSuspension, without unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &withSuspension); err != nil {
+func readSystem() (boot, monotonic time.Duration, err error) {
+	var bootClock, monotonicClock unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &bootClock); err != nil {
 		return 0, 0, err
 	}
-	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &without); err != nil {
+	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonicClock); err != nil {
 		return 0, 0, err
 	}
-	return time.Duration(withSuspension.Nano()), time.Duration(without.Nano()), nil
+	return time.Duration(bootClock.Nano()), time.Duration(monotonicClock.Nano()), nil
 }
 
-// Now is the present time by the process's clock.
+// Now returns the current time of the process's clock.
 func Now() time.Time { return system.Now() }
 
-// Since is the time that has passed since a time of Now.
+// Since returns the time elapsed since a time from Now.
 func Since(at time.Time) time.Duration { return Now().Sub(at) }
 
-// Until is the time that passes until a time of Now.
+// Until returns the time until a time from Now.
 func Until(at time.Time) time.Duration { return at.Sub(Now()) }
 
-// Skip has the process's clock count a suspension that there wasn't, as tests play one.
+// Skip simulates a suspension on the process's clock, for tests.
 func Skip(lasted time.Duration) { system.Skip(lasted) }
--- a/internal/clock/pause.go
+++ b/internal/clock/pause.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Pause waits for a time, or until ctx ends.
+// Pause waits for the duration or until ctx is done, whichever comes first.
 func Pause(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/clock/use_test.go
+++ b/internal/clock/use_test.go
@@ -10,15 +10,15 @@
 	"testing"
 )
 
-// leases are the folders whose leases, windows, deadlines and ages must not stand still
-// while a machine is suspended.
-var leases = []string{
+// checkedPackages have leases, windows, deadlines or ages that must include suspended time.
+var checkedPackages = []string{
 	"balance", "batchwork", "catalog", "edge", "forward", "ledger/replica", "ledger/replication", "loadshare", "mirror", "quota",
 	"slowstart", "system", "transport", "upstream",
 }
 
-// steady are the uses of the steady clock or of dates in them that are meant.
-var steady = map[string]string{
+// allowedUses are the intended uses of package time in them, by file and a part of the line,
+// with the reason.
+var allowedUses = map[string]string{
 	"batchwork/calls.go job.Submitted =":       "a date that other machines read",
 	"batchwork/calls.go marshal(fixedCommand":  "a date that other machines read",
 	"batchwork/calls.go encodeEnd(":            "a date that other machines read",
@@ -35,11 +35,12 @@
 	"transport/connection.go now := time.Now":  "how long a peer left pings unanswered while this side ran",
 }
 
-var use = regexp.MustCompile(`\btime\.(Now|Since|Until)\(`)
+var timeCall = regexp.MustCompile(`\btime\.(Now|Since|Until)\(`)
 
-func TestLeasesWindowsAndAgesGoByThisClock(t *testing.T) {
+// Guards against leases that survive their expiry on a suspended machine.
+func TestPackagesUseSuspensionAwareClock(t *testing.T) {
 	used := map[string]bool{}
-	for _, folder := range leases {
+	for _, folder := range checkedPackages {
 		files, err := fs.Glob(os.DirFS(filepath.Join("..", folder)), "*.go")
 		if err != nil || len(files) == 0 {
 			t.Fatalf("%s: no files, %v", folder, err)
@@ -53,28 +54,28 @@
 				t.Fatal(err)
 			}
 			for number, line := range strings.Split(string(content), "\n") {
-				if use.MatchString(line) && !isMeant(folder+"/"+file, line, used) {
-					t.Errorf("%s/%s:%d reads a clock that stands still while the machine is suspended: %s", folder, file, number+1, strings.TrimSpace(line))
+				if timeCall.MatchString(line) && !isAllowed(folder+"/"+file, line, used) {
+					t.Errorf("%s/%s:%d reads a clock that stops while the machine is suspended: %s", folder, file, number+1, strings.TrimSpace(line))
 				}
 			}
 		}
 	}
-	for place := range steady {
-		if !used[place] {
-			t.Errorf("%q is used no more", place)
+	for allowed := range allowedUses {
+		if !used[allowed] {
+			t.Errorf("allowed use %q not found", allowed)
 		}
 	}
 }
 
-func isMeant(file, line string, used map[string]bool) bool {
-	for place := range steady {
+func isAllowed(file, line string, used map[string]bool) bool {
+	for allowed := range allowedUses {
 		var name, part string
-		if _, err := fmt.Sscanf(place, "%s", &name); err != nil {
+		if _, err := fmt.Sscanf(allowed, "%s", &name); err != nil {
 			return false
 		}
-		part = strings.TrimPrefix(place, name+" ")
+		part = strings.TrimPrefix(allowed, name+" ")
 		if name == file && strings.Contains(line, part) {
-			used[place] = true
+			used[allowed] = true
 			return true
 		}
 	}
