--- a/internal/telemetry/event.go
+++ b/internal/telemetry/event.go
@@ -1,5 +1,5 @@
-// Package telemetry gives the numbered log events and the metrics registry
-// that every concern uses.
+// Package telemetry provides numbered log events and the output they are
+// written to.
 package telemetry
 
 import (
@@ -13,18 +13,18 @@
 	"k8s.io/klog/v2"
 )
 
-// Event is a numbered kind of log line. Numbers are never reused; ranges:
+// Event is a numbered kind of log line. Numbers are never reused. Their ranges are
 // 1000 node, 2000 gateway and routing, 3000 jobs, 4000 ledger, 5000 settings,
-// 6000 membership, 7000 fleet and placement, 8000 stand-ins and lab.
+// 6000 membership, 7000 fleet and placement, 8000 test doubles and lab.
 type Event struct {
 	Number  int
 	Name    string
 	Meaning string
 
-	rate *limiter
+	limiter *limiter
 }
 
-// Record is one emitted event, kept for the operators' event listing.
+// Record is a logged event, kept in memory for the operators' event listing.
 type Record struct {
 	At      time.Time
 	Number  int
@@ -33,8 +33,8 @@
 	Details map[string]string
 }
 
-// recentLimit bounds the number of records kept in memory.
-const recentLimit = 2048
+// maxRecent bounds the number of records kept in memory.
+const maxRecent = 2048
 
 var (
 	catalogueMutex sync.Mutex
@@ -45,20 +45,20 @@
 	recentNext  int
 )
 
-// Define adds an event to the catalogue; it panics on a number in use, so
-// call it only from package-level variables.
+// Define adds an event to the catalogue. It panics if the number is in use, so
+// call it only to initialize package-level variables.
 func Define(number int, name, meaning string) Event {
 	catalogueMutex.Lock()
 	defer catalogueMutex.Unlock()
 	if other, taken := catalogue[number]; taken {
 		panic(fmt.Sprintf("telemetry: event %d is %q already", number, other.Name))
 	}
-	event := Event{Number: number, Name: name, Meaning: meaning, rate: &limiter{}}
+	event := Event{Number: number, Name: name, Meaning: meaning, limiter: &limiter{}}
 	catalogue[number] = event
 	return event
 }
 
-// Catalogue lists all defined events by number.
+// Catalogue returns all defined events in order of number.
 func Catalogue() []Event {
 	catalogueMutex.Lock()
 	defer catalogueMutex.Unlock()
@@ -70,56 +70,57 @@
 	return events
 }
 
-// Info logs the event with pairs of keys and values.
+// Info logs the event with alternating keys and values.
 func (e Event) Info(keysAndValues ...any) {
 	keysAndValues, allowed := e.limit(keysAndValues)
 	if !allowed {
 		return
 	}
 	klog.InfoSDepth(1, e.Name, append([]any{"event", e.Number}, keysAndValues...)...)
-	e.remember("", keysAndValues)
+	e.addRecent("", keysAndValues)
 }
 
-// Error logs the event as an error.
+// Error logs the event as an error with alternating keys and values.
 func (e Event) Error(err error, keysAndValues ...any) {
 	keysAndValues, allowed := e.limit(keysAndValues)
 	if !allowed {
 		return
 	}
-	message := plainError{err}
+	message := oneLineError{err}
 	klog.ErrorSDepth(1, message, e.Name, append([]any{"event", e.Number}, keysAndValues...)...)
-	e.remember(message.Error(), keysAndValues)
+	e.addRecent(message.Error(), keysAndValues)
 }
 
-// plain replaces errors among the values by their plain messages.
-func plain(keysAndValues []any) []any {
+// formatErrors replaces errors among the values by one-line messages, in place.
+func formatErrors(keysAndValues []any) []any {
 	for i := 1; i < len(keysAndValues); i += 2 {
 		if err, isError := keysAndValues[i].(error); isError {
-			keysAndValues[i] = plainError{err}.Error()
+			keysAndValues[i] = oneLineError{err}.Error()
 		}
 	}
 	return keysAndValues
 }
 
-// limit holds lines back that come too fast, and adds how many it held back.
+// limit reports whether the rate limit allows a line, and appends the number of lines
+// omitted before it.
 func (e Event) limit(keysAndValues []any) ([]any, bool) {
-	keysAndValues = plain(keysAndValues)
-	if e.rate == nil {
+	keysAndValues = formatErrors(keysAndValues)
+	if e.limiter == nil {
 		return keysAndValues, true
 	}
-	omitted, allowed := e.rate.allow(time.Now())
+	omitted, allowed := e.limiter.allow(time.Now())
 	if omitted > 0 {
 		keysAndValues = append(keysAndValues, "omitted", omitted)
 	}
 	return keysAndValues, allowed
 }
 
-// plainError is an error without the stack that trace adds to it: its message
-// carries the step and the peer already.
-type plainError struct{ error }
+// oneLineError formats an error in one line, without the stack that package trace
+// adds.
+type oneLineError struct{ error }
 
 // Error implements error.
-func (p plainError) Error() string {
+func (p oneLineError) Error() string {
 	if p.error == nil {
 		return "no error given"
 	}
@@ -130,7 +131,7 @@
 	return strings.Join(lines, ": ")
 }
 
-func (e Event) remember(failure string, keysAndValues []any) {
+func (e Event) addRecent(failure string, keysAndValues []any) {
 	details := make(map[string]string, len(keysAndValues)/2)
 	for i := 0; i+1 < len(keysAndValues); i += 2 {
 		details[fmt.Sprint(keysAndValues[i])] = fmt.Sprint(keysAndValues[i+1])
@@ -138,15 +139,15 @@
 	record := Record{At: time.Now(), Number: e.Number, Name: e.Name, Error: failure, Details: details}
 	recentMutex.Lock()
 	defer recentMutex.Unlock()
-	if len(recent) < recentLimit {
+	if len(recent) < maxRecent {
 		recent = append(recent, record)
 		return
 	}
 	recent[recentNext] = record
-	recentNext = (recentNext + 1) % recentLimit
+	recentNext = (recentNext + 1) % maxRecent
 }
 
-// Recent lists the newest records of this process, oldest first.
+// Recent returns the most recent records of this process, oldest first.
 func Recent() []Record {
 	recentMutex.Lock()
 	defer recentMutex.Unlock()
@@ -155,10 +156,10 @@
 	return append(ordered, recent[:recentNext]...)
 }
 
-// Verbose logs an expected failure at a klog verbosity level, and does not
-// keep it among the recent records.
+// Verbose logs an expected error at a klog verbosity level, without rate limit
+// and without adding it to the recent records.
 func (e Event) Verbose(level klog.Level, err error, keysAndValues ...any) {
 	if klog.V(level).Enabled() {
-		klog.InfoSDepth(1, e.Name, append([]any{"event", e.Number, "err", plainError{err}}, keysAndValues...)...)
+		klog.InfoSDepth(1, e.Name, append([]any{"event", e.Number, "err", oneLineError{err}}, keysAndValues...)...)
 	}
 }
--- a/internal/telemetry/output.go
+++ b/internal/telemetry/output.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// lineQueue bounds the lines that wait to be written.
-	lineQueue = 2048
-	// closeTime bounds how long Close waits for a reader that stands still.
-	closeTime = 300 * time.Millisecond
+	// maxQueuedLines bounds the lines that wait to be written.
+	maxQueuedLines = 2048
+	// closeTimeout bounds how long Close waits for a blocked writer.
+	closeTimeout = 300 * time.Millisecond
 )
 
-// Output writes log lines without ever making the logging code wait: lines
-// that its reader doesn't take in time are dropped and counted.
+// Output writes log lines asynchronously. It drops and counts lines when its
+// queue is full, so that logging never blocks.
 type Output struct {
-	lines   chan []byte
-	done    chan struct{}
-	dropped atomic.Int64
-	closing sync.Once
+	lines     chan []byte
+	done      chan struct{}
+	dropped   atomic.Int64
+	closeOnce sync.Once
 }
 
-// NewOutput writes to a writer, usually the standard output.
+// NewOutput returns an Output that writes to a writer, usually standard output.
 func NewOutput(to io.Writer) *Output {
-	o := &Output{lines: make(chan []byte, lineQueue), done: make(chan struct{})}
+	o := &Output{lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go o.write(to)
 	return o
 }
@@ -50,21 +50,21 @@
 	}
 }
 
-// Dropped is the number of lines dropped so far.
+// Dropped returns the number of lines dropped so far.
 func (o *Output) Dropped() int64 { return o.dropped.Load() }
 
-// Close writes what is queued, as far as the reader takes it soon. No line may
-// be queued after it.
+// Close waits until the queued lines are written, for closeTimeout at most. Line
+// must not be called after it.
 func (o *Output) Close() {
-	o.closing.Do(func() { close(o.lines) })
+	o.closeOnce.Do(func() { close(o.lines) })
 	select {
 	case <-o.done:
-	case <-time.After(closeTime):
+	case <-time.After(closeTimeout):
 	}
 }
 
-// LogJSON makes every event one JSON object a line on the output: ts, level or
-// error, msg (the event's name) and the event's keys and values.
+// LogJSON makes klog write each event to the output as a JSON object on one line:
+// ts, level or error, msg (the event's name) and the event's keys and values.
 func LogJSON(output *Output) {
 	options := funcr.Options{LogTimestamp: true, TimestampFormat: "2006-01-02T15:04:05.000000Z07:00"}
 	klog.SetLogger(logr.New(funcr.NewJSON(output.Line, options).GetSink()))
--- a/internal/telemetry/output_test.go
+++ b/internal/telemetry/output_test.go
@@ -12,7 +12,7 @@
 	"k8s.io/klog/v2"
 )
 
-// lockedBuffer may be written and read concurrently.
+// lockedBuffer is a buffer that is safe for concurrent use.
 type lockedBuffer struct {
 	mutex  sync.Mutex
 	buffer bytes.Buffer
@@ -32,7 +32,7 @@
 
 var eventTest = Define(9901, "output-test", "Only in tests.")
 
-func TestEventsAreJSONLines(t *testing.T) {
+func TestLogJSONWritesOneObjectPerEvent(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var buffer lockedBuffer
 	output := NewOutput(&buffer)
@@ -50,24 +50,24 @@
 	g.Expect(line).To(gomega.HaveKey("ts"))
 }
 
-// A reader that stands still costs lines, never time.
-func TestAReaderThatStandsStillDelaysNobody(t *testing.T) {
+// Guards against logging that blocks when the output's reader does.
+func TestOutputDropsLinesWhenReaderBlocks(t *testing.T) {
 	g := gomega.NewWithT(t)
 	reader, writer := io.Pipe() // nobody reads
 	defer reader.Close()
 	output := NewOutput(writer)
 	written := make(chan struct{})
 	go func() {
-		for range 3 * lineQueue {
+		for range 3 * maxQueuedLines {
 			output.Line("line")
 		}
 		close(written)
 	}()
 	g.Eventually(written, 10*time.Second).Should(gomega.BeClosed())
-	g.Expect(output.Dropped()).To(gomega.BeNumerically(">=", lineQueue))
+	g.Expect(output.Dropped()).To(gomega.BeNumerically(">=", maxQueuedLines))
 }
 
-func TestLinesOfAKindAreBoundedAndTheRestCounted(t *testing.T) {
+func TestLimiterCountsOmittedLines(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var l limiter
 	now := time.Unix(1000, 0)
@@ -77,10 +77,10 @@
 			allowed++
 		}
 	}
-	g.Expect(allowed).To(gomega.Equal(lineBurst))
+	g.Expect(allowed).To(gomega.Equal(maxLineBurst))
 	omitted, ok := l.allow(now.Add(time.Second))
 	g.Expect(ok).To(gomega.BeTrue())
-	g.Expect(omitted).To(gomega.Equal(1000 - lineBurst))
+	g.Expect(omitted).To(gomega.Equal(1000 - maxLineBurst))
 	omitted, _ = l.allow(now.Add(time.Second))
 	g.Expect(omitted).To(gomega.BeZero())
 }
--- a/internal/telemetry/rate.go
+++ b/internal/telemetry/rate.go
@@ -6,35 +6,35 @@
 )
 
 const (
-	// linesPerSecond bounds the lines of one kind of event, on average.
-	linesPerSecond = 40
-	// lineBurst is how many lines of one kind may come at once.
-	lineBurst = 120
+	// maxLinesPerSecond bounds the average rate of lines of one event.
+	maxLinesPerSecond = 40
+	// maxLineBurst bounds the lines of one event in a burst.
+	maxLineBurst = 120
 )
 
-// limiter is a token bucket that counts what it holds back. The zero value is
-// full.
+// limiter is a token bucket that counts the lines it omits. The zero value is a
+// full bucket.
 type limiter struct {
-	mutex   sync.Mutex // guards the fields below; a leaf
-	spent   float64
+	mutex   sync.Mutex // guards the fields below; no other lock is taken while it is held
+	used    float64
 	last    time.Time
 	omitted int
 }
 
-// allow says whether a line may be written now, and how many were left out
+// allow reports whether a line may be written now, and how many were omitted
 // since the last one.
 func (l *limiter) allow(now time.Time) (omitted int, allowed bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if !l.last.IsZero() {
-		l.spent = max(0, l.spent-linesPerSecond*now.Sub(l.last).Seconds())
+		l.used = max(0, l.used-maxLinesPerSecond*now.Sub(l.last).Seconds())
 	}
 	l.last = now
-	if l.spent+1 > lineBurst {
+	if l.used+1 > maxLineBurst {
 		l.omitted++
 		return 0, false
 	}
-	l.spent++
+	l.used++
 	omitted, l.omitted = l.omitted, 0
 	return omitted, true
 }
--- a/internal/telemetry/render.go
+++ b/internal/telemetry/render.go
@@ -5,7 +5,7 @@
 	"io"
 )
 
-// catalogueHeader opens the catalogue page.
+// catalogueHeader is the head of the page that lists the events.
 const catalogueHeader = `# Events
 
 Every log line of the programs is a numbered event; numbers are never reused.
@@ -15,7 +15,7 @@
 |---|---|---|
 `
 
-// WriteCatalogue writes all defined events as a page for operators.
+// WriteCatalogue writes a Markdown page that lists all defined events.
 func WriteCatalogue(to io.Writer) error {
 	if _, err := io.WriteString(to, catalogueHeader); err != nil {
 		return err
