--- a/internal/ledger/replication/bench_test.go
+++ b/internal/ledger/replication/bench_test.go
@@ -7,9 +7,8 @@
 	"time"
 )
 
-// BenchmarkPropose takes proposals through a leader and its followers, in
-// batches as a shell would gather them while it syncs, with every message
-// encoded and decoded, and without any disk.
+// BenchmarkPropose measures the commit of batched proposals, with every message
+// encoded and decoded but without a disk.
 func BenchmarkPropose(b *testing.B) {
 	for _, voters := range []int{3, 5} {
 		for _, batch := range []int{1, 64} {
@@ -31,7 +30,7 @@
 							b.Fatal(err)
 						}
 					}
-					s.proceed(leader)
+					s.processReady(leader)
 					target := leader.replica.log.lastIndex()
 					for leader.replica.log.committed < target {
 						s.run(time.Millisecond)
@@ -49,8 +48,8 @@
 	}
 }
 
-// BenchmarkIdleShard measures what one idle shard costs in a minute of
-// virtual time: control messages of all its replicas, and memory of one.
+// BenchmarkIdleShard measures one idle shard over a minute of virtual time: the
+// messages of all its replicas and the heap memory of each.
 func BenchmarkIdleShard(b *testing.B) {
 	for _, voters := range []int{3, 5} {
 		b.Run(fmt.Sprintf("voters=%d", voters), func(b *testing.B) {
--- a/internal/ledger/replication/codec_test.go
+++ b/internal/ledger/replication/codec_test.go
@@ -6,6 +6,7 @@
 	"github.com/onsi/gomega"
 )
 
+// FuzzUnmarshalMessage guards against messages that change when encoded again.
 func FuzzUnmarshalMessage(f *testing.F) {
 	configuration := Configuration{Voters: []ReplicaID{1, 2, 3}, Learners: []ReplicaID{9}}
 	for _, message := range []Message{
@@ -28,15 +29,16 @@
 			return
 		}
 		g := gomega.NewWithT(t)
-		again, err := message.Marshal()
+		reencoded, err := message.Marshal()
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		decoded, err := UnmarshalMessage(again)
+		decoded, err := UnmarshalMessage(reencoded)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(decoded).To(gomega.Equal(message))
 	})
 }
 
-func TestHardStateSurvivesItsEncoding(t *testing.T) {
+// Guards against a field lost in the encoding of HardState.
+func TestHardStateRoundTrip(t *testing.T) {
 	g := gomega.NewWithT(t)
 	state := HardState{Term: 3, Vote: 4, Commit: 5}
 	g.Expect(UnmarshalHardState(state.Marshal())).To(gomega.Equal(state))
--- a/internal/ledger/replication/config.go
+++ b/internal/ledger/replication/config.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Defaults of Config.
+// Default values for the fields of Config.
 const (
 	DefaultElectionTimeout     = 600 * time.Millisecond
 	DefaultHeartbeatInterval   = 150 * time.Millisecond
@@ -18,39 +18,40 @@
 	DefaultCacheBytes          = 4 << 20
 )
 
-// MaxEntryBytes bounds the data of one proposal.
+// MaxEntryBytes is the maximum size of the data in one proposal.
 const MaxEntryBytes = 16 << 20
 
-// Config is what New needs. Zero durations and limits take the defaults.
+// Config configures a Replica. Zero durations and limits take the defaults.
 type Config struct {
 	ID      ReplicaID
 	Shard   uint32
 	Storage Storage
-	// Seed of the election timeouts' randomness; must differ by replica.
+	// Seed seeds the randomized election timeouts and must differ between replicas.
 	Seed uint64
 
-	// ElectionTimeout is how long a follower waits for its leader: at least
-	// this, and less than twice this. A leader that has not heard from a
-	// quorum for this long steps down.
+	// ElectionTimeout is the minimum time without contact from the leader after
+	// which a follower starts an election; the actual timeout is random and
+	// below twice this. A leader without contact to a quorum for this long
+	// steps down.
 	ElectionTimeout   time.Duration
 	HeartbeatInterval time.Duration
-	// WriteTimeout is how long a Ready may be worked on before the replica
-	// falls silent, so that a leader with a hanging disk is replaced.
+	// WriteTimeout is the time from Ready to Advance after which Immediate
+	// returns no messages, so that a leader with a hung disk is replaced.
 	WriteTimeout time.Duration
-	// SnapshotRetry is how long a follower may take over a snapshot before
-	// the leader offers it again.
+	// SnapshotRetry is how long the leader waits for a follower to install a
+	// snapshot before it resends the MessageSnapshot.
 	SnapshotRetry time.Duration
 
-	// MaxMessageBytes bounds the entries of one append (one entry always fits).
+	// MaxMessageBytes limits the entries of one append, which always holds at least one.
 	MaxMessageBytes int
-	// MaxInflightBytes bounds the unconfirmed appends to one follower.
+	// MaxInflightBytes limits the unacknowledged appends to one follower.
 	MaxInflightBytes int
-	// MaxUncommittedBytes bounds proposals that are not committed yet; beyond
-	// it Propose refuses.
+	// MaxUncommittedBytes limits the uncommitted proposals; above it, Propose
+	// returns ErrTooManyUncommitted.
 	MaxUncommittedBytes int
-	// MaxApplyBytes bounds Ready.CommittedEntries.
+	// MaxApplyBytes limits Ready.CommittedEntries.
 	MaxApplyBytes int
-	// CacheBytes bounds the persisted and applied entries kept in memory for
+	// CacheBytes limits the persisted and applied entries kept in memory for
 	// followers that are slightly behind.
 	CacheBytes int
 }
@@ -68,21 +69,21 @@
 	return c
 }
 
-func setDefault[T comparable](value *T, byDefault T) {
+func setDefault[T comparable](value *T, defaultValue T) {
 	var zero T
 	if *value == zero {
-		*value = byDefault
+		*value = defaultValue
 	}
 }
 
 func (c Config) validate() error {
 	switch {
 	case c.ID == 0:
-		return errors.New("replication: a replica needs an identity")
+		return errors.New("replication: replica ID is not set")
 	case c.Storage == nil:
-		return errors.New("replication: a replica needs a storage")
+		return errors.New("replication: storage is not set")
 	case c.HeartbeatInterval >= c.ElectionTimeout:
-		return errors.New("replication: the heartbeat interval must be below the election timeout")
+		return errors.New("replication: heartbeat interval must be less than the election timeout")
 	}
 	return nil
 }
--- a/internal/ledger/replication/configuration.go
+++ b/internal/ledger/replication/configuration.go
@@ -5,27 +5,27 @@
 	"slices"
 )
 
-// ChangeType says what a configuration change does.
+// ChangeType is the kind of a configuration change.
 type ChangeType uint8
 
 // Change types.
 const (
-	// AddLearner adds a replica that receives the log, but does not count.
+	// AddLearner adds a replica that receives the log but does not vote.
 	AddLearner ChangeType = iota + 1
-	// PromoteLearner makes a learner that has caught up a voter.
+	// PromoteLearner turns a learner that has caught up into a voter.
 	PromoteLearner
-	// RemoveReplica removes a learner or a voter, but not the leader.
+	// RemoveReplica removes a learner or a voter other than the leader.
 	RemoveReplica
 )
 
-// Change is a single step of a configuration change.
+// Change is a configuration change that affects a single replica.
 type Change struct {
 	Type    ChangeType
 	Replica ReplicaID
 }
 
-// configurationHistory holds the configurations in the log from the last
-// committed one on, in the order of their index.
+// configurationHistory holds the last committed configuration and all later
+// ones in the log, ordered by index.
 type configurationHistory []indexedConfiguration
 
 type indexedConfiguration struct {
@@ -33,10 +33,10 @@
 	configuration Configuration
 }
 
-// scanBytes bounds one read while the log is scanned for configurations.
+// scanBytes limits each read while the log is scanned for configurations.
 const scanBytes = 1 << 20
 
-// loadConfigurations finds the configurations after the applied index.
+// loadConfigurations reads the applied configuration and all later ones in the log.
 func (r *Replica) loadConfigurations() error {
 	marker, err := r.config.Storage.Snapshot()
 	if err != nil {
@@ -48,20 +48,21 @@
 		if len(entries) == 0 {
 			break
 		}
-		r.noteConfigurations(0, entries)
+		r.recordConfigurations(0, entries)
 		from = entries[len(entries)-1].Index + 1
 	}
 	return r.Err()
 }
 
-// configuration returns the one in force: the newest in the log.
+// configuration returns the active configuration: the latest in the log, committed or not.
 func (r *Replica) configuration() Configuration {
 	return r.configurations[len(r.configurations)-1].configuration
 }
 
-// noteConfigurations takes the configurations among the entries from index
-// on, in place of any that the log held there.
-func (r *Replica) noteConfigurations(from uint64, entries []Entry) {
+// recordConfigurations adds the configurations among entries to the history,
+// after removing those at or above index from, which the entries replace. A
+// from of zero removes none.
+func (r *Replica) recordConfigurations(from uint64, entries []Entry) {
 	if from > 0 {
 		r.configurations = slices.DeleteFunc(r.configurations, func(c indexedConfiguration) bool { return c.index >= from })
 	}
@@ -71,104 +72,105 @@
 		}
 		configuration, err := UnmarshalConfiguration(entry.Data)
 		if err != nil {
-			r.log.fail(fmt.Errorf("replication: configuration at %d: %w", entry.Index, err))
+			r.log.fail(fmt.Errorf("replication: decode configuration at index %d: %w", entry.Index, err))
 			return
 		}
 		r.configurations = append(r.configurations, indexedConfiguration{entry.Index, configuration})
 	}
 }
 
-// forgetConfigurations drops those that were replaced by committed ones.
-func (r *Replica) forgetConfigurations() {
+// pruneConfigurations drops configurations superseded by a committed one.
+func (r *Replica) pruneConfigurations() {
 	for len(r.configurations) > 1 && r.configurations[1].index <= r.log.committed {
 		r.configurations = r.configurations[1:]
 	}
 }
 
-// ProposeConfig appends a configuration change to the log. One is accepted
-// only when the leader has committed an entry of its own term and no other
-// change is uncommitted: then any two quorums that can exist side by side
-// overlap.
+// ProposeConfig appends a configuration change to the log. It is accepted only
+// if the leader has committed an entry of its own term and no other change is
+// uncommitted, so that the quorums of any two concurrently active
+// configurations overlap.
 func (r *Replica) ProposeConfig(change Change) (index, term uint64, err error) {
-	if err := r.mayPropose(); err != nil {
+	if err := r.checkProposable(); err != nil {
 		return 0, 0, err
 	}
 	newest := r.configurations[len(r.configurations)-1]
-	if r.log.committed < max(r.leading.termStart, newest.index) {
+	if r.log.committed < max(r.leaderState.termStart, newest.index) {
 		return 0, 0, ErrChangePending
 	}
-	next, err := r.changed(newest.configuration, change)
+	next, err := r.applyChange(newest.configuration, change)
 	if err != nil {
 		return 0, 0, err
 	}
-	index = r.appendOwn(EntryConfiguration, next.Marshal())
+	index = r.appendEntry(EntryConfiguration, next.Marshal())
 	r.configurations = append(r.configurations, indexedConfiguration{index, next})
 	r.trackMembers()
 	return index, r.term, nil
 }
 
-func (r *Replica) changed(from Configuration, change Change) (Configuration, error) {
+// applyChange returns the changed configuration, or an error if the change is invalid.
+func (r *Replica) applyChange(from Configuration, change Change) (Configuration, error) {
 	next := from.clone()
 	switch change.Type {
 	case AddLearner:
 		if change.Replica == 0 || from.HasVoter(change.Replica) || from.HasLearner(change.Replica) {
-			return next, fmt.Errorf("%w: %s is a member", ErrChangeRefused, change.Replica)
+			return next, fmt.Errorf("%w: %s is already a member", ErrChangeRejected, change.Replica)
 		}
 		next.Learners = insert(next.Learners, change.Replica)
 	case PromoteLearner:
 		if !from.HasLearner(change.Replica) || !r.CaughtUp(change.Replica) {
-			return next, fmt.Errorf("%w: %s is not a learner that has caught up", ErrChangeRefused, change.Replica)
+			return next, fmt.Errorf("%w: %s is not a caught-up learner", ErrChangeRejected, change.Replica)
 		}
 		next.Learners = remove(next.Learners, change.Replica)
 		next.Voters = insert(next.Voters, change.Replica)
 	case RemoveReplica:
 		if change.Replica == r.config.ID || !slices.Contains(from.Members(), change.Replica) {
-			return next, fmt.Errorf("%w: %s leads or is no member", ErrChangeRefused, change.Replica)
+			return next, fmt.Errorf("%w: %s is the leader or not a member", ErrChangeRejected, change.Replica)
 		}
 		next.Learners = remove(next.Learners, change.Replica)
 		next.Voters = remove(next.Voters, change.Replica)
 	default:
-		return next, fmt.Errorf("%w: change type %d", ErrChangeRefused, change.Type)
+		return next, fmt.Errorf("%w: unknown change type %d", ErrChangeRejected, change.Type)
 	}
 	return next, nil
 }
 
-// CaughtUp says whether a follower has persisted everything that is committed.
+// CaughtUp reports whether a follower is known to have persisted all committed entries.
 func (r *Replica) CaughtUp(id ReplicaID) bool {
-	p := r.leading.progress[id]
+	p := r.leaderState.progress[id]
 	return p != nil && p.match >= r.log.committed
 }
 
 func insert(ids []ReplicaID, id ReplicaID) []ReplicaID {
-	at, found := slices.BinarySearch(ids, id)
+	i, found := slices.BinarySearch(ids, id)
 	if found {
 		return ids
 	}
-	return slices.Insert(ids, at, id)
+	return slices.Insert(ids, i, id)
 }
 
 func remove(ids []ReplicaID, id ReplicaID) []ReplicaID {
 	return slices.DeleteFunc(ids, func(other ReplicaID) bool { return other == id })
 }
 
-// NextChange plans the next step from a configuration to one whose voters are
-// the wanted ones. Newcomers become learners, then voters; a replica that is
-// no longer wanted is removed as soon as another has taken its place, and
-// never the leader, which must transfer its leadership first. So there is at
-// most one voter too many, and never one too few. The result is false when
-// nothing is to be done now.
-func NextChange(current Configuration, leader ReplicaID, wanted []ReplicaID, caughtUp func(ReplicaID) bool) (Change, bool) {
-	unwanted := func(id ReplicaID) bool { return id != leader && !slices.Contains(wanted, id) }
-	if at := slices.IndexFunc(current.Learners, unwanted); at >= 0 {
-		return Change{RemoveReplica, current.Learners[at]}, true
+// NextChange returns the next step from the current configuration to one whose
+// voters are the desired ones, or false if there is no step to take now. New
+// replicas are added as learners and then promoted. A voter that is no longer
+// desired is removed once its replacement votes, so that there is at most one
+// extra voter and never one too few. The leader is never removed: it must
+// transfer its leadership first.
+func NextChange(current Configuration, leader ReplicaID, desired []ReplicaID, caughtUp func(ReplicaID) bool) (Change, bool) {
+	removable := func(id ReplicaID) bool { return id != leader && !slices.Contains(desired, id) }
+	if i := slices.IndexFunc(current.Learners, removable); i >= 0 {
+		return Change{RemoveReplica, current.Learners[i]}, true
 	}
-	if at := slices.IndexFunc(current.Voters, unwanted); at >= 0 && len(current.Voters) > len(wanted) {
-		return Change{RemoveReplica, current.Voters[at]}, true
+	if i := slices.IndexFunc(current.Voters, removable); i >= 0 && len(current.Voters) > len(desired) {
+		return Change{RemoveReplica, current.Voters[i]}, true
 	}
-	if at := slices.IndexFunc(current.Learners, caughtUp); at >= 0 {
-		return Change{PromoteLearner, current.Learners[at]}, true
+	if i := slices.IndexFunc(current.Learners, caughtUp); i >= 0 {
+		return Change{PromoteLearner, current.Learners[i]}, true
 	}
-	for _, id := range wanted {
+	for _, id := range desired {
 		if !slices.Contains(current.Members(), id) {
 			return Change{AddLearner, id}, true
 		}
--- a/internal/ledger/replication/doc.go
+++ b/internal/ledger/replication/doc.go
@@ -1,66 +1,66 @@
-// Package replication is the protocol that keeps one shard's log equal on
-// several replicas: a majority-replicated log with terms, elections and
-// single-step configuration changes. It holds no goroutine, clock, socket or
-// file. The package does as it is told by its caller, the shell, which owns
-// the disk, the network and the time.
+// Package replication implements the consensus protocol that replicates one
+// shard's log: a Raft-like log with terms, elections and single-replica
+// configuration changes. It starts no goroutines and uses no clock, network or
+// files: its caller supplies the time, the messages and the storage.
 //
-// # The contract
+// # Usage
 //
-// One goroutine (or one mutex) owns a Replica. The shell feeds it:
+// A Replica must be used by one goroutine or under one mutex. The caller calls:
 //
-//   - Tick with the present time, about every tenth of the election timeout,
-//     and first of all after a pause;
-//   - Step with each message that arrived from another replica;
-//   - Propose, ProposeConfig, ReadIndex and TransferLeadership for its users.
+//   - Tick with the current time, about every tenth of the election timeout,
+//     and before any other method after a pause;
+//   - Step with each message received from another replica;
+//   - Propose, ProposeConfig, ReadIndex and TransferLeadership to serve requests.
 //
-// After feeding, the shell asks HasReady, and if so takes Ready and does, in
-// this order:
+// After these calls, if HasReady returns true, the caller calls Ready and then,
+// in this order:
 //
-//  1. send Ready.Immediate (this may run beside the next step);
-//  2. write Ready.Snapshot, Ready.Entries and Ready.HardState to the disk,
-//     together, with one sync if Ready.MustSync. Entries replace everything
-//     in the log from the first one's index on; a snapshot replaces the whole
-//     log and the applied state by the data that was staged before the
-//     message was stepped;
-//  3. send Ready.Messages: these promise what step 2 wrote;
-//  4. apply Ready.CommittedEntries in order, each exactly once, keep the
-//     applied index and Configuration with the applied state, and answer
-//     Ready.ReadStates once the applied index has reached theirs;
-//  5. call Advance.
+//  1. sends Ready.Immediate (this may run concurrently with the next step);
+//  2. writes Ready.Snapshot, Ready.Entries and Ready.HardState to disk
+//     atomically, with one sync if Ready.MustSync is set. Entries replace the
+//     log from the index of the first one on; a snapshot replaces the whole
+//     log and the applied state with the data that was staged before the
+//     MessageSnapshot was passed to Step;
+//  3. sends Ready.Messages, which depend on the write of step 2;
+//  4. applies Ready.CommittedEntries in order, each exactly once, stores the
+//     applied index and Configuration with the applied state, and answers each
+//     of Ready.ReadStates once the applied index has reached its Index;
+//  5. calls Advance.
 //
-// Tick, Step, Propose and the others may run between Ready and Advance (group
-// commit lives from that); a second Ready may not. What Immediate returns
-// after them may be sent at once meanwhile. After a crash anywhere in
-// between, New on what the disk holds continues correctly.
+// All other methods may be called between Ready and Advance, which allows
+// group commit, but Ready must not be called again. The messages that
+// Immediate returns then may be sent at once. After a crash at any point, New
+// resumes correctly from the persisted state.
 //
-// # Identity
+// # Replica IDs
 //
-// A ReplicaID names one incarnation of one node's disk, never a node. A disk
-// that came back empty, or lost anything that was synced, must take a new
-// identity (NewReplicaID with a new incarnation), start with an empty log and
-// no configuration, and wait to be added as a learner. The old identity stays
-// in the configuration, silent, until it is removed. This is what makes a
-// lost disk harmless: nobody votes for what it forgot. A torn tail that was
-// never synced may be cut off under the same identity.
+// A ReplicaID identifies one incarnation of a node's disk, not the node. If a
+// disk is empty after a restart, or has lost any synced data, its replica must
+// take a new ID (NewReplicaID with a new incarnation), start with an empty log
+// and no configuration, and wait to be added as a learner. The old ID remains
+// in the configuration, inactive, until it is removed. A replica that lost its
+// votes or entries thus never votes again under its old ID. A torn log tail
+// that was never synced may be truncated under the same ID.
 //
-// # Starting
+// # Bootstrap
 //
-// A new shard starts on each of its first replicas from the same
-// BootstrapMarker, stored as snapshot and applied state, and BootstrapState
-// as hard state. Every later replica starts from nothing.
+// The initial replicas of a shard all start from the same BootstrapMarker,
+// stored as snapshot and applied state, with BootstrapState as hard state.
+// Replicas added later start empty.
 //
 // # Snapshots
 //
-// A Message of type MessageSnapshot carries only the marker. The shells move
-// the data in chunks, on either side's initiative, and step the message at
-// the receiver only once the data is staged, with Message.Snapshot set to the
-// marker of the very data that was staged. The leader sends the message again
-// every Config.SnapshotRetry until the follower answers; ReportSnapshot
-// shortens that.
+// A Message of type MessageSnapshot carries only the marker. The callers
+// transfer the data in chunks, started by either side. The receiver passes the
+// message to Step only after it has staged the data, with Message.Snapshot set
+// to the marker of the staged data. The leader resends the message every
+// Config.SnapshotRetry until the follower responds; ReportSnapshot ends the
+// wait early.
 //
 // # Configuration changes
 //
-// A configuration is in force as soon as its entry is in a replica's log.
-// Replacement runs AddLearner, PromoteLearner (refused until the learner has
-// caught up), RemoveReplica; NextChange plans these steps.
+// A configuration becomes active on a replica as soon as its entry is in that
+// replica's log. A replica is replaced by AddLearner, PromoteLearner (rejected
+// until the learner has caught up) and RemoveReplica; NextChange returns these
+// steps.
 package replication
--- a/internal/ledger/replication/election.go
+++ b/internal/ledger/replication/election.go
@@ -1,9 +1,9 @@
 package replication
 
-// preCampaign asks whether an election could be won, without disturbing anyone.
+// preCampaign starts a pre-vote, which does not change the term of any replica.
 func (r *Replica) preCampaign() {
 	r.resetCampaignDeadline()
-	if !r.mayCampaign() {
+	if !r.canCampaign() {
 		return
 	}
 	r.role = RolePreCandidate
@@ -16,7 +16,7 @@
 	r.requestVotes(Message{Type: MessagePreVote, Term: r.term + 1})
 }
 
-// campaign stands for election at the next term.
+// campaign starts an election in the next term.
 func (r *Replica) campaign(forced bool) {
 	r.becomeFollower(r.term+1, 0)
 	r.resetCampaignDeadline()
@@ -30,8 +30,8 @@
 	r.requestVotes(Message{Type: MessageVote, Term: r.term, Forced: forced})
 }
 
-// mayCampaign holds for voters whose log is whole.
-func (r *Replica) mayCampaign() bool {
+// canCampaign reports whether this replica is a voter and not installing a snapshot.
+func (r *Replica) canCampaign() bool {
 	return r.configuration().HasVoter(r.config.ID) && r.log.snapshot == nil
 }
 
@@ -45,15 +45,16 @@
 	}
 }
 
-// handleVoteRequest answers a candidate. The replica does not consult its own
-// configuration, which may lag: a candidate asks and counts only voters of
-// its own, and a learner that was promoted without knowing it must vote.
+// handleVoteRequest responds to a vote or pre-vote request. It does not check
+// this replica's configuration, which may be stale: a candidate asks and counts
+// only voters of its own configuration, and a promoted learner must vote even
+// before it has received its promotion.
 func (r *Replica) handleVoteRequest(request Message) {
 	responseType := MessageVoteResponse
 	if request.Type == MessagePreVote {
 		responseType = MessagePreVoteResponse
 	}
-	if !r.mayVoteFor(request) {
+	if !r.canVoteFor(request) {
 		r.send(Message{Type: responseType, To: request.From, Reject: true})
 		return
 	}
@@ -64,24 +65,24 @@
 	r.send(Message{Type: responseType, To: request.From, Term: request.Term})
 }
 
-func (r *Replica) mayVoteFor(request Message) bool {
+func (r *Replica) canVoteFor(request Message) bool {
 	if !r.log.upToDate(request.Index, request.LogTerm) {
 		return false
 	}
 	if request.Term > r.term {
-		return true // only a pre-vote gets here without having raised the term
+		return true // pre-vote: a vote request has already raised r.term
 	}
 	return r.vote == request.From || (r.vote == 0 && r.leader == 0)
 }
 
 func (r *Replica) handleVoteResponse(response Message) {
-	wanted, term := MessageVoteResponse, r.term
+	expectedType, term := MessageVoteResponse, r.term
 	if r.role == RolePreCandidate {
-		wanted, term = MessagePreVoteResponse, r.term+1
+		expectedType, term = MessagePreVoteResponse, r.term+1
 	} else if r.role != RoleCandidate {
 		return
 	}
-	if response.Type != wanted || (!response.Reject && response.Term != term) {
+	if response.Type != expectedType || (!response.Reject && response.Term != term) {
 		return
 	}
 	r.votes[response.From] = !response.Reject
@@ -95,7 +96,7 @@
 	r.becomeLeader()
 }
 
-// wonElection counts the voters of the configuration in force here.
+// wonElection reports whether a quorum of the active configuration granted its vote.
 func (r *Replica) wonElection() bool {
 	granted := 0
 	for _, voter := range r.configuration().Voters {
@@ -106,9 +107,9 @@
 	return granted >= r.configuration().Quorum()
 }
 
-// handleTimeoutNow starts the election that ends a leadership transfer.
+// handleTimeoutNow starts the election that completes a leadership transfer.
 func (r *Replica) handleTimeoutNow() {
-	if r.role == RoleFollower && r.mayCampaign() {
+	if r.role == RoleFollower && r.canCampaign() {
 		r.campaign(true)
 	}
 }
--- a/internal/ledger/replication/follower.go
+++ b/internal/ledger/replication/follower.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// handleFromLeader takes what only the leader of the present term sends.
+// handleFromLeader handles messages that only the leader of the current term sends.
 func (r *Replica) handleFromLeader(message Message) {
 	if r.role == RoleLeader {
-		r.log.fail(fmt.Errorf("replication: %s claims to lead at this leader's term %d", message.From, r.term))
+		r.log.fail(fmt.Errorf("replication: %s also claims to be the leader of term %d", message.From, r.term))
 		return
 	}
 	if r.role != RoleFollower || r.leader != message.From {
 		r.becomeFollower(message.Term, message.From)
 	}
-	r.leaderHeard = r.now
+	r.lastLeaderContact = r.now
 	r.resetElectionDeadline()
 	switch message.Type {
 	case MessageAppend:
@@ -34,18 +34,19 @@
 		return
 	}
 	if from := r.log.merge(message.Entries); from > 0 {
-		r.noteConfigurations(from, message.Entries)
+		r.recordConfigurations(from, message.Entries)
 	}
 	last := message.Index + uint64(len(message.Entries))
 	r.log.commitTo(min(message.Commit, last))
 	r.send(Message{Type: MessageAppendResponse, To: message.From, Index: last})
 }
 
-// rejectAppend hints at the last position that can match: the leader has
-// nothing before the message's position with a term above the message's.
+// rejectAppend responds with the last position that can match as a hint. Terms
+// never decrease along the leader's log, so up to message.Index it has no term
+// above message.LogTerm.
 func (r *Replica) rejectAppend(message Message) {
 	last := min(message.Index, r.log.lastIndex())
-	hint, term := r.log.lastNotAbove(last, message.LogTerm, r.log.committed)
+	hint, term := r.log.lastWithTermAtMost(last, message.LogTerm, r.log.committed)
 	r.send(Message{
 		Type: MessageAppendResponse, To: message.From, Reject: true,
 		Index: message.Index, Hint: hint, LogTerm: term,
@@ -55,7 +56,7 @@
 func (r *Replica) handleSnapshot(message Message) {
 	marker := message.Snapshot
 	if marker.Index > r.log.committed && r.log.matches(marker.Index, marker.Term) {
-		r.log.commitTo(marker.Index) // the log holds it all: nothing to install
+		r.log.commitTo(marker.Index) // the log already contains the snapshot
 	}
 	if marker.Index > r.log.committed {
 		r.log.restore(marker)
--- a/internal/ledger/replication/leader.go
+++ b/internal/ledger/replication/leader.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// leadership is what a replica keeps only while it leads.
-type leadership struct {
+// leaderState is the state that a replica keeps only while it is the leader.
+type leaderState struct {
 	progress map[ReplicaID]*progress
-	// termStart is the entry that opened the leader's term. Once it is
-	// committed, so is everything that earlier leaders committed.
+	// termStart is the index of the first entry of the leader's term. Once it
+	// is committed, so is every entry that an earlier leader committed.
 	termStart uint64
-	// uncommitted counts the bytes of proposals that are not committed yet.
+	// uncommitted counts the bytes of uncommitted proposals.
 	uncommitted       window
 	heartbeatDeadline time.Time
 
-	// round is the newest read round that was announced to the followers.
+	// round is the latest read round sent to the followers.
 	round uint64
 	reads []pendingRead
 
@@ -26,70 +26,70 @@
 func (r *Replica) becomeLeader() {
 	r.becomeFollower(r.term, r.config.ID)
 	r.role = RoleLeader
-	r.leading = leadership{
+	r.leaderState = leaderState{
 		progress:          map[ReplicaID]*progress{},
 		termStart:         r.log.lastIndex() + 1,
 		heartbeatDeadline: r.now.Add(r.config.HeartbeatInterval),
 	}
 	r.trackMembers()
-	r.appendOwn(EntryNormal, nil)
+	r.appendEntry(EntryNormal, nil)
 }
 
-// trackMembers keeps one progress for each member of the configuration.
+// trackMembers updates the progress map to the members of the active configuration.
 func (r *Replica) trackMembers() {
 	members := r.configuration().Members()
 	for _, id := range members {
-		if r.leading.progress[id] == nil {
-			r.leading.progress[id] = &progress{next: r.log.lastIndex() + 1, lastHeard: r.now}
+		if r.leaderState.progress[id] == nil {
+			r.leaderState.progress[id] = &progress{next: r.log.lastIndex() + 1, lastHeard: r.now}
 		}
 	}
-	for id := range r.leading.progress {
+	for id := range r.leaderState.progress {
 		if !slices.Contains(members, id) {
-			delete(r.leading.progress, id)
+			delete(r.leaderState.progress, id)
 		}
 	}
-	r.confirmOwn()
+	r.updateOwnProgress()
 }
 
-// confirmOwn counts this leader's own log as far as it is persisted.
-func (r *Replica) confirmOwn() {
-	if own := r.leading.progress[r.config.ID]; own != nil {
+// updateOwnProgress sets the leader's own match index to its last persisted index.
+func (r *Replica) updateOwnProgress() {
+	if own := r.leaderState.progress[r.config.ID]; own != nil {
 		own.confirm(r.log.stable, r.now)
 	}
 }
 
-// Propose appends data to the log. It returns the entry's index and term: the
-// proposal is committed once an entry with both is handed out to be applied,
-// and lost once another term's entry is committed at that index.
+// Propose appends data to the log and returns the entry's index and term. The
+// proposal is committed once Ready.CommittedEntries contains an entry with both,
+// and lost once an entry of another term is committed at that index.
 func (r *Replica) Propose(data []byte) (index, term uint64, err error) {
-	if err := r.mayPropose(); err != nil {
+	if err := r.checkProposable(); err != nil {
 		return 0, 0, err
 	}
 	if len(data) > MaxEntryBytes {
 		return 0, 0, ErrEntryTooLarge
 	}
-	if r.leading.uncommitted.bytes > r.config.MaxUncommittedBytes {
-		return 0, 0, ErrTooManyPending
+	if r.leaderState.uncommitted.bytes > r.config.MaxUncommittedBytes {
+		return 0, 0, ErrTooManyUncommitted
 	}
-	return r.appendOwn(EntryNormal, data), r.term, nil
+	return r.appendEntry(EntryNormal, data), r.term, nil
 }
 
-func (r *Replica) mayPropose() error {
+func (r *Replica) checkProposable() error {
 	switch {
 	case r.Err() != nil:
 		return r.Err()
 	case r.role != RoleLeader:
 		return ErrNotLeader
-	case r.leading.transferTo != 0:
+	case r.leaderState.transferTo != 0:
 		return ErrTransferring
 	}
 	return nil
 }
 
-func (r *Replica) appendOwn(entryType EntryType, data []byte) uint64 {
+func (r *Replica) appendEntry(entryType EntryType, data []byte) uint64 {
 	entry := Entry{Index: r.log.lastIndex() + 1, Term: r.term, Type: entryType, Data: data}
 	r.log.append(entry)
-	r.leading.uncommitted.add(entry.Index, entry.size())
+	r.leaderState.uncommitted.add(entry.Index, entry.size())
 	return entry.Index
 }
 
@@ -98,19 +98,19 @@
 		r.becomeFollower(r.term, 0)
 		return
 	}
-	if r.leading.transferTo != 0 && !r.now.Before(r.leading.transferDeadline) {
-		r.leading.transferTo = 0
+	if r.leaderState.transferTo != 0 && !r.now.Before(r.leaderState.transferDeadline) {
+		r.leaderState.transferTo = 0
 	}
-	if !r.now.Before(r.leading.heartbeatDeadline) {
+	if !r.now.Before(r.leaderState.heartbeatDeadline) {
 		r.broadcastHeartbeat()
 	}
 }
 
-// heardFromQuorum says whether a quorum answered within the election timeout.
+// heardFromQuorum reports whether a quorum responded within the election timeout.
 func (r *Replica) heardFromQuorum() bool {
 	heard := 0
 	for _, voter := range r.configuration().Voters {
-		recent := r.now.Sub(r.leading.progress[voter].lastHeard) <= r.config.ElectionTimeout
+		recent := r.now.Sub(r.leaderState.progress[voter].lastHeard) <= r.config.ElectionTimeout
 		if voter == r.config.ID || recent {
 			heard++
 		}
@@ -119,36 +119,35 @@
 }
 
 func (r *Replica) broadcastHeartbeat() {
-	r.leading.heartbeatDeadline = r.now.Add(r.config.HeartbeatInterval)
+	r.leaderState.heartbeatDeadline = r.now.Add(r.config.HeartbeatInterval)
 	for _, id := range r.followers() {
 		r.send(Message{
 			Type: MessageHeartbeat, To: id,
-			Commit: min(r.log.committed, r.leading.progress[id].match),
-			Round:  r.leading.round,
+			Commit: min(r.log.committed, r.leaderState.progress[id].match),
+			Round:  r.leaderState.round,
 		})
 	}
 }
 
-// followers lists the other members in rising order.
+// followers returns the other members in ascending order.
 func (r *Replica) followers() []ReplicaID {
 	members := r.configuration().Members()
 	return slices.DeleteFunc(members, func(id ReplicaID) bool { return id == r.config.ID })
 }
 
-// broadcastAppends sends every follower what it lacks, as far as its window
-// allows. It runs once for each Ready, so that proposals travel in batches.
+// broadcastAppends sends every follower the entries it lacks, within its window.
+// It runs once per collection of messages, so that proposals are batched.
 func (r *Replica) broadcastAppends() {
 	for _, id := range r.followers() {
-		for r.sendAppend(id, r.leading.progress[id]) {
+		for r.sendAppend(id, r.leaderState.progress[id]) {
 			continue
 		}
 	}
 }
 
-// sendAppend sends one append or a snapshot; it returns whether there may be
-// more to send now.
+// sendAppend sends one append or snapshot and reports whether more may follow now.
 func (r *Replica) sendAppend(to ReplicaID, p *progress) bool {
-	if !r.maySend(p) {
+	if !r.canSend(p) {
 		return false
 	}
 	previous := p.next - 1
@@ -159,14 +158,14 @@
 		return false
 	}
 	if p.match == previous {
-		p.movedAt = r.now
+		p.progressedAt = r.now
 	}
 	r.send(Message{
 		Type: MessageAppend, To: to, Index: previous, LogTerm: term,
 		Commit: r.log.committed, Entries: entries,
 	})
 	if p.state == progressProbe {
-		p.waiting = true
+		p.probeSent = true
 		return false
 	}
 	if len(entries) == 0 {
@@ -177,10 +176,10 @@
 	return p.next <= r.log.lastIndex()
 }
 
-func (r *Replica) maySend(p *progress) bool {
+func (r *Replica) canSend(p *progress) bool {
 	switch p.state {
 	case progressProbe:
-		return !p.waiting
+		return !p.probeSent
 	case progressReplicate:
 		return p.next <= r.log.lastIndex() && p.window.bytes < r.config.MaxInflightBytes
 	default:
@@ -208,10 +207,10 @@
 	r.send(Message{Type: MessageSnapshot, To: to, Snapshot: marker})
 }
 
-// ReportSnapshot tells the leader that the transfer of a snapshot has ended;
-// after a failure the follower is probed, and sent another, at once.
+// ReportSnapshot tells the leader that a snapshot transfer has ended. After a
+// failure, it probes the follower at once and may send another snapshot.
 func (r *Replica) ReportSnapshot(to ReplicaID, installed bool) {
-	p := r.leading.progress[to]
+	p := r.leaderState.progress[to]
 	if p == nil || p.state != progressSnapshot {
 		return
 	}
@@ -222,12 +221,12 @@
 	p.probeFrom(p.match + 1)
 }
 
-// hear returns the sender's progress, if this replica leads and tracks it.
-func (r *Replica) hear(from ReplicaID) *progress {
+// recordResponse updates and returns the sender's progress, or nil if not tracked.
+func (r *Replica) recordResponse(from ReplicaID) *progress {
 	if r.role != RoleLeader {
 		return nil
 	}
-	p := r.leading.progress[from]
+	p := r.leaderState.progress[from]
 	if p != nil {
 		p.lastHeard = r.now
 	}
@@ -235,7 +234,7 @@
 }
 
 func (r *Replica) handleAppendResponse(response Message) {
-	p := r.hear(response.From)
+	p := r.recordResponse(response.From)
 	if p == nil {
 		return
 	}
@@ -245,8 +244,8 @@
 	}
 	before := p.match
 	p.confirm(min(response.Index, r.log.lastIndex()), r.now)
-	// A follower may install an older snapshot than the last one it was
-	// offered; what it lacks after that may still be in the log.
+	// A follower may install an older snapshot than the last one sent to it;
+	// the entries after that may still be in the log.
 	if p.state == progressProbe || (p.state == progressSnapshot && p.match > before) {
 		p.replicate()
 	}
@@ -255,7 +254,7 @@
 }
 
 // handleRejection moves the probe to the last position where the logs can
-// agree: the follower's hint, or further back by this log's terms.
+// match: the follower's hint, or earlier if the terms in this log rule it out.
 func (r *Replica) handleRejection(response Message, p *progress) {
 	if response.Index <= p.match || p.state == progressSnapshot {
 		return
@@ -264,34 +263,34 @@
 		return
 	}
 	last := min(response.Hint, response.Index-1)
-	index, _ := r.log.lastNotAbove(last, response.LogTerm, min(last, p.match))
+	index, _ := r.log.lastWithTermAtMost(last, response.LogTerm, min(last, p.match))
 	p.probeFrom(index + 1)
 }
 
 func (r *Replica) handleHeartbeatResponse(response Message) {
-	p := r.hear(response.From)
+	p := r.recordResponse(response.From)
 	if p == nil {
 		return
 	}
 	if r.stalled(p) {
 		p.probeFrom(p.match + 1)
-		p.movedAt = r.now
+		p.progressedAt = r.now
 	}
 	p.round = max(p.round, response.Round)
 	r.confirmReads()
 	r.continueTransfer(response.From, p)
 }
 
-// stalled says that an append or snapshot, or its answer, must be taken for lost.
+// stalled reports whether an append, a snapshot or its response is presumed lost.
 func (r *Replica) stalled(p *progress) bool {
 	if p.state == progressSnapshot {
 		return r.now.Sub(p.snapshotSent) >= r.config.SnapshotRetry
 	}
-	return p.match < r.log.lastIndex() && r.now.Sub(p.movedAt) >= r.config.HeartbeatInterval
+	return p.match < r.log.lastIndex() && r.now.Sub(p.progressedAt) >= r.config.HeartbeatInterval
 }
 
-// advanceCommit commits what a quorum has persisted. Only entries of the
-// leader's own term are counted; older ones are committed along with them.
+// advanceCommit commits the entries that a quorum has persisted. Entries of
+// earlier terms are committed only together with one of the current term.
 func (r *Replica) advanceCommit() {
 	index := r.quorumValue(func(p *progress) uint64 { return p.match })
 	if index <= r.log.committed {
@@ -301,37 +300,37 @@
 		return
 	}
 	r.log.commitTo(index)
-	r.leading.uncommitted.release(index)
+	r.leaderState.uncommitted.release(index)
 }
 
-// quorumValue is the highest value that a quorum of voters has reached.
+// quorumValue returns the highest value that a quorum of voters has reached.
 func (r *Replica) quorumValue(value func(*progress) uint64) uint64 {
 	voters := r.configuration().Voters
 	values := make([]uint64, 0, len(voters))
 	for _, voter := range voters {
-		values = append(values, value(r.leading.progress[voter]))
+		values = append(values, value(r.leaderState.progress[voter]))
 	}
 	slices.Sort(values)
 	return values[len(values)-r.configuration().Quorum()]
 }
 
-// TransferLeadership hands leadership to a voter: proposals are refused until
-// it leads or the election timeout passes.
+// TransferLeadership starts a transfer of leadership to a voter. Proposals are
+// rejected until that voter is the leader or the election timeout has passed.
 func (r *Replica) TransferLeadership(to ReplicaID) error {
-	if err := r.mayPropose(); err != nil {
+	if err := r.checkProposable(); err != nil {
 		return err
 	}
 	if to == r.config.ID || !r.configuration().HasVoter(to) {
-		return ErrChangeRefused
+		return ErrChangeRejected
 	}
-	r.leading.transferTo = to
-	r.leading.transferDeadline = r.now.Add(r.config.ElectionTimeout)
-	r.continueTransfer(to, r.leading.progress[to])
+	r.leaderState.transferTo = to
+	r.leaderState.transferDeadline = r.now.Add(r.config.ElectionTimeout)
+	r.continueTransfer(to, r.leaderState.progress[to])
 	return nil
 }
 
 func (r *Replica) continueTransfer(from ReplicaID, p *progress) {
-	if from == r.leading.transferTo && p.match == r.log.lastIndex() {
+	if from == r.leaderState.transferTo && p.match == r.log.lastIndex() {
 		r.send(Message{Type: MessageTimeoutNow, To: from})
 	}
 }
--- a/internal/ledger/replication/liveness_test.go
+++ b/internal/ledger/replication/liveness_test.go
@@ -7,15 +7,16 @@
 	"github.com/onsi/gomega"
 )
 
-// elect starts a shard and waits for its first leader.
-func elect(g *gomega.WithT, seed uint64, voters, spares int) (*simulation, *simulatedNode) {
+// newSimulationWithLeader starts a shard and waits until it has a leader.
+func newSimulationWithLeader(g *gomega.WithT, seed uint64, voters, spares int) (*simulation, *simulatedNode) {
 	s := newSimulation(seed, voters, spares)
 	g.Expect(s.runUntil(5*time.Second, func() bool { return s.leader() != nil })).To(gomega.BeTrue(), s.oracle.failure)
 	return s, s.leader()
 }
 
-// commits proposes at the present leader until something new is committed.
-func (s *simulation) commits(limit time.Duration) bool {
+// commitsWithin proposes to the current leader until a new entry is acknowledged
+// and reports whether that happens within limit.
+func (s *simulation) commitsWithin(limit time.Duration) bool {
 	before := len(s.oracle.acked)
 	return s.runUntil(limit, func() bool {
 		if leader := s.leader(); leader != nil {
@@ -34,55 +35,57 @@
 	"isolation": (*simulation).isolate,
 }
 
-func TestLeaderLossIsRepairedWithinTwoSeconds(t *testing.T) {
+// Guards against a shard without a leader for long after the leader's node fails.
+func TestNewLeaderElectedWithinTwoSeconds(t *testing.T) {
 	for name, fault := range nodeFaults {
 		for _, voters := range []int{3, 5} {
 			t.Run(name, func(t *testing.T) {
 				g := gomega.NewWithT(t)
 				worst := time.Duration(0)
 				for seed := range uint64(seedsPerCase) {
-					s, old := elect(g, seed, voters, 0)
-					g.Expect(s.commits(time.Second)).To(gomega.BeTrue())
+					s, old := newSimulationWithLeader(g, seed, voters, 0)
+					g.Expect(s.commitsWithin(time.Second)).To(gomega.BeTrue())
 					from := s.now
 					fault(s, old)
 					elected := s.runUntil(2*time.Second, func() bool { return s.leader() != nil && s.leader() != old })
 					g.Expect(elected).To(gomega.BeTrue(), "seed %d: %s", seed, s.oracle.failure)
 					worst = max(worst, s.now.Sub(from))
-					g.Expect(s.commits(time.Second)).To(gomega.BeTrue(), "seed %d: %s", seed, s.oracle.failure)
+					g.Expect(s.commitsWithin(time.Second)).To(gomega.BeTrue(), "seed %d: %s", seed, s.oracle.failure)
 				}
-				t.Logf("%d voters: slowest new leader after %v of virtual time", voters, worst)
+				t.Logf("%d voters: slowest election took %v of virtual time", voters, worst)
 			})
 		}
 	}
 }
 
-// repairUntilWhole replaces every lost replica, step by step.
-func (s *simulation) repairUntilWhole(limit time.Duration) bool {
+// repairAll replaces all lost replicas and reports whether it is done within limit.
+func (s *simulation) repairAll(limit time.Duration) bool {
 	m := &faultMachine{simulation: s}
 	for position := range s.nodes {
-		m.wanted = append(m.wanted, position)
+		m.desired = append(m.desired, position)
 	}
 	return s.runUntil(limit, func() bool {
-		s.repair(m.wantedIDs())
+		s.repair(m.desiredIDs())
 		return m.repaired()
 	})
 }
 
-func TestAnyTwoDiskLossesAreRepaired(t *testing.T) {
+// Guards against losing acknowledged entries when any two of five disks are lost.
+func TestRepairAfterAnyTwoDiskLosses(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const voters = 5
 	for first := range voters {
 		for second := first + 1; second < voters; second++ {
-			s, _ := elect(g, uint64(first*voters+second), voters, 0)
+			s, _ := newSimulationWithLeader(g, uint64(first*voters+second), voters, 0)
 			for range 20 {
-				g.Expect(s.commits(time.Second)).To(gomega.BeTrue())
+				g.Expect(s.commitsWithin(time.Second)).To(gomega.BeTrue())
 			}
-			for _, lost := range []int{first, second} { // at the very moment of the last acknowledgement
+			for _, lost := range []int{first, second} { // immediately after the last acknowledgement
 				s.loseDisk(s.nodes[lost])
 				s.start(s.nodes[lost])
 			}
-			g.Expect(s.repairUntilWhole(10*time.Second)).To(gomega.BeTrue(), "%d and %d lost: %s", first, second, s.oracle.failure)
-			g.Expect(s.commits(time.Second)).To(gomega.BeTrue())
+			g.Expect(s.repairAll(10*time.Second)).To(gomega.BeTrue(), "%d and %d lost: %s", first, second, s.oracle.failure)
+			g.Expect(s.commitsWithin(time.Second)).To(gomega.BeTrue())
 			g.Expect(s.run(time.Second)).To(gomega.BeEmpty())
 			for _, node := range s.nodes {
 				g.Expect(node.disk.applied.Index).To(gomega.BeNumerically(">=", s.oracle.observed))
@@ -91,21 +94,23 @@
 	}
 }
 
-func TestAnyTwoFaultsAtOnceAreOutlived(t *testing.T) {
+// Guards against lost entries or a permanently unavailable shard after two of
+// five nodes fail.
+func TestRecoveryFromAnyTwoConcurrentFaults(t *testing.T) {
 	for first, firstFault := range nodeFaults {
 		for second, secondFault := range nodeFaults {
 			t.Run(first+" and "+second, func(t *testing.T) {
 				g := gomega.NewWithT(t)
 				for seed := range uint64(seedsPerCase) {
-					s, leader := elect(g, seed, 5, 0)
-					g.Expect(s.commits(time.Second)).To(gomega.BeTrue())
-					victim := int(seed) % 2 // the leader and another, or two others
-					firstFault(s, s.nodes[(leader.position+victim)%5])
+					s, leader := newSimulationWithLeader(g, seed, 5, 0)
+					g.Expect(s.commitsWithin(time.Second)).To(gomega.BeTrue())
+					offset := int(seed) % 2 // 0: the leader and a follower; 1: two followers
+					firstFault(s, s.nodes[(leader.position+offset)%5])
 					s.run(time.Duration(seed) * 10 * time.Millisecond)
-					secondFault(s, s.nodes[(leader.position+victim+1)%5])
-					g.Expect(s.commits(3*time.Second)).To(gomega.BeTrue(), "seed %d: %s", seed, s.oracle.failure)
+					secondFault(s, s.nodes[(leader.position+offset+1)%5])
+					g.Expect(s.commitsWithin(3*time.Second)).To(gomega.BeTrue(), "seed %d: %s", seed, s.oracle.failure)
 					s.heal()
-					g.Expect(s.repairUntilWhole(10*time.Second)).To(gomega.BeTrue(), "seed %d: %s", seed, s.oracle.failure)
+					g.Expect(s.repairAll(10*time.Second)).To(gomega.BeTrue(), "seed %d: %s", seed, s.oracle.failure)
 					g.Expect(s.run(time.Second)).To(gomega.BeEmpty())
 					for _, node := range s.nodes {
 						g.Expect(node.disk.applied.Index).To(gomega.BeNumerically(">=", s.oracle.observed))
@@ -116,23 +121,24 @@
 	}
 }
 
-func TestCutNodeCausesNoElection(t *testing.T) {
+// Guards against a reconnected follower that disrupts the leader's term.
+func TestPartitionedFollowerCausesNoElection(t *testing.T) {
 	cuts := map[string]func(s *simulation, leader, node *simulatedNode){
 		"from all": func(s *simulation, _, node *simulatedNode) { s.isolate(node) },
 		"from the leader": func(s *simulation, leader, node *simulatedNode) {
-			s.cut[[2]int{leader.position, node.position}] = true
+			s.blocked[[2]int{leader.position, node.position}] = true
 		},
 	}
 	for name, cut := range cuts {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			for seed := range uint64(seedsPerCase) {
-				s, leader := elect(g, seed, 5, 0)
+				s, leader := newSimulationWithLeader(g, seed, 5, 0)
 				term := leader.replica.Status().Term
 				node := s.nodes[(leader.position+1)%5]
 				cut(s, leader, node)
 				s.run(10 * time.Second)
-				g.Expect(s.commits(time.Second)).To(gomega.BeTrue())
+				g.Expect(s.commitsWithin(time.Second)).To(gomega.BeTrue())
 				s.heal()
 				g.Expect(s.run(2 * time.Second)).To(gomega.BeEmpty())
 				g.Expect(leader.replica.Status().Term).To(gomega.Equal(term), "seed %d", seed)
@@ -142,49 +148,54 @@
 	}
 }
 
+// Guards against an isolated leader that keeps its role.
 func TestLeaderWithoutQuorumStepsDown(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s, leader := elect(g, 3, 5, 0)
+	s, leader := newSimulationWithLeader(g, 3, 5, 0)
 	s.isolate(leader)
 	s.run(DefaultElectionTimeout + DefaultHeartbeatInterval + tickInterval)
 	g.Expect(leader.replica.Status().Role).NotTo(gomega.Equal(RoleLeader))
 }
 
-func TestPausedLeaderServesNothingWhenItResumes(t *testing.T) {
+// Guards against a leader that serves reads or commits entries on resuming from
+// a pause during which it was replaced.
+func TestResumedLeaderServesNoStaleRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for seed := range uint64(seedsPerCase) {
-		s, old := elect(g, seed, 5, 0)
+		s, old := newSimulationWithLeader(g, seed, 5, 0)
 		old.paused = true
-		g.Expect(s.commits(3*time.Second)).To(gomega.BeTrue(), "seed %d: %s", seed, s.oracle.failure)
-		old.paused = false // and no message has reached it yet
+		g.Expect(s.commitsWithin(3*time.Second)).To(gomega.BeTrue(), "seed %d: %s", seed, s.oracle.failure)
+		old.paused = false // before any message reaches it
 		s.read(old)
 		index, _, err := old.replica.Propose([]byte("too late"))
-		g.Expect(err).NotTo(gomega.HaveOccurred(), "it still believes that it leads")
-		old.acks[index] = old.replica.term
+		g.Expect(err).NotTo(gomega.HaveOccurred(), "the resumed replica must still be in the leader role")
+		old.proposals[index] = old.replica.term
 		g.Expect(s.run(3*time.Second)).To(gomega.BeEmpty(), "seed %d", seed)
 		for _, entry := range s.oracle.entries {
 			g.Expect(string(entry.Data)).NotTo(gomega.Equal("too late"))
 		}
-		g.Expect(old.aborted).To(gomega.Equal(1), "the read is answered with an error")
+		g.Expect(old.abortedReads).To(gomega.Equal(1), "the read must be aborted")
 	}
 }
 
+// Guards against a leader that keeps its role without being able to persist, and
+// against needless elections when disks are only slow.
 func TestLeaderWithHangingDiskIsReplaced(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for seed := range uint64(seedsPerCase) {
-		s, leader := elect(g, seed, 5, 0)
+		s, leader := newSimulationWithLeader(g, seed, 5, 0)
 		term := leader.replica.Status().Term
-		s.noise.maxWrite = DefaultWriteTimeout
+		s.conditions.maxWrite = DefaultWriteTimeout
 		for range 100 {
 			s.propose(leader)
 			s.run(100 * time.Millisecond)
 		}
-		g.Expect(leader.replica.Status().Term).To(gomega.Equal(term), "slow disks cause no election (seed %d)", seed)
-		s.noise.maxWrite = calmDelay
+		g.Expect(leader.replica.Status().Term).To(gomega.Equal(term), "slow disks must not cause an election (seed %d)", seed)
+		s.conditions.maxWrite = normalDelay
 		s.run(time.Second)
 		s.propose(leader)
-		g.Expect(leader.writing).NotTo(gomega.BeNil())
-		leader.generation++ // the write never ends, but everything else goes on
+		g.Expect(leader.pendingReady).NotTo(gomega.BeNil())
+		leader.generation++ // the write never completes; the tick below restarts the timer
 		s.tick(leader)
 		replaced := s.runUntil(DefaultWriteTimeout+2*time.Second, func() bool {
 			return s.leader() != nil && s.leader() != leader
@@ -193,22 +204,24 @@
 	}
 }
 
-func TestLeadershipIsTransferred(t *testing.T) {
+// Guards against a transfer that only takes effect after an election timeout.
+func TestLeadershipTransfersToVoter(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for seed := range uint64(seedsPerCase) {
-		s, leader := elect(g, seed, 5, 0)
-		heir := s.nodes[(leader.position+1)%5]
-		s.transfer(heir)
-		moved := s.runUntil(200*time.Millisecond, func() bool { return s.leader() == heir })
+		s, leader := newSimulationWithLeader(g, seed, 5, 0)
+		successor := s.nodes[(leader.position+1)%5]
+		s.transfer(successor)
+		moved := s.runUntil(200*time.Millisecond, func() bool { return s.leader() == successor })
 		g.Expect(moved).To(gomega.BeTrue(), "seed %d: %s", seed, s.oracle.failure)
-		g.Expect(s.commits(time.Second)).To(gomega.BeTrue())
+		g.Expect(s.commitsWithin(time.Second)).To(gomega.BeTrue())
 	}
 }
 
-func TestLostSnapshotIsSentAgain(t *testing.T) {
+// Guards against a learner that waits forever after a MessageSnapshot is lost.
+func TestLostSnapshotIsResent(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s, leader := elect(g, 7, 3, 1)
-	g.Expect(s.commits(time.Second)).To(gomega.BeTrue())
+	s, leader := newSimulationWithLeader(g, 7, 3, 1)
+	g.Expect(s.commitsWithin(time.Second)).To(gomega.BeTrue())
 	s.compact(leader, 0)
 	lost := 0
 	s.drop = func(message Message) bool {
@@ -218,11 +231,11 @@
 		lost++
 		return true
 	}
-	newcomer := s.nodes[3]
-	_, _, err := leader.replica.ProposeConfig(Change{AddLearner, newcomer.id})
+	learner := s.nodes[3]
+	_, _, err := leader.replica.ProposeConfig(Change{AddLearner, learner.id})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	s.proceed(leader)
-	caughtUp := s.runUntil(5*time.Second, func() bool { return leader.replica.CaughtUp(newcomer.id) })
+	s.processReady(leader)
+	caughtUp := s.runUntil(5*time.Second, func() bool { return leader.replica.CaughtUp(learner.id) })
 	g.Expect(caughtUp).To(gomega.BeTrue(), s.oracle.failure)
 	g.Expect(lost).To(gomega.Equal(1))
 }
--- a/internal/ledger/replication/log.go
+++ b/internal/ledger/replication/log.go
@@ -6,28 +6,28 @@
 	"sort"
 )
 
-// entryOverhead is what an entry costs beside its data, in bytes.
+// entryOverhead is the estimated size of an entry without its data, in bytes.
 const entryOverhead = 32
 
 func (e Entry) size() int { return len(e.Data) + entryOverhead }
 
-// log is the replica's view of its log: what is on disk, followed by a tail
-// in memory. The tail holds everything that is not persisted yet, and the
-// newest entries that are. Where both hold an index, the tail is right: the
-// disk may still hold entries that the next Ready replaces.
+// log combines the log on disk with a tail in memory. The tail holds all
+// entries not yet persisted and the latest persisted ones. Where both contain
+// an index, the tail takes precedence: the disk may still hold entries that
+// the next Ready replaces.
 type log struct {
 	storage Storage
-	// tail holds the entries from tailStart on.
+	// tail holds the entries from index tailStart on.
 	tail      []Entry
 	tailStart uint64
 	tailBytes int
-	// stable is the last index that is persisted as the tail has it.
+	// stable is the last index whose entry on disk is the same as in this log.
 	stable    uint64
 	committed uint64
 	applied   uint64
-	// snapshot awaits its installation by the shell.
+	// snapshot is the marker of a snapshot that the caller has yet to install.
 	snapshot *SnapshotMarker
-	// failure is the first error of the storage; the replica stops for it.
+	// failure is the first fatal error; the replica stops when it is set.
 	failure error
 }
 
@@ -45,7 +45,7 @@
 		return nil, fmt.Errorf("replication: read last index: %w", err)
 	}
 	if last < marker.Index || last < hard.Commit {
-		return nil, fmt.Errorf("replication: the log ends at %d, before the applied index %d or the commit index %d",
+		return nil, fmt.Errorf("replication: last log index %d is below the applied index %d or the commit index %d",
 			last, marker.Index, hard.Commit)
 	}
 	return &log{
@@ -70,7 +70,7 @@
 	return term
 }
 
-// firstIndex is the first entry that can be read.
+// firstIndex returns the index of the first entry that has not been compacted.
 func (l *log) firstIndex() uint64 {
 	if l.snapshot != nil {
 		return l.snapshot.Index + 1
@@ -82,7 +82,7 @@
 	return first
 }
 
-// term returns false when the log does not hold the index, or no longer.
+// term returns the term at index, or false if it is beyond the log or compacted.
 func (l *log) term(index uint64) (uint64, bool) {
 	if index == 0 {
 		return 0, true
@@ -108,19 +108,19 @@
 }
 
 func (l *log) matches(index, term uint64) bool {
-	held, ok := l.term(index)
-	return ok && held == term
+	stored, ok := l.term(index)
+	return ok && stored == term
 }
 
-// upToDate says whether a log that ends at index and term holds at least
-// every entry that this one might know to be committed.
+// upToDate reports whether a log whose last entry has this index and term is at
+// least as up to date as this log, which is required to grant a vote.
 func (l *log) upToDate(index, term uint64) bool {
-	own := l.lastTerm()
-	return term > own || (term == own && index >= l.lastIndex())
+	ownTerm := l.lastTerm()
+	return term > ownTerm || (term == ownTerm && index >= l.lastIndex())
 }
 
-// entries returns from ≤ index < to within maxBytes, at least one; nil when
-// the log no longer holds from.
+// entries returns the entries with from ≤ index < to, limited to maxBytes but
+// at least one. It returns nil if the range is empty or from is compacted.
 func (l *log) entries(from, to uint64, maxBytes int) []Entry {
 	to = min(to, l.lastIndex()+1)
 	if from >= to {
@@ -142,7 +142,8 @@
 	return limitBytes(stored, maxBytes)
 }
 
-// limitBytes returns a prefix, which the caller must not append to.
+// limitBytes returns the longest prefix within maxBytes, but at least one entry.
+// The caller must not append to it.
 func limitBytes(entries []Entry, maxBytes int) []Entry {
 	size := 0
 	for i, entry := range entries {
@@ -154,7 +155,7 @@
 	return entries[:len(entries):len(entries)]
 }
 
-// append adds entries after the last one.
+// append adds entries to the end of the log.
 func (l *log) append(entries ...Entry) {
 	for _, entry := range entries {
 		l.tail = append(l.tail, entry)
@@ -162,16 +163,16 @@
 	}
 }
 
-// merge takes entries that follow a matching position, keeps those that it
-// has, and replaces everything from the first difference on. It returns the
-// index of the first entry that is new, zero when none is.
+// merge adds entries that follow a matching position: from the first entry
+// that conflicts or is missing, they replace the rest of the log. It returns
+// the index of that entry, or zero if the log already contains them all.
 func (l *log) merge(entries []Entry) uint64 {
 	for i, entry := range entries {
 		if l.matches(entry.Index, entry.Term) {
 			continue
 		}
 		if entry.Index <= l.committed {
-			l.fail(fmt.Errorf("replication: a committed entry %d would be replaced", entry.Index))
+			l.fail(fmt.Errorf("replication: append conflicts with committed entry %d", entry.Index))
 			return 0
 		}
 		l.truncate(entry.Index)
@@ -181,26 +182,26 @@
 	return 0
 }
 
-// truncate drops the entries from index on.
+// truncate removes the entries from index on.
 func (l *log) truncate(index uint64) {
 	if index > l.lastIndex() {
 		return
 	}
 	l.stable = min(l.stable, index-1)
-	kept := l.tail[:0:0]
+	retained := l.tail[:0:0]
 	if index > l.tailStart {
-		kept = append(kept, l.tail[:index-l.tailStart]...)
+		retained = append(retained, l.tail[:index-l.tailStart]...)
 	} else {
 		l.tailStart = index
 	}
 	l.tail, l.tailBytes = nil, 0
-	l.append(kept...)
+	l.append(retained...)
 }
 
-// lastNotAbove finds the last index from floor to from whose term is at most
-// limit, and that term. Terms never fall along the log. Below floor nothing
-// is looked up, nor what the log no longer holds.
-func (l *log) lastNotAbove(from, limit, floor uint64) (uint64, uint64) {
+// lastWithTermAtMost returns the last index in [floor, from] whose term is at
+// most limit, and its term. It relies on terms never decreasing along the log,
+// and does not search compacted entries.
+func (l *log) lastWithTermAtMost(from, limit, floor uint64) (uint64, uint64) {
 	floor = min(from, max(floor, l.firstIndex()-1))
 	above := sort.Search(int(from-floor), func(i int) bool {
 		term, ok := l.term(floor + 1 + uint64(i))
@@ -215,7 +216,7 @@
 	l.committed = max(l.committed, min(index, l.lastIndex()))
 }
 
-// restore replaces the whole log by a snapshot that the shell has staged.
+// restore replaces the whole log with a snapshot that the caller has staged.
 func (l *log) restore(marker SnapshotMarker) {
 	l.snapshot = &marker
 	l.tail, l.tailBytes = nil, 0
@@ -224,7 +225,7 @@
 	l.committed = marker.Index
 }
 
-// unstable returns the entries that are to be persisted.
+// unstable returns the entries that are not persisted yet.
 func (l *log) unstable() []Entry {
 	if l.stable >= l.lastIndex() {
 		return nil
@@ -233,15 +234,15 @@
 	return tail[:len(tail):len(tail)]
 }
 
-// stabilized notes that the disk holds the entry at index and term and all
-// before it, unless they were replaced since.
-func (l *log) stabilized(index, term uint64) {
+// markStable records that the entries up to the given index and term are
+// persisted, unless they have been replaced since.
+func (l *log) markStable(index, term uint64) {
 	if index > l.stable && index >= l.tailStart && l.matches(index, term) {
 		l.stable = index
 	}
 }
 
-// nextToApply returns committed entries that were not handed out yet.
+// nextToApply returns the next committed entries to apply, within maxBytes.
 func (l *log) nextToApply(maxBytes int) []Entry {
 	if l.snapshot != nil || l.applied >= l.committed {
 		return nil
@@ -253,9 +254,9 @@
 	return entries
 }
 
-// shrink drops persisted and applied entries from memory: to half of maxBytes
-// once they exceed it, so that the cost of copying is spread.
-func (l *log) shrink(maxBytes int) {
+// trimTail drops persisted and applied entries from memory once the tail exceeds
+// maxBytes. It trims to half of maxBytes to amortize the cost of copying.
+func (l *log) trimTail(maxBytes int) {
 	if l.tailBytes <= maxBytes {
 		return
 	}
--- a/internal/ledger/replication/main_test.go
+++ b/internal/ledger/replication/main_test.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-// campaign says that the environment asks for a long run with fresh seeds.
-var campaign = os.Getenv("CHUTELOCK_CAMPAIGN") != ""
+// longRun selects long test runs with random seeds.
+var longRun = os.Getenv("CHUTELOCK_CAMPAIGN") != ""
 
 func TestMain(m *testing.M) {
 	flag.Parse()
 	settings := map[string]string{"rapid.seed": "1", "rapid.checks": "500", "rapid.steps": "80", "rapid.nofailfile": "true"}
-	if campaign {
+	if longRun {
 		settings = map[string]string{"rapid.checks": "10000", "rapid.steps": "80"}
 	}
 	explicit := map[string]bool{}
--- a/internal/ledger/replication/memory.go
+++ b/internal/ledger/replication/memory.go
@@ -2,19 +2,18 @@
 
 import "slices"
 
-// MemoryStorage is a Storage in memory, for tests. It keeps
-// what a shell has to keep, and is not safe for concurrent use.
+// MemoryStorage is an in-memory Storage for tests, not safe for concurrent use.
 type MemoryStorage struct {
 	hard    HardState
 	applied SnapshotMarker
-	// start precedes the first entry held.
+	// start is the position before the first stored entry.
 	start   SnapshotMarker
 	entries []Entry
 }
 
 var _ Storage = (*MemoryStorage)(nil)
 
-// NewMemoryStorage starts from a marker; the zero marker is an empty disk.
+// NewMemoryStorage returns a storage that starts at marker, zero for an empty disk.
 func NewMemoryStorage(marker SnapshotMarker) *MemoryStorage {
 	storage := &MemoryStorage{applied: marker, start: marker}
 	if marker.Index > 0 {
@@ -61,7 +60,7 @@
 	return limitBytes(s.entries[from-s.start.Index-1:to-s.start.Index-1], maxBytes), nil
 }
 
-// Persist writes what a Ready asks to be persisted.
+// Persist stores the snapshot, entries and hard state of a Ready.
 func (s *MemoryStorage) Persist(ready Ready) {
 	if ready.Snapshot != nil {
 		s.applied, s.start, s.entries = *ready.Snapshot, *ready.Snapshot, nil
@@ -75,16 +74,16 @@
 	}
 }
 
-// truncate drops the entries from index on. What Entries has returned before
-// stays as it is.
+// truncate removes the entries from index on. It copies the rest, so that slices
+// returned by Entries stay unchanged.
 func (s *MemoryStorage) truncate(index uint64) {
 	if kept := index - s.start.Index - 1; kept < uint64(len(s.entries)) {
 		s.entries = slices.Clone(s.entries[:kept])
 	}
 }
 
-// Applied notes that the state machine has applied the entry. It fails only
-// for a configuration that cannot be decoded.
+// Applied records that the state machine has applied the entry. It returns an
+// error only if the entry holds a configuration that cannot be decoded.
 func (s *MemoryStorage) Applied(entry Entry) error {
 	s.applied.Index, s.applied.Term = entry.Index, entry.Term
 	if entry.Type != EntryConfiguration {
@@ -95,7 +94,7 @@
 	return err
 }
 
-// Compact drops the entries up to index, which must be applied.
+// Compact removes the applied entries up to and including index.
 func (s *MemoryStorage) Compact(index uint64) {
 	index = min(index, s.applied.Index)
 	if index <= s.start.Index {
--- a/internal/ledger/replication/message.go
+++ b/internal/ledger/replication/message.go
@@ -6,39 +6,39 @@
 	"chutelock.dev/chutelock/internal/wire"
 )
 
-// MessageType says what a message asks or answers.
+// MessageType is the kind of a message, which determines the fields it uses.
 type MessageType uint8
 
 // Message types.
 const (
-	// MessagePreVote asks whether an election at Term could be won; it
-	// changes nothing at the receiver.
+	// MessagePreVote asks whether the receiver would vote for the sender at
+	// Term; it does not change the receiver's term or vote.
 	MessagePreVote MessageType = iota + 1
 	MessagePreVoteResponse
-	// MessageVote asks for the receiver's vote at Term.
+	// MessageVote requests the receiver's vote at Term.
 	MessageVote
 	MessageVoteResponse
-	// MessageAppend carries the Entries that follow Index and LogTerm.
+	// MessageAppend carries the Entries after Index, whose term is LogTerm.
 	MessageAppend
-	// MessageAppendResponse confirms the log up to Index, or rejects the
-	// append that followed Index with Hint and LogTerm telling where to try.
+	// MessageAppendResponse acknowledges the log up to Index, or rejects the
+	// append after Index and suggests Hint and LogTerm as the position to retry.
 	MessageAppendResponse
-	// MessageHeartbeat holds followers, and carries Commit and a read round.
+	// MessageHeartbeat prevents elections and carries Commit and a read round.
 	MessageHeartbeat
 	MessageHeartbeatResponse
-	// MessageSnapshot names the state that replaces a log too far behind.
+	// MessageSnapshot carries the marker of a snapshot to replace an outdated log.
 	MessageSnapshot
-	// MessageTimeoutNow lets the receiver start an election at once.
+	// MessageTimeoutNow makes the receiver start an election at once.
 	MessageTimeoutNow
 )
 
-// Message is what replicas of one shard send each other. Which fields a type
-// uses is said at the types.
+// Message is a message between replicas of one shard. The message types
+// document which fields they use.
 type Message struct {
 	Type   MessageType
 	Reject bool
-	// Forced marks the vote requests of a leadership transfer, which a lease
-	// on the present leader does not hold back.
+	// Forced marks vote requests of a leadership transfer, which are not
+	// ignored because of the current leader's lease.
 	Forced  bool
 	Shard   uint32
 	From    ReplicaID
@@ -48,7 +48,7 @@
 	LogTerm uint64
 	Commit  uint64
 	Hint    uint64
-	// Round numbers the leader's read rounds in heartbeats and their answers.
+	// Round is the leader's read round in heartbeats and their responses.
 	Round    uint64
 	Entries  []Entry
 	Snapshot SnapshotMarker
@@ -56,7 +56,7 @@
 
 const messageVersion = 1
 
-// fixedMessage is the fixed part of a message on the wire.
+// fixedMessage is the fixed-size part of an encoded message.
 type fixedMessage struct {
 	Type                                      MessageType
 	Reject, Forced                            bool
@@ -82,9 +82,9 @@
 	return wire.Marshal(messageVersion, fixed, fields...)
 }
 
-// UnmarshalMessage decodes what Message.Marshal encoded. Entries alias
-// encoded. A message whose entries do not follow its Index one by one is
-// refused.
+// UnmarshalMessage decodes the result of Message.Marshal. The data of Entries
+// aliases encoded. It returns an error if the entries' indexes are not
+// consecutive from Index+1.
 func UnmarshalMessage(encoded []byte) (Message, error) {
 	var fixed fixedMessage
 	fields, err := wire.Unmarshal(encoded, messageVersion, &fixed, -1)
@@ -92,7 +92,7 @@
 		return Message{}, err
 	}
 	if fixed.Type < MessagePreVote || fixed.Type > MessageTimeoutNow {
-		return Message{}, fmt.Errorf("%w: message type %d", wire.ErrLength, fixed.Type)
+		return Message{}, fmt.Errorf("%w: unknown message type %d", wire.ErrLength, fixed.Type)
 	}
 	message := Message{
 		Type: fixed.Type, Reject: fixed.Reject, Forced: fixed.Forced, Shard: fixed.Shard,
@@ -124,7 +124,7 @@
 			return nil, err
 		}
 		if entry.Index != fixed.Index+1+uint64(i) {
-			return nil, fmt.Errorf("%w: entry %d does not follow %d", wire.ErrLength, entry.Index, fixed.Index+uint64(i))
+			return nil, fmt.Errorf("%w: entry index %d does not follow %d", wire.ErrLength, entry.Index, fixed.Index+uint64(i))
 		}
 		entries[i] = entry
 	}
--- a/internal/ledger/replication/ready.go
+++ b/internal/ledger/replication/ready.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Role of a replica.
+// Role is the role of a replica in its current term.
 type Role uint8
 
 // Roles.
@@ -18,72 +18,73 @@
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
-// SoftState is what need not be persisted.
+// SoftState is the state that need not be persisted.
 type SoftState struct {
 	Role   Role
 	Leader ReplicaID // zero when none is known
 }
 
-// ReadState answers a ReadIndex. A read is linearizable once the applied
-// index has reached Index; an aborted one must be answered with an error now.
+// ReadState is the result of a ReadIndex call. The read is linearizable once the
+// applied index has reached Index. If Aborted is set, the caller must fail the
+// read at once.
 type ReadState struct {
 	Token   uint64
 	Index   uint64
 	Aborted bool
 }
 
-// Ready is what the shell has to do next; see the package's contract.
+// Ready is the work to do next, in the order given in the package documentation.
 type Ready struct {
-	// Immediate may be sent at once, before anything is persisted.
+	// Immediate may be sent at once, before the rest is persisted.
 	Immediate []Message
 	// HardState is nil when unchanged.
 	HardState *HardState
-	// Entries replace the log from the first one's index on.
+	// Entries replace the log from the index of the first one on.
 	Entries []Entry
-	// Snapshot is set when staged data must replace log and applied state.
+	// Snapshot is set if staged data must replace the log and the applied state.
 	Snapshot *SnapshotMarker
-	// MustSync is false when only the commit index changed.
+	// MustSync is false if at most the commit index needs to be persisted.
 	MustSync bool
-	// Messages may be sent only once all of the above is on disk.
+	// Messages may be sent only after all of the above is persisted.
 	Messages []Message
-	// CommittedEntries are to be applied, after persisting. An empty normal
-	// entry and a configuration are not for the state machine, but move the
-	// applied index too.
+	// CommittedEntries must be applied after the above is persisted. Empty
+	// normal entries and configurations are not passed to the state machine,
+	// but advance the applied index as well.
 	CommittedEntries []Entry
 	ReadStates       []ReadState
 	// SoftState is nil when unchanged.
 	SoftState *SoftState
 }
 
-// handedReady remembers what the shell is working on until Advance.
-type handedReady struct {
+// pendingReady records the last Ready until Advance is called.
+type pendingReady struct {
 	hardState HardState
-	lastIndex uint64 // of Entries, zero without any
+	lastIndex uint64 // of Entries; zero if there are none
 	lastTerm  uint64
 	snapshot  *SnapshotMarker
 	applied   uint64
 	since     time.Time
 }
 
-// HasReady says whether Ready would return anything to do.
+// HasReady reports whether there is work; it is false between Ready and Advance.
 func (r *Replica) HasReady() bool {
-	if r.Err() != nil || r.handed != nil {
+	if r.Err() != nil || r.pending != nil {
 		return false
 	}
-	r.flush()
+	r.queueMessages()
 	return len(r.messages) > 0 || len(r.readStates) > 0 ||
 		r.hardState() != r.persisted || r.softState() != r.reported ||
 		r.log.snapshot != nil || r.log.stable < r.log.lastIndex() ||
 		r.log.applied < r.log.committed
 }
 
-// Ready returns what is to be done, and must be followed by Advance. It
-// panics if the last one was not.
+// Ready returns the work to do and must be followed by Advance. It panics if the
+// previous Ready was not.
 func (r *Replica) Ready() Ready {
-	if r.handed != nil {
+	if r.pending != nil {
 		panic("replication: Ready before Advance")
 	}
-	r.flush()
+	r.queueMessages()
 	ready := Ready{
 		Entries:          r.log.unstable(),
 		Snapshot:         r.log.snapshot,
@@ -95,16 +96,16 @@
 	ready.Messages = r.messages
 	r.messages = nil
 	r.readStates = nil
-	r.remember(ready)
+	r.trackReady(ready)
 	return ready
 }
 
-// flush turns what has gathered since the last Ready into messages.
-func (r *Replica) flush() {
+// queueMessages queues a leader's messages for new reads and entries.
+func (r *Replica) queueMessages() {
 	if r.role != RoleLeader {
 		return
 	}
-	r.advanceCommit() // a quorum of one needs no answer
+	r.advanceCommit() // a single voter commits without responses
 	r.announceReads()
 	r.broadcastAppends()
 }
@@ -121,36 +122,37 @@
 	}
 }
 
-// Immediate returns the messages that may be sent at once, also while the
-// shell works on a Ready: heartbeats, read rounds and appends need not wait
-// for the disk. Once a Ready takes longer than Config.WriteTimeout there are
-// none, so that others notice.
+// Immediate returns the messages that may be sent at once, also between Ready
+// and Advance: heartbeats, read rounds and appends need not wait for the disk.
+// It returns none once a Ready has been pending for longer than
+// Config.WriteTimeout, so that the other replicas detect the hung disk.
 func (r *Replica) Immediate() []Message {
-	if r.Err() != nil || (r.handed != nil && r.now.Sub(r.handed.since) > r.config.WriteTimeout) {
+	if r.Err() != nil || (r.pending != nil && r.now.Sub(r.pending.since) > r.config.WriteTimeout) {
 		return nil
 	}
-	r.flush()
+	r.queueMessages()
 	return r.takeImmediate()
 }
 
-// takeImmediate takes the messages that promise nothing about any write: what
-// a leader sends at a term that is persisted already, and a follower's sign of
-// life at one.
+// takeImmediate dequeues the messages that do not depend on a pending write.
 func (r *Replica) takeImmediate() []Message {
 	var immediate []Message
-	kept := r.messages[:0]
+	deferred := r.messages[:0]
 	for _, message := range r.messages {
-		if r.promisesNothing(message) {
+		if r.sendableBeforeSync(message) {
 			immediate = append(immediate, message)
 		} else {
-			kept = append(kept, message)
+			deferred = append(deferred, message)
 		}
 	}
-	r.messages = kept
+	r.messages = deferred
 	return immediate
 }
 
-func (r *Replica) promisesNothing(message Message) bool {
+// sendableBeforeSync reports whether a message does not depend on a pending
+// write: a leader's message or a heartbeat response in an already persisted
+// term.
+func (r *Replica) sendableBeforeSync(message Message) bool {
 	if message.Term != r.persisted.Term {
 		return false
 	}
@@ -161,39 +163,39 @@
 	return false
 }
 
-func (r *Replica) remember(ready Ready) {
-	r.handed = &handedReady{hardState: r.hardState(), snapshot: ready.Snapshot, applied: r.log.applied, since: r.now}
+func (r *Replica) trackReady(ready Ready) {
+	r.pending = &pendingReady{hardState: r.hardState(), snapshot: ready.Snapshot, applied: r.log.applied, since: r.now}
 	if count := len(ready.Entries); count > 0 {
-		r.handed.lastIndex = ready.Entries[count-1].Index
-		r.handed.lastTerm = ready.Entries[count-1].Term
+		r.pending.lastIndex = ready.Entries[count-1].Index
+		r.pending.lastTerm = ready.Entries[count-1].Term
 	}
 	if ready.Snapshot != nil {
-		r.handed.applied = ready.Snapshot.Index
+		r.pending.applied = ready.Snapshot.Index
 	}
 	if count := len(ready.CommittedEntries); count > 0 {
-		r.handed.applied = ready.CommittedEntries[count-1].Index
+		r.pending.applied = ready.CommittedEntries[count-1].Index
 	}
 }
 
-// Advance says that everything in the last Ready is done.
+// Advance confirms the work of the last Ready. It panics if there is none.
 func (r *Replica) Advance() {
-	handed := r.handed
-	if handed == nil {
+	pending := r.pending
+	if pending == nil {
 		panic("replication: Advance before Ready")
 	}
-	r.handed = nil
-	r.persisted = handed.hardState
-	if handed.snapshot != nil && r.log.snapshot == handed.snapshot {
+	r.pending = nil
+	r.persisted = pending.hardState
+	if pending.snapshot != nil && r.log.snapshot == pending.snapshot {
 		r.log.snapshot = nil
 	}
-	if handed.lastIndex > 0 {
-		r.log.stabilized(handed.lastIndex, handed.lastTerm)
+	if pending.lastIndex > 0 {
+		r.log.markStable(pending.lastIndex, pending.lastTerm)
 	}
-	r.log.applied = max(r.log.applied, handed.applied)
-	r.log.shrink(r.config.CacheBytes)
-	r.forgetConfigurations()
+	r.log.applied = max(r.log.applied, pending.applied)
+	r.log.trimTail(r.config.CacheBytes)
+	r.pruneConfigurations()
 	if r.role == RoleLeader {
-		r.confirmOwn()
+		r.updateOwnProgress()
 		r.advanceCommit()
 	}
 }
--- a/internal/ledger/replication/replica.go
+++ b/internal/ledger/replication/replica.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// Errors of the methods of Replica.
+// Errors returned by the methods of Replica. The failed call had no effect.
 var (
-	// ErrNotLeader says that nothing was taken, since this replica does not lead.
-	ErrNotLeader = errors.New("replication: this replica does not lead")
-	// ErrTransferring says that nothing was taken: leadership is being handed over.
+	// ErrNotLeader is returned for requests to a replica that is not the leader.
+	ErrNotLeader = errors.New("replication: this replica is not the leader")
+	// ErrTransferring is returned for proposals during a leadership transfer.
 	ErrTransferring = errors.New("replication: leadership is being transferred")
-	// ErrTooManyPending says that nothing was taken: too much is uncommitted.
-	ErrTooManyPending = errors.New("replication: too many uncommitted proposals")
-	// ErrEntryTooLarge says that a proposal exceeds MaxEntryBytes.
+	// ErrTooManyUncommitted is returned while Config.MaxUncommittedBytes is exceeded.
+	ErrTooManyUncommitted = errors.New("replication: too many uncommitted proposals")
+	// ErrEntryTooLarge is returned for a proposal larger than MaxEntryBytes.
 	ErrEntryTooLarge = errors.New("replication: proposal too large")
-	// ErrWrongAddressee says that a message was meant for another identity or shard.
-	ErrWrongAddressee = errors.New("replication: message for another replica")
-	// ErrChangePending says that a configuration change must wait for an earlier
-	// one, or for the first commit of the leader's term.
+	// ErrWrongRecipient is returned for a message to another replica ID or shard.
+	ErrWrongRecipient = errors.New("replication: message is for another replica")
+	// ErrChangePending is returned for a configuration change while an earlier one
+	// or the first entry of the leader's term is uncommitted.
 	ErrChangePending = errors.New("replication: another configuration change is pending")
-	// ErrChangeRefused says that a configuration change makes no sense now.
-	ErrChangeRefused = errors.New("replication: configuration change refused")
+	// ErrChangeRejected is returned for a change or transfer invalid for the members.
+	ErrChangeRejected = errors.New("replication: configuration change rejected")
 )
 
-// Replica is the state machine of one replica of one shard. It is not safe
+// Replica implements the protocol for one replica of one shard. It is not safe
 // for concurrent use.
 type Replica struct {
 	config Config
@@ -41,22 +41,22 @@
 
 	configurations configurationHistory
 
-	electionDeadline time.Time
-	leaderHeard      time.Time
-	votes            map[ReplicaID]bool
+	electionDeadline  time.Time
+	lastLeaderContact time.Time
+	votes             map[ReplicaID]bool
 
-	leading leadership
+	leaderState leaderState
 
 	messages   []Message
 	readStates []ReadState
 
-	// persisted and reported are what the shell was last told.
+	// persisted is as of the last Advance, reported as of the last Ready.
 	persisted HardState
 	reported  SoftState
-	handed    *handedReady
+	pending   *pendingReady
 }
 
-// New continues from what the storage holds.
+// New returns a replica that resumes from the state in config.Storage.
 func New(config Config) (*Replica, error) {
 	config = config.withDefaults()
 	if err := config.validate(); err != nil {
@@ -81,7 +81,7 @@
 	return replica, replica.loadConfigurations()
 }
 
-// Tick tells the replica the time, which must never go back.
+// Tick sets the time, which must not go backwards, and handles expired timeouts.
 func (r *Replica) Tick(now time.Time) {
 	first := r.now.IsZero()
 	r.now = now
@@ -100,27 +100,27 @@
 	}
 }
 
-// Step takes a message from another replica. An error says that the message
-// had no effect.
+// Step handles a message from another replica. If it returns an error, the
+// message had no effect.
 func (r *Replica) Step(message Message) error {
 	if err := r.Err(); err != nil {
 		return err
 	}
 	if message.To != r.config.ID || message.Shard != r.config.Shard {
-		return fmt.Errorf("%w: %s at shard %d", ErrWrongAddressee, message.To, message.Shard)
+		return fmt.Errorf("%w: replica %s of shard %d", ErrWrongRecipient, message.To, message.Shard)
 	}
 	if message.Term < r.term {
-		r.answerStale(message)
+		r.rejectStale(message)
 		return r.Err()
 	}
-	if message.Term > r.term && !r.enterTerm(message) {
+	if message.Term > r.term && !r.advanceTerm(message) {
 		return nil
 	}
 	r.dispatch(message)
 	return r.Err()
 }
 
-// Err returns the storage's failure that stopped this replica, if any.
+// Err returns the error that stopped this replica, or nil if it is running.
 func (r *Replica) Err() error { return r.log.failure }
 
 func (r *Replica) dispatch(message Message) {
@@ -140,9 +140,9 @@
 	}
 }
 
-// answerStale lets a sender of an older term know ours: a leader steps down,
-// a candidate catches up.
-func (r *Replica) answerStale(message Message) {
+// rejectStale tells the sender of a message with an older term the current one,
+// so that a leader steps down and a candidate adopts the term.
+func (r *Replica) rejectStale(message Message) {
 	switch message.Type {
 	case MessageAppend, MessageHeartbeat, MessageSnapshot:
 		r.send(Message{Type: MessageAppendResponse, To: message.From, Reject: true})
@@ -153,14 +153,14 @@
 	}
 }
 
-// enterTerm moves to the message's higher term where its type calls for that.
-// It returns false when the message must be ignored.
-func (r *Replica) enterTerm(message Message) bool {
+// advanceTerm adopts the message's higher term, except for pre-vote requests and
+// granted pre-votes. It returns false if the message must be ignored.
+func (r *Replica) advanceTerm(message Message) bool {
 	switch message.Type {
 	case MessagePreVote:
-		return !r.leaseHolds(message)
+		return !r.inLease(message)
 	case MessageVote:
-		if r.leaseHolds(message) {
+		if r.inLease(message) {
 			return false
 		}
 	case MessagePreVoteResponse:
@@ -172,13 +172,13 @@
 	return true
 }
 
-// leaseHolds says that a leader was heard so recently that an election must
-// not disturb it.
-func (r *Replica) leaseHolds(message Message) bool {
+// inLease reports whether the leader was heard from within the election timeout,
+// in which case vote requests are ignored unless forced.
+func (r *Replica) inLease(message Message) bool {
 	if message.Forced || r.leader == 0 {
 		return false
 	}
-	return r.role == RoleLeader || r.now.Sub(r.leaderHeard) < r.config.ElectionTimeout
+	return r.role == RoleLeader || r.now.Sub(r.lastLeaderContact) < r.config.ElectionTimeout
 }
 
 func (r *Replica) becomeFollower(term uint64, leader ReplicaID) {
@@ -192,12 +192,12 @@
 	r.role = RoleFollower
 	r.leader = leader
 	r.votes = nil
-	r.leading = leadership{}
+	r.leaderState = leaderState{}
 	r.resetElectionDeadline()
 }
 
-// campaignRetryDivisor makes a candidate try again sooner than a follower
-// gives its leader up: it is only waiting for answers.
+// campaignRetryDivisor divides the election timeout for candidates, which retry
+// sooner than a follower times out because they wait only for vote responses.
 const campaignRetryDivisor = 4
 
 func (r *Replica) resetCampaignDeadline() {
@@ -208,12 +208,12 @@
 	r.electionDeadline = r.now.Add(r.randomTimeout(r.config.ElectionTimeout))
 }
 
-// randomTimeout draws at least the shortest and less than twice that.
-func (r *Replica) randomTimeout(shortest time.Duration) time.Duration {
-	return shortest + time.Duration(r.random.Int64N(int64(shortest)))
+// randomTimeout returns a random duration in [minTimeout, 2*minTimeout).
+func (r *Replica) randomTimeout(minTimeout time.Duration) time.Duration {
+	return minTimeout + time.Duration(r.random.Int64N(int64(minTimeout)))
 }
 
-// send queues a message; its term is the present one unless it is set.
+// send queues a message, with the current term unless its term is set.
 func (r *Replica) send(message Message) {
 	message.Shard = r.config.Shard
 	message.From = r.config.ID
--- a/internal/ledger/replication/replica_test.go
+++ b/internal/ledger/replication/replica_test.go
@@ -8,9 +8,9 @@
 	"github.com/onsi/gomega"
 )
 
-// replicaOf starts replica 1 of three voters on a disk that holds entries of
-// the given terms after the bootstrap position.
-func replicaOf(g *gomega.WithT, terms ...uint64) (*Replica, *MemoryStorage) {
+// newTestReplica returns replica 1 of three voters, whose log has entries of the
+// given terms after the bootstrap position.
+func newTestReplica(g *gomega.WithT, terms ...uint64) (*Replica, *MemoryStorage) {
 	disk := NewMemoryStorage(BootstrapMarker(1, 2, 3))
 	ready := Ready{}
 	for i, term := range terms {
@@ -24,8 +24,8 @@
 	return replica, disk
 }
 
-// settle does everything that the replica asks for, and returns the messages.
-func settle(g *gomega.WithT, replica *Replica, disk *MemoryStorage) []Message {
+// processReady handles Readys until no work is left and returns the messages sent.
+func processReady(g *gomega.WithT, replica *Replica, disk *MemoryStorage) []Message {
 	var sent []Message
 	for replica.HasReady() {
 		ready := replica.Ready()
@@ -39,14 +39,14 @@
 	return sent
 }
 
-// electAlone makes the replica leader by the vote of replica 2.
-func electAlone(g *gomega.WithT, replica *Replica, disk *MemoryStorage) {
+// electLeader makes the replica the leader with the vote of replica 2.
+func electLeader(g *gomega.WithT, replica *Replica, disk *MemoryStorage) {
 	replica.Tick(replica.now.Add(2 * DefaultElectionTimeout))
-	settle(g, replica, disk)
+	processReady(g, replica, disk)
 	next := replica.term + 1
 	for _, response := range []MessageType{MessagePreVoteResponse, MessageVoteResponse} {
 		g.Expect(replica.Step(Message{Type: response, From: 2, To: 1, Term: next})).To(gomega.Succeed())
-		settle(g, replica, disk)
+		processReady(g, replica, disk)
 	}
 	g.Expect(replica.Status().Role).To(gomega.Equal(RoleLeader))
 }
@@ -55,26 +55,29 @@
 	g.Expect(replica.Step(Message{Type: MessageAppendResponse, From: from, To: 1, Term: replica.term, Index: index})).To(gomega.Succeed())
 }
 
-func TestLeaderCommitsOlderTermsOnlyWithItsOwn(t *testing.T) {
+// Guards against committing an earlier term's entry by counting replicas.
+func TestLeaderCommitsOlderTermsOnlyWithCurrentTerm(t *testing.T) {
 	g := gomega.NewWithT(t)
-	replica, disk := replicaOf(g, 2, 2)
-	electAlone(g, replica, disk)
+	replica, disk := newTestReplica(g, 2, 2)
+	electLeader(g, replica, disk)
 	acknowledge(g, replica, 2, 3)
 	g.Expect(replica.Status().Commit).To(gomega.BeEquivalentTo(bootstrapIndex))
 	acknowledge(g, replica, 2, 4)
 	g.Expect(replica.Status().Commit).To(gomega.BeEquivalentTo(4))
 }
 
-func TestLeaderCountsItselfOnlyOncePersisted(t *testing.T) {
+// Guards against a leader counting its own entry toward the quorum while the
+// write is still pending.
+func TestLeaderCountsOwnEntryOnlyAfterPersist(t *testing.T) {
 	g := gomega.NewWithT(t)
-	replica, disk := replicaOf(g)
-	electAlone(g, replica, disk)
+	replica, disk := newTestReplica(g)
+	electLeader(g, replica, disk)
 	acknowledge(g, replica, 2, 2)
-	settle(g, replica, disk)
+	processReady(g, replica, disk)
 	index, _, err := replica.Propose([]byte("value"))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	ready := replica.Ready()
-	g.Expect(ready.Immediate).NotTo(gomega.BeEmpty(), "followers are sent the entry while the leader writes it")
+	g.Expect(ready.Immediate).NotTo(gomega.BeEmpty(), "the leader must send the entry before its own write completes")
 	acknowledge(g, replica, 2, index)
 	g.Expect(replica.Status().Commit).To(gomega.BeNumerically("<", index))
 	later, _, err := replica.Propose([]byte("during the write"))
@@ -84,24 +87,26 @@
 	replica.Advance()
 	acknowledge(g, replica, 2, later)
 	g.Expect(replica.Status().Commit).To(gomega.Equal(index))
-	settle(g, replica, disk)
+	processReady(g, replica, disk)
 	g.Expect(replica.Status().Commit).To(gomega.Equal(later))
 }
 
-func TestNewLeaderReadsBeyondItsFirstEntry(t *testing.T) {
+// Guards against a stale read by a new leader that does not know the latest
+// commit index yet.
+func TestNewLeaderReadIndexIncludesFirstEntryOfTerm(t *testing.T) {
 	g := gomega.NewWithT(t)
-	replica, disk := replicaOf(g, 2)
-	electAlone(g, replica, disk)
+	replica, disk := newTestReplica(g, 2)
+	electLeader(g, replica, disk)
 	g.Expect(replica.ReadIndex(9)).To(gomega.Succeed())
-	settle(g, replica, disk)
-	confirm := Message{Type: MessageHeartbeatResponse, From: 2, To: 1, Term: replica.term, Round: replica.leading.round}
+	processReady(g, replica, disk)
+	confirm := Message{Type: MessageHeartbeatResponse, From: 2, To: 1, Term: replica.term, Round: replica.leaderState.round}
 	g.Expect(replica.Step(confirm)).To(gomega.Succeed())
 	g.Expect(replica.Ready().ReadStates).To(gomega.Equal([]ReadState{{Token: 9, Index: 3}}))
 }
 
-// TestFollowerKeepsItsPromises starts a follower at term 2 with an entry of
-// term 2 at index 2, persisted.
-func TestFollowerKeepsItsPromises(t *testing.T) {
+// Guards against responses that are sent before the write they depend on. The
+// follower starts at term 2 with a persisted entry of term 2 at index 2.
+func TestFollowerRespondsOnlyAfterPersist(t *testing.T) {
 	appendTo := func(index, logTerm uint64, entry Entry) Message {
 		return Message{Type: MessageAppend, From: 2, To: 1, Term: entry.Term, Index: index, LogTerm: logTerm, Entries: []Entry{entry}}
 	}
@@ -111,126 +116,133 @@
 		persisted []Entry
 		answer    Message
 	}{
-		"a new entry": {appendTo(2, 2, Entry{Index: 3, Term: 2}), []Entry{{Index: 3, Term: 2}},
+		"appends new entry": {appendTo(2, 2, Entry{Index: 3, Term: 2}), []Entry{{Index: 3, Term: 2}},
 			Message{Type: MessageAppendResponse, Term: 2, Index: 3}},
-		"a known entry": {appendTo(1, 1, Entry{Index: 2, Term: 2}), nil,
+		"ignores known entry": {appendTo(1, 1, Entry{Index: 2, Term: 2}), nil,
 			Message{Type: MessageAppendResponse, Term: 2, Index: 2}},
-		"a replaced entry": {appendTo(1, 1, Entry{Index: 2, Term: 3}), []Entry{{Index: 2, Term: 3}},
+		"replaces conflicting entry": {appendTo(1, 1, Entry{Index: 2, Term: 3}), []Entry{{Index: 2, Term: 3}},
 			Message{Type: MessageAppendResponse, Term: 3, Index: 2}},
-		"an entry after another term's": {appendTo(2, 3, Entry{Index: 3, Term: 3}), nil,
+		"rejects append after different term": {appendTo(2, 3, Entry{Index: 3, Term: 3}), nil,
 			Message{Type: MessageAppendResponse, Term: 3, Reject: true, Index: 2, Hint: 2, LogTerm: 2}},
-		"a vote": {vote, nil, Message{Type: MessageVoteResponse, Term: 2}},
-		"a vote for a log that is behind": {Message{Type: MessageVote, From: 2, To: 1, Term: 2, Index: 9, LogTerm: 1}, nil,
+		"grants vote": {vote, nil, Message{Type: MessageVoteResponse, Term: 2}},
+		"rejects vote for outdated log": {Message{Type: MessageVote, From: 2, To: 1, Term: 2, Index: 9, LogTerm: 1}, nil,
 			Message{Type: MessageVoteResponse, Term: 2, Reject: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			replica, _ := replicaOf(g, 2)
+			replica, _ := newTestReplica(g, 2)
 			g.Expect(replica.Step(c.received)).To(gomega.Succeed())
 			ready := replica.Ready()
 			g.Expect(ready.Entries).To(gomega.Equal(c.persisted))
-			g.Expect(ready.Immediate).To(gomega.BeEmpty(), "nothing is promised before it is persisted")
+			g.Expect(ready.Immediate).To(gomega.BeEmpty(), "the response must wait for the write")
 			c.answer.From, c.answer.To = 1, c.received.From
 			g.Expect(ready.Messages).To(gomega.Equal([]Message{c.answer}))
 		})
 	}
 }
 
-func TestEntriesReplacedDuringTheirWriteAreWrittenAgain(t *testing.T) {
+// Guards against acknowledging an entry whose write was of the entry it replaced.
+func TestEntriesReplacedDuringWriteAreRewritten(t *testing.T) {
 	g := gomega.NewWithT(t)
-	replica, disk := replicaOf(g)
-	append2 := func(from ReplicaID, term uint64) Message {
+	replica, disk := newTestReplica(g)
+	appendFrom := func(from ReplicaID, term uint64) Message {
 		return Message{Type: MessageAppend, From: from, To: 1, Term: term, Index: 1, LogTerm: 1, Entries: []Entry{{Index: 2, Term: term}}}
 	}
-	g.Expect(replica.Step(append2(2, 2))).To(gomega.Succeed())
+	g.Expect(replica.Step(appendFrom(2, 2))).To(gomega.Succeed())
 	ready := replica.Ready()
-	g.Expect(replica.Step(append2(3, 3))).To(gomega.Succeed())
+	g.Expect(replica.Step(appendFrom(3, 3))).To(gomega.Succeed())
 	disk.Persist(ready)
 	replica.Advance()
-	again := replica.Ready()
-	g.Expect(again.Entries).To(gomega.Equal([]Entry{{Index: 2, Term: 3}}))
-	g.Expect(again.Messages).To(gomega.HaveLen(1), "the acknowledgement waits for the write")
+	rewritten := replica.Ready()
+	g.Expect(rewritten.Entries).To(gomega.Equal([]Entry{{Index: 2, Term: 3}}))
+	g.Expect(rewritten.Messages).To(gomega.HaveLen(1), "the acknowledgement must wait for the second write")
 }
 
-func TestConfigurationChangesWaitForEachOther(t *testing.T) {
+// Guards against a second change while one is uncommitted, and against changes
+// that are invalid for the current members.
+func TestConfigurationChangesAreSerialized(t *testing.T) {
 	g := gomega.NewWithT(t)
-	replica, disk := replicaOf(g)
-	electAlone(g, replica, disk)
+	replica, disk := newTestReplica(g)
+	electLeader(g, replica, disk)
 	propose := func(change Change) error {
 		_, _, err := replica.ProposeConfig(change)
-		settle(g, replica, disk)
+		processReady(g, replica, disk)
 		return err
 	}
-	g.Expect(propose(Change{AddLearner, 4})).To(gomega.MatchError(ErrChangePending), "nothing of the term is committed")
+	g.Expect(propose(Change{AddLearner, 4})).To(gomega.MatchError(ErrChangePending), "no entry of the term is committed")
 	acknowledge(g, replica, 2, 2)
 	g.Expect(propose(Change{AddLearner, 4})).To(gomega.Succeed())
 	g.Expect(propose(Change{RemoveReplica, 3})).To(gomega.MatchError(ErrChangePending))
 	acknowledge(g, replica, 2, 3)
-	g.Expect(propose(Change{PromoteLearner, 4})).To(gomega.MatchError(ErrChangeRefused), "it has not caught up")
-	g.Expect(propose(Change{RemoveReplica, 1})).To(gomega.MatchError(ErrChangeRefused), "it leads")
+	g.Expect(propose(Change{PromoteLearner, 4})).To(gomega.MatchError(ErrChangeRejected), "the learner has not caught up")
+	g.Expect(propose(Change{RemoveReplica, 1})).To(gomega.MatchError(ErrChangeRejected), "the replica is the leader")
 	acknowledge(g, replica, 4, 3)
 	g.Expect(replica.Status().Commit).To(gomega.BeEquivalentTo(3))
 	_, _, err := replica.Propose(nil)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	acknowledge(g, replica, 4, 4)
-	settle(g, replica, disk)
-	g.Expect(replica.Status().Commit).To(gomega.BeEquivalentTo(3), "a learner does not count")
+	processReady(g, replica, disk)
+	g.Expect(replica.Status().Commit).To(gomega.BeEquivalentTo(3), "a learner must not count toward the quorum")
 	g.Expect(propose(Change{PromoteLearner, 4})).To(gomega.Succeed())
 }
 
-func TestAppendsStayWithinTheWindow(t *testing.T) {
+// Guards against unbounded unacknowledged appends and uncommitted proposals.
+func TestAppendsRespectInflightLimit(t *testing.T) {
 	g := gomega.NewWithT(t)
-	replica, disk := replicaOf(g)
-	electAlone(g, replica, disk)
+	replica, disk := newTestReplica(g)
+	electLeader(g, replica, disk)
 	acknowledge(g, replica, 2, 2)
 	acknowledge(g, replica, 3, 2)
-	settle(g, replica, disk)
-	var refused error
+	processReady(g, replica, disk)
+	var rejected error
 	sent := 0
 	for range 20 {
 		if _, _, err := replica.Propose(make([]byte, 40)); err != nil {
-			refused = err
+			rejected = err
 		}
-		for _, message := range settle(g, replica, disk) {
+		for _, message := range processReady(g, replica, disk) {
 			if message.Type == MessageAppend && message.To == 2 {
 				sent += sizeOf(message.Entries)
 			}
 		}
 	}
-	g.Expect(refused).To(gomega.MatchError(ErrTooManyPending))
+	g.Expect(rejected).To(gomega.MatchError(ErrTooManyUncommitted))
 	g.Expect(sent).To(gomega.And(gomega.BeNumerically(">=", 200), gomega.BeNumerically("<=", 300)))
 	acknowledge(g, replica, 2, 4)
-	g.Expect(settle(g, replica, disk)).To(gomega.ContainElement(gomega.HaveField("Type", MessageAppend)))
+	g.Expect(processReady(g, replica, disk)).To(gomega.ContainElement(gomega.HaveField("Type", MessageAppend)))
 }
 
-func TestFollowerContinuesFromAnOlderSnapshotThanOffered(t *testing.T) {
+// Guards against a follower that stays in snapshot state after it installed an
+// older snapshot than the last one sent.
+func TestFollowerResumesFromOlderSnapshot(t *testing.T) {
 	g := gomega.NewWithT(t)
-	replica, disk := replicaOf(g, 2, 2, 2)
-	electAlone(g, replica, disk)
+	replica, disk := newTestReplica(g, 2, 2, 2)
+	electLeader(g, replica, disk)
 	acknowledge(g, replica, 2, 5)
-	settle(g, replica, disk)
+	processReady(g, replica, disk)
 	disk.Compact(2)
-	replica.log.shrink(1)
+	replica.log.trimTail(1)
 	reject := Message{Type: MessageAppendResponse, From: 3, To: 1, Term: replica.term, Reject: true, Index: 4}
 	g.Expect(replica.Step(reject)).To(gomega.Succeed())
-	g.Expect(settle(g, replica, disk)).To(gomega.ConsistOf(gomega.And(
+	g.Expect(processReady(g, replica, disk)).To(gomega.ConsistOf(gomega.And(
 		gomega.HaveField("Type", MessageSnapshot), gomega.HaveField("Snapshot.Index", uint64(5)))))
 	acknowledge(g, replica, 3, 3)
-	g.Expect(settle(g, replica, disk)).To(gomega.ConsistOf(gomega.And(
+	g.Expect(processReady(g, replica, disk)).To(gomega.ConsistOf(gomega.And(
 		gomega.HaveField("Type", MessageAppend), gomega.HaveField("Index", uint64(3)))))
 }
 
-func TestRefusals(t *testing.T) {
+// Guards against accepting requests in the wrong role, state or shard.
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	g := gomega.NewWithT(t)
-	replica, disk := replicaOf(g)
+	replica, disk := newTestReplica(g)
 	_, _, err := replica.Propose(nil)
 	g.Expect(err).To(gomega.MatchError(ErrNotLeader))
 	g.Expect(replica.ReadIndex(1)).To(gomega.MatchError(ErrNotLeader))
 	g.Expect(replica.TransferLeadership(2)).To(gomega.MatchError(ErrNotLeader))
-	g.Expect(replica.Step(Message{Type: MessageHeartbeat, To: 9})).To(gomega.MatchError(ErrWrongAddressee))
-	g.Expect(replica.Step(Message{Type: MessageHeartbeat, To: 1, Shard: 5})).To(gomega.MatchError(ErrWrongAddressee))
-	electAlone(g, replica, disk)
-	g.Expect(replica.TransferLeadership(7)).To(gomega.MatchError(ErrChangeRefused))
+	g.Expect(replica.Step(Message{Type: MessageHeartbeat, To: 9})).To(gomega.MatchError(ErrWrongRecipient))
+	g.Expect(replica.Step(Message{Type: MessageHeartbeat, To: 1, Shard: 5})).To(gomega.MatchError(ErrWrongRecipient))
+	electLeader(g, replica, disk)
+	g.Expect(replica.TransferLeadership(7)).To(gomega.MatchError(ErrChangeRejected))
 	_, _, err = replica.Propose(make([]byte, MaxEntryBytes+1))
 	g.Expect(err).To(gomega.MatchError(ErrEntryTooLarge))
 	g.Expect(replica.TransferLeadership(2)).To(gomega.Succeed())
@@ -238,7 +250,7 @@
 	g.Expect(err).To(gomega.MatchError(ErrTransferring))
 }
 
-// failingStorage fails to read entries and terms.
+// failingStorage returns errDisk for all reads of entries and terms.
 type failingStorage struct{ *MemoryStorage }
 
 var errDisk = errors.New("input/output error")
@@ -246,13 +258,14 @@
 func (failingStorage) Term(uint64) (uint64, error)                 { return 0, errDisk }
 func (failingStorage) Entries(_, _ uint64, _ int) ([]Entry, error) { return nil, errDisk }
 
-func TestFailingDiskStopsTheReplica(t *testing.T) {
+// Guards against a replica that continues after a read error.
+func TestStorageErrorStopsReplica(t *testing.T) {
 	g := gomega.NewWithT(t)
 	replica, err := New(Config{ID: 1, Storage: failingStorage{NewMemoryStorage(BootstrapMarker(1, 2, 3))}})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	replica.Tick(time.Unix(1, 0))
 	request := Message{Type: MessageVote, From: 2, To: 1, Term: 2, Index: 1, LogTerm: 1}
 	g.Expect(replica.Step(request)).To(gomega.MatchError(errDisk))
-	g.Expect(replica.HasReady()).To(gomega.BeFalse(), "it promises nothing any more")
+	g.Expect(replica.HasReady()).To(gomega.BeFalse(), "a stopped replica must not send messages")
 	g.Expect(replica.Err()).To(gomega.MatchError(errDisk))
 }
--- a/internal/ledger/replication/simulation_test.go
+++ b/internal/ledger/replication/simulation_test.go
@@ -9,51 +9,52 @@
 	"time"
 )
 
-// simulation runs the replicas of one shard in virtual time over a network
-// that loses, delays, reorders and duplicates, on disks that take their time,
-// and checks every step against the oracle.
+// simulation runs the replicas of one shard in virtual time, on a network that
+// loses, delays, reorders and duplicates messages and on slow disks, and checks
+// every step against the oracle.
 type simulation struct {
-	random   *rand.Rand
-	now      time.Time
-	nodes    []*simulatedNode
-	events   eventQueue
-	sequence int
-	sent     struct{ messages, bytes int }
-	cut      map[[2]int]bool // directed pairs of nodes
-	transit  map[*delivery]bool
-	drop     func(Message) bool // by the test's own choice
-	noise    noise
-	oracle   oracle
-	proposed int
-}
-
-// noise says how the network treats each message, and the disks each write.
-type noise struct {
+	random     *rand.Rand
+	now        time.Time
+	nodes      []*simulatedNode
+	events     eventQueue
+	sequence   int
+	sent       struct{ messages, bytes int }
+	blocked    map[[2]int]bool // directed pairs of node positions
+	inFlight   map[*delivery]bool
+	drop       func(Message) bool // if set, selects messages to drop
+	conditions conditions
+	oracle     oracle
+	proposed   int
+}
+
+// conditions are the probabilities of loss and duplication of a message and the
+// maximum delays of a message and a write.
+type conditions struct {
 	loss, duplicate    float64
 	maxDelay, maxWrite time.Duration
 }
 
-func calm() noise { return noise{maxDelay: calmDelay, maxWrite: calmDelay} }
+func normalConditions() conditions { return conditions{maxDelay: normalDelay, maxWrite: normalDelay} }
 
 type simulatedNode struct {
-	position    int
-	incarnation uint64
-	id          ReplicaID
-	disk        *MemoryStorage
-	state       []Entry // what the state machine was given, kept on the disk
-	replica     *Replica
-	paused      bool
-	writing     *Ready
-	staged      *delivery
-	waiting     []*delivery // arrived during a pause
-	acks        map[uint64]uint64
-	reads       map[uint64]uint64 // token to what the oracle demands
-	confirmed   []ReadState
-	aborted     int // reads that were answered with an error
-	generation  int // grows with each crash, so that old events are void
-}
-
-// delivery is a message on its way, with the data of a snapshot.
+	position     int
+	incarnation  uint64
+	id           ReplicaID
+	disk         *MemoryStorage
+	state        []Entry // applied entries; persisted with the disk
+	replica      *Replica
+	paused       bool
+	pendingReady *Ready
+	staged       *delivery
+	deferred     []*delivery       // received during a pause
+	proposals    map[uint64]uint64 // term by index, of proposals accepted since the last start
+	minReadIndex map[uint64]uint64 // by token: the minimum index the read must observe
+	pendingReads []ReadState
+	abortedReads int // number of aborted reads
+	generation   int // incremented on each crash to cancel earlier events
+}
+
+// delivery is a message in flight, with the sender's state as snapshot data.
 type delivery struct {
 	message Message
 	state   []Entry
@@ -79,12 +80,13 @@
 	return last
 }
 
-// oracle is the simplest statement of what a ledger is: one sequence.
+// oracle models the ledger as a single sequence of entries and records the first
+// violation.
 type oracle struct {
 	entries  map[uint64]Entry     // applied anywhere, by index
 	leaders  map[uint64]ReplicaID // by term
-	acked    map[uint64]bool      // indexes whose proposer was answered
-	observed uint64               // newest index that any client has seen
+	acked    map[uint64]bool      // indexes acknowledged to their proposer
+	observed uint64               // highest index that any client has seen
 	failure  string
 }
 
@@ -94,36 +96,36 @@
 	}
 }
 
-func (o *oracle) apply(node *simulatedNode, entry Entry) {
+func (o *oracle) recordApplied(node *simulatedNode, entry Entry) {
 	if last := len(node.state); last > 0 && entry.Index != node.state[last-1].Index+1 {
-		o.failf("node %d applied %d after %d", node.position, entry.Index, node.state[last-1].Index)
+		o.failf("node %d applied index %d after %d", node.position, entry.Index, node.state[last-1].Index)
 	}
 	known, found := o.entries[entry.Index]
 	if found && (known.Term != entry.Term || string(known.Data) != string(entry.Data)) {
-		o.failf("node %d applied at %d term %d %q, another had term %d %q", node.position, entry.Index, entry.Term, entry.Data, known.Term, known.Data)
+		o.failf("node %d applied at index %d term %d %q, another node applied term %d %q", node.position, entry.Index, entry.Term, entry.Data, known.Term, known.Data)
 	}
 	o.entries[entry.Index] = entry
 }
 
-func (o *oracle) lead(id ReplicaID, term uint64) {
+func (o *oracle) recordLeader(id ReplicaID, term uint64) {
 	if other, found := o.leaders[term]; found && other != id {
-		o.failf("%s and %s both lead term %d", id, other, term)
+		o.failf("%s and %s are both leader of term %d", id, other, term)
 	}
 	o.leaders[term] = id
 }
 
 const (
 	tickInterval = 30 * time.Millisecond
-	calmDelay    = 3 * time.Millisecond
+	normalDelay  = 3 * time.Millisecond
 )
 
 func newSimulation(seed uint64, voters, spares int) *simulation {
 	s := &simulation{
-		random: rand.New(rand.NewPCG(seed, 1)),
-		now:    time.Unix(1, 0),
-		cut:    map[[2]int]bool{}, transit: map[*delivery]bool{},
-		noise:  calm(),
-		oracle: oracle{entries: map[uint64]Entry{}, leaders: map[uint64]ReplicaID{}, acked: map[uint64]bool{}},
+		random:  rand.New(rand.NewPCG(seed, 1)),
+		now:     time.Unix(1, 0),
+		blocked: map[[2]int]bool{}, inFlight: map[*delivery]bool{},
+		conditions: normalConditions(),
+		oracle:     oracle{entries: map[uint64]Entry{}, leaders: map[uint64]ReplicaID{}, acked: map[uint64]bool{}},
 	}
 	var first []ReplicaID
 	for position := range voters + spares {
@@ -144,28 +146,29 @@
 	return s
 }
 
-func (s *simulation) after(delay time.Duration, run func()) {
+func (s *simulation) schedule(delay time.Duration, run func()) {
 	s.sequence++
 	heap.Push(&s.events, event{s.now.Add(delay), s.sequence, run})
 }
 
-// afterOn runs on a node unless it crashes before; a pause puts it off.
-func (s *simulation) afterOn(node *simulatedNode, delay time.Duration, run func()) {
+// scheduleOn schedules run on a node. A crash of the node cancels it and a pause
+// delays it.
+func (s *simulation) scheduleOn(node *simulatedNode, delay time.Duration, run func()) {
 	generation := node.generation
 	var attempt func()
 	attempt = func() {
 		switch {
 		case node.generation != generation:
 		case node.paused:
-			s.after(tickInterval, attempt)
+			s.schedule(tickInterval, attempt)
 		default:
 			run()
 		}
 	}
-	s.after(delay, attempt)
+	s.schedule(delay, attempt)
 }
 
-// run lets virtual time pass, and returns the first violation found.
+// run advances virtual time by duration and returns the first violation, or "".
 func (s *simulation) run(duration time.Duration) string {
 	end := s.now.Add(duration)
 	for len(s.events) > 0 && !s.events[0].at.After(end) && s.oracle.failure == "" {
@@ -192,33 +195,33 @@
 		MaxMessageBytes: 200, MaxInflightBytes: 600, CacheBytes: 300, SnapshotRetry: time.Second,
 	})
 	if err != nil {
-		s.oracle.failf("node %d does not start: %v", node.position, err)
+		s.oracle.failf("node %d failed to start: %v", node.position, err)
 		return
 	}
 	node.replica, node.staged = replica, nil
-	node.acks, node.reads, node.confirmed = map[uint64]uint64{}, map[uint64]uint64{}, nil
+	node.proposals, node.minReadIndex, node.pendingReads = map[uint64]uint64{}, map[uint64]uint64{}, nil
 	s.tick(node)
 }
 
 func (s *simulation) tick(node *simulatedNode) {
 	node.replica.Tick(s.now)
-	s.proceed(node)
-	s.afterOn(node, tickInterval, func() { s.tick(node) })
+	s.processReady(node)
+	s.scheduleOn(node, tickInterval, func() { s.tick(node) })
 }
 
-// crash stops a node; what it was writing is on the disk or not.
+// crash stops a node. A pending write is persisted or lost at random.
 func (s *simulation) crash(node *simulatedNode) {
-	if node.writing != nil && s.random.IntN(2) == 0 {
+	if node.pendingReady != nil && s.random.IntN(2) == 0 {
 		s.persist(node)
 	}
-	for _, arrived := range node.waiting {
-		delete(s.transit, arrived)
+	for _, arrived := range node.deferred {
+		delete(s.inFlight, arrived)
 	}
 	node.generation++
-	node.replica, node.writing, node.waiting, node.paused = nil, nil, nil, false
+	node.replica, node.pendingReady, node.deferred, node.paused = nil, nil, nil, false
 }
 
-// loseDisk crashes a node and gives it an empty disk: a new identity.
+// loseDisk crashes a node and gives it an empty disk and a new replica ID.
 func (s *simulation) loseDisk(node *simulatedNode) {
 	s.crash(node)
 	node.incarnation++
@@ -228,12 +231,12 @@
 
 func (s *simulation) resume(node *simulatedNode) {
 	node.paused = false
-	if s.random.IntN(2) == 0 { // the contract asks for it, safety must not need it
+	if s.random.IntN(2) == 0 { // callers must do this, but safety must not depend on it
 		node.replica.Tick(s.now)
 	}
-	waiting := node.waiting
-	node.waiting = nil
-	for _, arrived := range waiting {
+	deferred := node.deferred
+	node.deferred = nil
+	for _, arrived := range deferred {
 		s.deliver(node, arrived)
 	}
 }
@@ -247,11 +250,11 @@
 		s.sent.messages++
 		s.sent.bytes += len(encoded)
 		copies := 1
-		if s.random.Float64() < s.noise.duplicate {
+		if s.random.Float64() < s.conditions.duplicate {
 			copies = 2
 		}
 		for range copies {
-			if s.random.Float64() >= s.noise.loss {
+			if s.random.Float64() >= s.conditions.loss {
 				s.transmitOnce(from, encoded)
 			}
 		}
@@ -264,15 +267,15 @@
 		s.oracle.failf("unmarshal: %v", err)
 	}
 	to := s.node(message.To)
-	if to == nil || (s.drop != nil && s.drop(message)) || s.cut[[2]int{from.position, to.position}] {
+	if to == nil || (s.drop != nil && s.drop(message)) || s.blocked[[2]int{from.position, to.position}] {
 		return
 	}
 	sent := &delivery{message: message, state: from.state[:len(from.state):len(from.state)]}
-	s.transit[sent] = true
-	delay := time.Millisecond + time.Duration(s.random.Int64N(int64(s.noise.maxDelay)))
-	s.after(delay, func() {
+	s.inFlight[sent] = true
+	delay := time.Millisecond + time.Duration(s.random.Int64N(int64(s.conditions.maxDelay)))
+	s.schedule(delay, func() {
 		if to.paused {
-			to.waiting = append(to.waiting, sent)
+			to.deferred = append(to.deferred, sent)
 		} else {
 			s.deliver(to, sent)
 		}
@@ -280,7 +283,7 @@
 }
 
 func (s *simulation) deliver(to *simulatedNode, arrived *delivery) {
-	delete(s.transit, arrived)
+	delete(s.inFlight, arrived)
 	if to.replica == nil || to.id != arrived.message.To {
 		return
 	}
@@ -293,20 +296,21 @@
 	if err := to.replica.Step(arrived.message); err != nil {
 		s.oracle.failf("node %d: %v", to.position, err)
 	}
-	s.proceed(to)
+	s.processReady(to)
 }
 
 func (s *simulation) node(id ReplicaID) *simulatedNode {
-	at := slices.IndexFunc(s.nodes, func(node *simulatedNode) bool { return node.id == id })
-	if at < 0 {
+	i := slices.IndexFunc(s.nodes, func(node *simulatedNode) bool { return node.id == id })
+	if i < 0 {
 		return nil
 	}
-	return s.nodes[at]
+	return s.nodes[i]
 }
 
-// proceed is the shell: it takes a Ready and starts to write it.
-func (s *simulation) proceed(node *simulatedNode) {
-	if node.writing != nil {
+// processReady acts as the replica's caller: it takes a Ready and starts its
+// write, or sends immediate messages if a write is pending.
+func (s *simulation) processReady(node *simulatedNode) {
+	if node.pendingReady != nil {
 		s.transmit(node, node.replica.Immediate())
 		return
 	}
@@ -314,89 +318,89 @@
 		return
 	}
 	ready := node.replica.Ready()
-	node.writing = &ready
+	node.pendingReady = &ready
 	if ready.Snapshot == nil {
 		node.staged = nil
 	}
 	if ready.SoftState != nil && ready.SoftState.Role == RoleLeader {
-		s.oracle.lead(node.id, node.replica.Status().Term)
+		s.oracle.recordLeader(node.id, node.replica.Status().Term)
 	}
 	s.transmit(node, ready.Immediate)
 	delay := time.Duration(0)
 	if ready.MustSync {
-		delay = time.Duration(s.random.Int64N(int64(s.noise.maxWrite)))
+		delay = time.Duration(s.random.Int64N(int64(s.conditions.maxWrite)))
 	}
-	s.afterOn(node, delay, func() { s.finish(node) })
+	s.scheduleOn(node, delay, func() { s.completeReady(node) })
 }
 
 func (s *simulation) persist(node *simulatedNode) {
-	if node.writing.Snapshot != nil {
+	if node.pendingReady.Snapshot != nil {
 		node.state = node.staged.state
 		node.staged = nil
 	}
-	node.disk.Persist(*node.writing)
+	node.disk.Persist(*node.pendingReady)
 }
 
-func (s *simulation) finish(node *simulatedNode) {
+func (s *simulation) completeReady(node *simulatedNode) {
 	s.persist(node)
-	ready := *node.writing
+	ready := *node.pendingReady
 	s.transmit(node, ready.Messages)
 	for _, entry := range ready.CommittedEntries {
-		s.oracle.apply(node, entry)
+		s.oracle.recordApplied(node, entry)
 		node.state = append(node.state, entry)
 		if err := node.disk.Applied(entry); err != nil {
 			s.oracle.failf("node %d: %v", node.position, err)
 		}
-		if term, mine := node.acks[entry.Index]; mine && term == entry.Term {
+		if term, mine := node.proposals[entry.Index]; mine && term == entry.Term {
 			s.oracle.acked[entry.Index] = true
 			s.oracle.observed = max(s.oracle.observed, entry.Index)
 		}
 	}
 	s.answerReads(node, ready.ReadStates)
-	node.writing = nil
+	node.pendingReady = nil
 	node.replica.Advance()
 	if err := node.replica.Err(); err != nil {
 		s.oracle.failf("node %d: %v", node.position, err)
 		return
 	}
-	s.proceed(node)
+	s.processReady(node)
 }
 
 func (s *simulation) answerReads(node *simulatedNode, states []ReadState) {
-	node.confirmed = append(node.confirmed, states...)
-	node.confirmed = slices.DeleteFunc(node.confirmed, func(read ReadState) bool {
+	node.pendingReads = append(node.pendingReads, states...)
+	node.pendingReads = slices.DeleteFunc(node.pendingReads, func(read ReadState) bool {
 		applied := node.disk.applied.Index
 		if read.Aborted {
-			node.aborted++
+			node.abortedReads++
 			return true
 		}
 		if applied < read.Index {
 			return false
 		}
-		if applied < node.reads[read.Token] {
-			s.oracle.failf("node %d read at %d, after a client had seen %d", node.position, applied, node.reads[read.Token])
+		if applied < node.minReadIndex[read.Token] {
+			s.oracle.failf("node %d served a read at index %d after a client had seen %d", node.position, applied, node.minReadIndex[read.Token])
 		}
 		s.oracle.observed = max(s.oracle.observed, applied)
 		return true
 	})
 }
 
-// propose asks a node to commit one more value.
+// propose proposes a new value to a node and reports whether it was accepted.
 func (s *simulation) propose(node *simulatedNode) bool {
 	s.proposed++
 	index, term, err := node.replica.Propose([]byte(strconv.Itoa(s.proposed)))
 	if err == nil {
-		node.acks[index] = term
-		s.proceed(node)
+		node.proposals[index] = term
+		s.processReady(node)
 	}
 	return err == nil
 }
 
 func (s *simulation) read(node *simulatedNode) {
-	token := uint64(len(node.reads))
+	token := uint64(len(node.minReadIndex))
 	if node.replica.ReadIndex(token) == nil {
-		node.reads[token] = s.oracle.observed
-		s.proceed(node)
+		node.minReadIndex[token] = s.oracle.observed
+		s.processReady(node)
 	}
 }
 
@@ -417,33 +421,33 @@
 	return newest
 }
 
-// repair lets the leader take one step towards voters that all exist.
-func (s *simulation) repair(wanted []ReplicaID) {
+// repair makes the leader propose the next change toward the desired voters.
+func (s *simulation) repair(desired []ReplicaID) {
 	leader := s.leader()
 	if leader == nil {
 		return
 	}
 	status := leader.replica.Status()
-	change, needed := NextChange(status.Configuration, leader.id, wanted, leader.replica.CaughtUp)
+	change, needed := NextChange(status.Configuration, leader.id, desired, leader.replica.CaughtUp)
 	if !needed {
 		return
 	}
 	if _, _, err := leader.replica.ProposeConfig(change); err == nil {
-		s.proceed(leader)
+		s.processReady(leader)
 	}
 }
 
 func (s *simulation) isolate(node *simulatedNode) {
 	for _, other := range s.nodes {
-		s.cut[[2]int{node.position, other.position}] = true
-		s.cut[[2]int{other.position, node.position}] = true
+		s.blocked[[2]int{node.position, other.position}] = true
+		s.blocked[[2]int{other.position, node.position}] = true
 	}
 }
 
-// heal ends every fault.
+// heal ends all faults.
 func (s *simulation) heal() {
-	clear(s.cut)
-	s.noise = calm()
+	clear(s.blocked)
+	s.conditions = normalConditions()
 	for _, node := range s.nodes {
 		if node.replica == nil {
 			s.start(node)
--- a/internal/ledger/replication/status.go
+++ b/internal/ledger/replication/status.go
@@ -1,6 +1,6 @@
 package replication
 
-// Status is a replica's state for operators, metrics and repair.
+// Status is a snapshot of a replica's state for operators, metrics and repair.
 type Status struct {
 	ID            ReplicaID
 	Role          Role
@@ -10,29 +10,29 @@
 	Applied       uint64
 	LastIndex     uint64
 	Configuration Configuration
-	// ConfigurationPending says that the newest change is uncommitted.
+	// ConfigurationPending is set while the latest configuration is uncommitted.
 	ConfigurationPending bool
 	TransferringTo       ReplicaID
-	// Installing says that a snapshot was taken, but Advance has not yet
-	// confirmed its installation. Commit includes it already.
+	// Installing is set from the acceptance of a snapshot until Advance confirms
+	// its installation. Commit already includes the snapshot.
 	Installing bool
-	// Followers is set at the leader only.
+	// Followers has all members, itself included, on the leader; nil elsewhere.
 	Followers map[ReplicaID]FollowerStatus
 }
 
-// FollowerStatus is what the leader knows of a member.
+// FollowerStatus is the leader's view of one member.
 type FollowerStatus struct {
 	Match uint64
-	// Silent says that it did not answer within the election timeout.
+	// Silent is set if the member did not respond within the election timeout.
 	Silent bool
-	// Snapshotting says that it is being sent a snapshot.
+	// Snapshotting is set while the member has a snapshot to install.
 	Snapshotting bool
 }
 
-// Leading says whether this replica leads, and its term. It costs nothing.
+// Leading reports whether this replica is the leader, and its current term.
 func (r *Replica) Leading() (bool, uint64) { return r.role == RoleLeader, r.term }
 
-// Status describes the replica now.
+// Status returns the current status.
 func (r *Replica) Status() Status {
 	newest := r.configurations[len(r.configurations)-1]
 	status := Status{
@@ -40,14 +40,14 @@
 		Commit: r.log.committed, Applied: r.log.applied, LastIndex: r.log.lastIndex(),
 		Configuration:        newest.configuration.clone(),
 		ConfigurationPending: newest.index > r.log.committed,
-		TransferringTo:       r.leading.transferTo,
+		TransferringTo:       r.leaderState.transferTo,
 		Installing:           r.log.snapshot != nil,
 	}
 	if r.role != RoleLeader {
 		return status
 	}
-	status.Followers = make(map[ReplicaID]FollowerStatus, len(r.leading.progress))
-	for id, p := range r.leading.progress {
+	status.Followers = make(map[ReplicaID]FollowerStatus, len(r.leaderState.progress))
+	for id, p := range r.leaderState.progress {
 		status.Followers[id] = FollowerStatus{
 			Match:        p.match,
 			Silent:       id != r.config.ID && r.now.Sub(p.lastHeard) > r.config.ElectionTimeout,
--- a/internal/ledger/replication/storage.go
+++ b/internal/ledger/replication/storage.go
@@ -2,32 +2,32 @@
 
 import "errors"
 
-// Errors that a Storage returns; any other error is taken for a failing disk
-// and stops the replica.
+// Errors returned by Storage. Any other error is treated as a disk failure and
+// stops the replica.
 var (
-	// ErrCompacted says that the log no longer holds the index.
-	ErrCompacted = errors.New("replication: the log is compacted past this index")
-	// ErrUnavailable says that the log does not yet hold the index.
-	ErrUnavailable = errors.New("replication: the log ends before this index")
+	// ErrCompacted is returned for an index that has been removed from the log.
+	ErrCompacted = errors.New("replication: log index is compacted")
+	// ErrUnavailable is returned for an index beyond the end of the log.
+	ErrUnavailable = errors.New("replication: log index is beyond the end of the log")
 )
 
-// Storage reads what the shell has persisted. The replica reads from within
-// its own methods; the shell writes at Ready and may compact at any time
-// between two calls, but never past the applied index.
+// Storage reads the state that the caller has persisted. Replica reads it only
+// within its own methods. The caller writes when handling a Ready and may
+// compact between calls of these methods, but never past the applied index.
 type Storage interface {
-	// HardState returns the last one written; zero for a new replica.
+	// HardState returns the last hard state written, zero for a new replica.
 	HardState() (HardState, error)
-	// Snapshot returns the marker of the applied state: what a follower that
-	// is too far behind would be sent now. Zero for a new replica.
+	// Snapshot returns the marker of the applied state, which a follower too far
+	// behind would be sent now. It is zero for a new replica.
 	Snapshot() (SnapshotMarker, error)
-	// FirstIndex is the first entry held; the term of FirstIndex-1 must be
-	// known too.
+	// FirstIndex returns the index of the first stored entry. Term must also
+	// return the term of FirstIndex-1.
 	FirstIndex() (uint64, error)
-	// LastIndex is the last entry held, FirstIndex-1 when there is none.
+	// LastIndex returns the last stored index, FirstIndex-1 if there is none.
 	LastIndex() (uint64, error)
 	// Term returns the term of the entry at index.
 	Term(index uint64) (uint64, error)
-	// Entries returns from ≤ index < to, fewer if their data would exceed
-	// maxBytes, but at least one.
+	// Entries returns the entries with from ≤ index < to, or fewer if their data
+	// would exceed maxBytes, but at least one.
 	Entries(from, to uint64, maxBytes int) ([]Entry, error)
 }
--- a/internal/ledger/replication/types.go
+++ b/internal/ledger/replication/types.go
@@ -10,11 +10,11 @@
 	"chutelock.dev/chutelock/internal/wire"
 )
 
-// ReplicaID identifies one incarnation of one node's disk. Zero is nobody.
+// ReplicaID identifies one incarnation of a node's disk. Zero means none.
 type ReplicaID uint64
 
-// NewReplicaID derives the identity of a replica from its node's name and the
-// incarnation that was drawn at random when the disk was found empty.
+// NewReplicaID derives a replica's ID from its node's name and an incarnation,
+// which must be drawn at random each time the node's disk is found empty.
 func NewReplicaID(node string, incarnation uint64) ReplicaID {
 	seed := binary.BigEndian.AppendUint64([]byte(node), incarnation)
 	return ReplicaID(max(xxhash.Sum64(seed), 1))
@@ -23,19 +23,19 @@
 // String implements fmt.Stringer.
 func (id ReplicaID) String() string { return fmt.Sprintf("%016x", uint64(id)) }
 
-// EntryType says what an entry's data is.
+// EntryType is the type of an entry's data.
 type EntryType uint8
 
 // Entry types.
 const (
-	// EntryNormal carries a proposal; one without data marks the start of a
-	// leader's term and is not for the state machine.
+	// EntryNormal carries a proposal. One without data marks the start of a
+	// leader's term and is not passed to the state machine.
 	EntryNormal EntryType = iota
 	// EntryConfiguration carries an encoded Configuration.
 	EntryConfiguration
 )
 
-// Entry is one position of the log.
+// Entry is one entry of the log.
 type Entry struct {
 	Index uint64
 	Term  uint64
@@ -43,37 +43,37 @@
 	Data  []byte
 }
 
-// HardState is what a replica must have on disk before it sends anything that
-// depends on it. Commit may lag behind after a crash.
+// HardState is the state that a replica must persist before it sends messages
+// that depend on it. After a crash, Commit may be stale.
 type HardState struct {
 	Term   uint64
 	Vote   ReplicaID
 	Commit uint64
 }
 
-// Configuration lists the replicas of a shard, each list in rising order.
-// Learners receive the log, but neither vote nor count.
+// Configuration lists the replicas of a shard, each list in ascending order.
+// Learners receive the log but neither vote nor count toward a quorum.
 type Configuration struct {
 	Voters   []ReplicaID
 	Learners []ReplicaID
 }
 
-// SnapshotMarker names an applied state: the last entry that it contains and
-// the configuration at that entry.
+// SnapshotMarker identifies an applied state by the last entry it includes and
+// holds the configuration at that entry.
 type SnapshotMarker struct {
 	Index         uint64
 	Term          uint64
 	Configuration Configuration
 }
 
-// Bootstrap position of every shard.
+// Log position at which every shard starts.
 const (
 	bootstrapIndex = 1
 	bootstrapTerm  = 1
 )
 
-// BootstrapMarker is the state from which a new shard starts on each of its
-// first voters: nothing applied, and the same configuration everywhere.
+// BootstrapMarker returns the marker from which each initial voter of a new
+// shard starts: an empty state and a configuration of these voters.
 func BootstrapMarker(voters ...ReplicaID) SnapshotMarker {
 	sorted := slices.Clone(voters)
 	slices.Sort(sorted)
@@ -84,38 +84,38 @@
 	}
 }
 
-// BootstrapState is the hard state that belongs to BootstrapMarker.
+// BootstrapState returns the hard state to store with BootstrapMarker.
 func BootstrapState() HardState {
 	return HardState{Term: bootstrapTerm, Commit: bootstrapIndex}
 }
 
-// HasVoter says whether id votes.
+// HasVoter reports whether id is a voter.
 func (c Configuration) HasVoter(id ReplicaID) bool {
 	_, found := slices.BinarySearch(c.Voters, id)
 	return found
 }
 
-// HasLearner says whether id is a learner.
+// HasLearner reports whether id is a learner.
 func (c Configuration) HasLearner(id ReplicaID) bool {
 	_, found := slices.BinarySearch(c.Learners, id)
 	return found
 }
 
-// Members lists voters and learners in rising order.
+// Members returns all voters and learners in ascending order.
 func (c Configuration) Members() []ReplicaID {
 	members := slices.Concat(c.Voters, c.Learners)
 	slices.Sort(members)
 	return members
 }
 
-// Quorum is the number of voters that decide.
+// Quorum returns the number of voters in a majority.
 func (c Configuration) Quorum() int { return len(c.Voters)/2 + 1 }
 
 func (c Configuration) clone() Configuration {
 	return Configuration{Voters: slices.Clone(c.Voters), Learners: slices.Clone(c.Learners)}
 }
 
-// Versions of the encodings below; a decoder refuses any other.
+// Versions of the encodings; decoders reject any other.
 const (
 	configurationVersion = 1
 	markerVersion        = 1
@@ -132,12 +132,12 @@
 	Type        EntryType
 }
 
-// Marshal encodes the configuration, as EntryConfiguration holds it.
+// Marshal encodes the configuration as the data of an EntryConfiguration.
 func (c Configuration) Marshal() []byte {
 	return mustMarshal(configurationVersion, fixedConfiguration{}, marshalIDs(c.Voters), marshalIDs(c.Learners))
 }
 
-// UnmarshalConfiguration decodes what Configuration.Marshal encoded.
+// UnmarshalConfiguration decodes the result of Configuration.Marshal.
 func UnmarshalConfiguration(encoded []byte) (Configuration, error) {
 	fields, err := wire.Unmarshal(encoded, configurationVersion, &fixedConfiguration{}, 2)
 	if err != nil {
@@ -159,7 +159,7 @@
 	return mustMarshal(markerVersion, fixedMarker{m.Index, m.Term}, m.Configuration.Marshal())
 }
 
-// UnmarshalSnapshotMarker decodes what SnapshotMarker.Marshal encoded.
+// UnmarshalSnapshotMarker decodes the result of SnapshotMarker.Marshal.
 func UnmarshalSnapshotMarker(encoded []byte) (SnapshotMarker, error) {
 	var fixed fixedMarker
 	fields, err := wire.Unmarshal(encoded, markerVersion, &fixed, 1)
@@ -176,7 +176,7 @@
 // Marshal encodes the hard state.
 func (s HardState) Marshal() []byte { return mustMarshal(hardStateVersion, s) }
 
-// UnmarshalHardState decodes what HardState.Marshal encoded.
+// UnmarshalHardState decodes the result of HardState.Marshal.
 func UnmarshalHardState(encoded []byte) (HardState, error) {
 	var state HardState
 	_, err := wire.Unmarshal(encoded, hardStateVersion, &state, 0)
@@ -188,7 +188,7 @@
 	return mustMarshal(entryVersion, fixedEntry{e.Index, e.Term, e.Type}, e.Data)
 }
 
-// UnmarshalEntry decodes what Entry.Marshal encoded; Data aliases encoded.
+// UnmarshalEntry decodes the result of Entry.Marshal. Data aliases encoded.
 func UnmarshalEntry(encoded []byte) (Entry, error) {
 	var fixed fixedEntry
 	fields, err := wire.Unmarshal(encoded, entryVersion, &fixed, 1)
@@ -196,13 +196,13 @@
 		return Entry{}, err
 	}
 	if fixed.Type > EntryConfiguration {
-		return Entry{}, fmt.Errorf("%w: entry type %d", wire.ErrLength, fixed.Type)
+		return Entry{}, fmt.Errorf("%w: unknown entry type %d", wire.ErrLength, fixed.Type)
 	}
 	return Entry{Index: fixed.Index, Term: fixed.Term, Type: fixed.Type, Data: fields[0]}, nil
 }
 
-// mustMarshal encodes a struct that is of fixed size by its declaration, so
-// that an error can only be a mistake in this package.
+// mustMarshal encodes a fixed-size struct and other fields. It panics on an
+// error, which can only be a bug in this package.
 func mustMarshal(version uint8, fixed any, fields ...[]byte) []byte {
 	encoded, err := wire.Marshal(version, fixed, fields...)
 	if err != nil {
@@ -234,7 +234,7 @@
 	}
 	for i := 1; i < len(ids); i++ {
 		if ids[i] <= ids[i-1] {
-			return nil, fmt.Errorf("%w: replica identities out of order", wire.ErrLength)
+			return nil, fmt.Errorf("%w: replica IDs are not in ascending order", wire.ErrLength)
 		}
 	}
 	return ids, nil
