--- a/internal/ledger/local/local.go
+++ b/internal/ledger/local/local.go
@@ -1,6 +1,6 @@
-// Package local gives a ledger with a single copy of each shard in one
-// process: for tests of the ledger's users and for trying things out. It keeps
-// the contract of ledger.Shard but survives no loss of its disk.
+// Package local implements a ledger with a single, unreplicated copy of each
+// shard in one process, for tests and experiments. It implements ledger.Shard,
+// but a lost disk loses the data.
 package local
 
 import (
@@ -17,27 +17,27 @@
 )
 
 const (
-	// localTerm is the term of a shard that never changes its leader.
+	// localTerm is the fixed term that Shard.Leading returns.
 	localTerm = 1
-	// localReplica is the only replica.
+	// localReplica is the ID of the only replica of each shard.
 	localReplica replication.ReplicaID = 1
-	// compactEvery is the number of entries after which the log is dropped.
-	compactEvery = 1024
+	// compactInterval is the number of entries between log compactions.
+	compactInterval = 1024
 )
 
-// Options of a local ledger.
+// Options configures a local ledger.
 type Options struct {
-	// Folder holds the data; empty means memory.
+	// Folder is the data directory; empty means in memory.
 	Folder string
-	// Shards is the number of shards; 0 means 1.
+	// Shards is the number of shards; zero means one.
 	Shards int
-	// Address is what Leader answers.
+	// Address is the address that Ledger.Leader returns.
 	Address transport.Address
-	// NewMachine makes the state machine of a shard.
+	// NewMachine returns the state machine for a shard.
 	NewMachine func(ledger.ShardID) ledger.StateMachine
 }
 
-// Ledger is a directory of shards that all live here.
+// Ledger is a directory whose shards are all in this process.
 type Ledger struct {
 	address transport.Address
 	store   *storage.Store
@@ -46,7 +46,7 @@
 
 var _ ledger.Directory = (*Ledger)(nil)
 
-// Open opens the ledger and reloads its machines.
+// Open opens or creates the ledger and reloads its state machines.
 func Open(options Options) (*Ledger, error) {
 	storeOptions := storage.Options{Folder: options.Folder, Reserve: 1}
 	if options.Folder == "" {
@@ -68,7 +68,7 @@
 	return l, nil
 }
 
-// Close closes the ledger.
+// Close closes the underlying store.
 func (l *Ledger) Close() error { return l.store.Close() }
 
 // Shards implements ledger.Directory.
@@ -85,7 +85,7 @@
 	return l.shards[shard], true
 }
 
-// Shard is a shard with a single copy.
+// Shard is an unreplicated shard.
 type Shard struct {
 	disk    *storage.Shard
 	machine ledger.StateMachine
@@ -108,7 +108,7 @@
 	}
 	shard := &Shard{disk: disk, machine: machine}
 	err = shard.Read(context.Background(), machine.Reload)
-	return shard, trace.Wrap(err, "reload the machine")
+	return shard, trace.Wrap(err, "reload the state machine")
 }
 
 // Propose implements ledger.Shard.
@@ -136,13 +136,13 @@
 	defer transaction.Close()
 	answer, err := s.machine.Apply(transaction, marker.Index, entry)
 	if err != nil {
-		return nil, trace.Wrap(err, "apply an entry to shard %d", s.disk.ID())
+		return nil, trace.Wrap(err, "apply entry to shard %d", s.disk.ID())
 	}
 	answer = append([]byte(nil), answer...)
 	if err := s.disk.CommitApplied(transaction, marker, true); err != nil {
 		return nil, ledger.ErrUnknownOutcome
 	}
-	if marker.Index%compactEvery == 0 {
+	if marker.Index%compactInterval == 0 {
 		return answer, trace.Wrap(s.disk.Compact(marker.Index))
 	}
 	return answer, nil
--- a/internal/ledger/local/local_test.go
+++ b/internal/ledger/local/local_test.go
@@ -10,7 +10,7 @@
 	"chutelock.dev/chutelock/internal/ledger"
 )
 
-// counter counts entries under one key, and answers the count.
+// counter counts how often each entry was applied and returns the count.
 type counter struct{ reloaded uint64 }
 
 func (c *counter) Apply(writer ledger.Writer, _ uint64, entry []byte) ([]byte, error) {
@@ -33,7 +33,9 @@
 	})
 }
 
-func TestEntriesOutliveTheProcess(t *testing.T) {
+// Guards against lost or repeated entries on reopening a ledger, and against
+// shards that share keys.
+func TestEntriesPersistAcrossReopen(t *testing.T) {
 	g := gomega.NewWithT(t)
 	machines := map[ledger.ShardID]*counter{}
 	options := Options{Folder: t.TempDir(), Shards: 2, NewMachine: func(id ledger.ShardID) ledger.StateMachine {
@@ -51,7 +53,7 @@
 		other, _ := opened.Local(0)
 		g.Expect(other.Read(context.Background(), func(reader ledger.Reader) error {
 			_, found, err := reader.Get([]byte("a"))
-			g.Expect(found).To(gomega.BeFalse(), "shards must not see each other's keys")
+			g.Expect(found).To(gomega.BeFalse(), "shards must not share keys")
 			return err
 		})).To(gomega.Succeed())
 		g.Expect(opened.Close()).To(gomega.Succeed())
