--- a/internal/ledger/storage/bench_test.go
+++ b/internal/ledger/storage/bench_test.go
@@ -9,18 +9,18 @@
 	"github.com/cockroachdb/pebble/v2"
 )
 
-// recordSize is the size of a benchmark's record, in bytes.
-const recordSize = 256
+// recordSize is in bytes.
+const benchRecordSize = 256
 
-// BenchmarkCommit compares durable writes with one sync for each record with
-// the committer at several numbers of writes in flight, on a real disk.
+// BenchmarkCommit compares one sync per record with group commit at several
+// numbers of concurrent writers, on the real file system.
 func BenchmarkCommit(b *testing.B) {
 	store, err := Open(Options{Folder: b.TempDir()})
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer store.Close()
-	record := make([]byte, recordSize)
+	record := make([]byte, benchRecordSize)
 	var next atomic.Uint64
 	newBatch := func() *pebble.Batch {
 		batch := store.db.NewBatch()
@@ -39,13 +39,13 @@
 	})
 	for _, inFlight := range []int{1, 8, 64, 256} {
 		b.Run(fmt.Sprintf("in flight %d", inFlight), func(b *testing.B) {
-			inParallel(b, inFlight, func() error { return store.committer.commit(newBatch(), true) })
+			runParallel(b, inFlight, func() error { return store.committer.commit(newBatch(), true) })
 		})
 	}
 }
 
-// inParallel runs b.N operations on so many goroutines.
-func inParallel(b *testing.B, goroutines int, operation func() error) {
+// runParallel runs the operation b.N times in total on the goroutines.
+func runParallel(b *testing.B, goroutines int, operation func() error) {
 	var left atomic.Int64
 	left.Store(int64(b.N))
 	var group sync.WaitGroup
--- a/internal/ledger/storage/committer.go
+++ b/internal/ledger/storage/committer.go
@@ -8,49 +8,49 @@
 	"github.com/gravitational/trace"
 )
 
-// committer writes the batches of all shards. What has to be synced gathers
-// while a sync runs, and goes out with the next one; what has not is written
-// beside, so that it never waits for a sync. A shard waits for each of its own
-// batches before the next, so that their order is kept.
+// committer writes the batches of all shards by group commit. Synced batches
+// that arrive during a sync are merged into the next one; unsynced batches have
+// their own queue and never wait for a sync. A shard waits for each of its
+// batches before it commits the next, which keeps them in order.
 //
-// Callers are thereby kept apart from the disk: when it hangs or fails for
-// good, failed releases them.
+// Callers wait on channels, not on the disk: closing failed or stop releases
+// them even if a disk operation hangs.
 type committer struct {
 	db       *pebble.DB
 	synced   commitQueue
 	unsynced commitQueue
 	failed   <-chan struct{}
 	fail     func(error)
-	noted    func(sequence uint64)
-	sequence uint64 // of the last synced write
+	onSync   func(sequence uint64)
+	sequence uint64 // of the last synced write; used by writeSynced only
 	stop     chan struct{}
 	stopped  sync.WaitGroup
 }
 
-// commitQueue gathers batches. Its mutex is a leaf.
+// commitQueue merges batches into the next group. Its mutex is a leaf lock.
 type commitQueue struct {
 	mutex   sync.Mutex
-	waiting *commitGroup  // nil when nothing waits
-	arrived chan struct{} // of capacity 1
+	pending *commitGroup  // nil when empty
+	ready   chan struct{} // capacity 1: signals a new pending group
 }
 
-// commitGroup is written at once. Its error is set before done is closed.
+// commitGroup is a merged batch, written as one. err is set before done is closed.
 type commitGroup struct {
 	batch *pebble.Batch
 	done  chan struct{}
 	err   error
 }
 
-// startCommitter starts with the sequence of the last write in the store; it
-// calls noted, with rising sequences, after each sync.
-func startCommitter(db *pebble.DB, sequence uint64, failed <-chan struct{}, fail func(error), noted func(uint64)) *committer {
+// startCommitter starts a committer after the given last sequence in the store.
+// It calls onSync after each sync, with increasing sequences.
+func startCommitter(db *pebble.DB, sequence uint64, failed <-chan struct{}, fail func(error), onSync func(uint64)) *committer {
 	c := &committer{
 		db:       db,
-		synced:   commitQueue{arrived: make(chan struct{}, 1)},
-		unsynced: commitQueue{arrived: make(chan struct{}, 1)},
+		synced:   commitQueue{ready: make(chan struct{}, 1)},
+		unsynced: commitQueue{ready: make(chan struct{}, 1)},
 		failed:   failed,
 		fail:     fail,
-		noted:    noted,
+		onSync:   onSync,
 		sequence: sequence,
 		stop:     make(chan struct{}),
 	}
@@ -60,8 +60,8 @@
 	return c
 }
 
-// commit writes the batch and waits until it is durable (with sync) or
-// visible (without). The batch is closed.
+// commit writes the batch and waits until it is durable (with sync) or visible
+// (without). It closes the batch.
 func (c *committer) commit(batch *pebble.Batch, sync bool) error {
 	select {
 	case <-c.failed:
@@ -88,34 +88,34 @@
 	}
 }
 
-// add copies the batch into the group that waits.
+// add merges the batch into the pending group and closes it.
 func (q *commitQueue) add(db *pebble.DB, batch *pebble.Batch) (*commitGroup, error) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	if q.waiting == nil {
-		q.waiting = &commitGroup{batch: db.NewBatch(), done: make(chan struct{})}
-		q.arrived <- struct{}{}
+	if q.pending == nil {
+		q.pending = &commitGroup{batch: db.NewBatch(), done: make(chan struct{})}
+		q.ready <- struct{}{}
 	}
-	if err := q.waiting.batch.Apply(batch, nil); err != nil {
+	if err := q.pending.batch.Apply(batch, nil); err != nil {
 		return nil, err
 	}
-	return q.waiting, batch.Close()
+	return q.pending, batch.Close()
 }
 
 func (q *commitQueue) take() *commitGroup {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	group := q.waiting
-	q.waiting = nil
+	group := q.pending
+	q.pending = nil
 	return group
 }
 
-// run writes the groups of a queue, one at a time.
+// run writes the groups of a queue one at a time until the committer stops.
 func (c *committer) run(queue *commitQueue, write func(*pebble.Batch) error) {
 	defer c.stopped.Done()
 	for {
 		select {
-		case <-queue.arrived:
+		case <-queue.ready:
 		case <-c.stop:
 			return
 		}
@@ -144,16 +144,16 @@
 		c.fail(err)
 		return ErrFailed
 	}
-	c.noted(c.sequence)
+	c.onSync(c.sequence)
 	return nil
 }
 
-// close stops the committer; batches that still wait are refused.
+// close stops the committer; pending batches fail with ErrClosed.
 func (c *committer) close() {
 	close(c.stop)
 	c.stopped.Wait()
 }
 
-// abandon stops the committer without waiting for its goroutines, which may
-// hang in the disk for ever.
+// abandon stops the committer without waiting for its goroutines, which may be
+// blocked in a disk operation forever.
 func (c *committer) abandon() { close(c.stop) }
--- a/internal/ledger/storage/crash_test.go
+++ b/internal/ledger/storage/crash_test.go
@@ -16,32 +16,32 @@
 	"chutelock.dev/chutelock/internal/ledger/replication"
 )
 
-// state is what a shard on disk should hold: the oracle of the crash test.
-type state struct {
-	hard    replication.HardState
-	marker  replication.SnapshotMarker
-	first   uint64
-	terms   []uint64 // of the entries from first on
-	machine map[string]string
-	destroy int
+// shardState is the expected or observed content of a shard on disk.
+type shardState struct {
+	hard      replication.HardState
+	marker    replication.SnapshotMarker
+	first     uint64
+	terms     []uint64 // of the entries, starting at first
+	data      map[string]string
+	destroyed int
 }
 
-func (s state) last() uint64 { return s.first + uint64(len(s.terms)) - 1 }
+func (s shardState) last() uint64 { return s.first + uint64(len(s.terms)) - 1 }
 
-func (s state) clone() state {
+func (s shardState) clone() shardState {
 	s.terms = slices.Clone(s.terms)
-	s.machine = maps.Clone(s.machine)
+	s.data = maps.Clone(s.data)
 	return s
 }
 
-func (s state) String() string {
-	return fmt.Sprintf("%+v %d %d first %d terms %v machine %v destroyed %d",
-		s.hard, s.marker.Index, s.marker.Term, s.first, s.terms, s.machine, s.destroy)
+func (s shardState) String() string {
+	return fmt.Sprintf("%+v %d %d first %d terms %v data %v destroyed %d",
+		s.hard, s.marker.Index, s.marker.Term, s.first, s.terms, s.data, s.destroyed)
 }
 
-// observe reads the same from the disk.
-func observe(t rapid.TB, shard *Shard, incarnation uint64) state {
-	var seen state
+// observe reads the shard's content from the store.
+func observe(t rapid.TB, shard *Shard, incarnation uint64) shardState {
+	var seen shardState
 	var err error
 	seen.hard, _ = shard.HardState()
 	seen.marker, _ = shard.Snapshot()
@@ -61,32 +61,32 @@
 		t.Fatal(err)
 	}
 	defer view.Close()
-	seen.machine = map[string]string{}
+	seen.data = map[string]string{}
 	err = view.Scan(nil, nil, func(key, value []byte) (bool, error) {
-		seen.machine[string(key)] = string(value)
+		seen.data[string(key)] = string(value)
 		return true, nil
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	seen.destroy = int(shard.Incarnation() - incarnation)
+	seen.destroyed = int(shard.Incarnation() - incarnation)
 	return seen
 }
 
-// crashMachine drives a shard, and remembers each state since the last that
-// is certainly durable: after a crash the disk must hold one of them.
+// crashMachine runs random operations on a shard and records each state since
+// the last durable one: after a crash the disk must hold one of them.
 type crashMachine struct {
 	fs          *vfs.MemFS
 	store       *Store
 	shard       *Shard
 	incarnation uint64
-	history     []state // the first one is durable
+	history     []shardState // the first one is durable
 
-	// earlier and durable tell what was so before the last sync: a crash
-	// within that sync may fall back to any state since then.
-	earlier []state
-	durable *vfs.MemFS
-	floor   *vfs.MemFS
+	// A crash during the last sync may restore any state since the sync before
+	// it, so the states and file systems of both are kept.
+	historyBeforeSync []shardState
+	atSync            *vfs.MemFS
+	beforeSync        *vfs.MemFS
 }
 
 func (m *crashMachine) open(t *rapid.T) {
@@ -95,29 +95,29 @@
 		t.Fatalf("open: %v", err)
 	}
 	m.store = store
-	m.floor, m.durable = nil, m.fs.CrashClone(vfs.CrashCloneCfg{})
+	m.beforeSync, m.atSync = nil, m.fs.CrashClone(vfs.CrashCloneCfg{})
 	m.shard, err = store.OpenShard(3)
 	if err != nil {
 		t.Fatalf("open the shard: %v", err)
 	}
 }
 
-func (m *crashMachine) now() state { return m.history[len(m.history)-1].clone() }
+func (m *crashMachine) current() shardState { return m.history[len(m.history)-1].clone() }
 
-func (m *crashMachine) did(t *rapid.T, next state, synced bool, err error) {
+func (m *crashMachine) recordStep(t *rapid.T, next shardState, synced bool, err error) {
 	if err != nil {
 		t.Fatal(err)
 	}
 	m.history = append(m.history, next)
 	if synced {
-		m.earlier = m.history[:len(m.history)-1]
+		m.historyBeforeSync = m.history[:len(m.history)-1]
 		m.history = m.history[len(m.history)-1:]
-		m.floor, m.durable = m.durable, m.fs.CrashClone(vfs.CrashCloneCfg{})
+		m.beforeSync, m.atSync = m.atSync, m.fs.CrashClone(vfs.CrashCloneCfg{})
 	}
 }
 
 func (m *crashMachine) save(t *rapid.T) {
-	next := m.now()
+	next := m.current()
 	low := max(next.first, next.hard.Commit+1, next.marker.Index+1)
 	from := rapid.Uint64Range(low, max(low, next.last()+1)).Draw(t, "from")
 	count := rapid.IntRange(0, 5).Draw(t, "count")
@@ -137,11 +137,11 @@
 	next.hard.Commit = rapid.Uint64Range(next.hard.Commit, max(next.hard.Commit, next.last())).Draw(t, "commit")
 	sync := rapid.Bool().Draw(t, "sync")
 	hard := next.hard
-	m.did(t, next, sync, m.shard.Save(&hard, entries, sync))
+	m.recordStep(t, next, sync, m.shard.Save(&hard, entries, sync))
 }
 
 func (m *crashMachine) apply(t *rapid.T) {
-	next := m.now()
+	next := m.current()
 	if next.marker.Index >= next.hard.Commit {
 		t.Skip("nothing to apply")
 	}
@@ -150,34 +150,34 @@
 	transaction := m.shard.NewTransaction()
 	key := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "key")
 	value := fmt.Sprint(next.marker.Index)
-	next.machine[key] = value
+	next.data[key] = value
 	if err := transaction.Set([]byte(key), []byte(value)); err != nil {
 		t.Fatal(err)
 	}
 	if rapid.Bool().Draw(t, "delete") {
-		delete(next.machine, "b")
-		delete(next.machine, "c")
+		delete(next.data, "b")
+		delete(next.data, "c")
 		if err := transaction.DeleteRange([]byte("b"), nil); err != nil {
 			t.Fatal(err)
 		}
 	}
-	m.did(t, next, false, m.shard.CommitApplied(transaction, next.marker, false))
+	m.recordStep(t, next, false, m.shard.CommitApplied(transaction, next.marker, false))
 }
 
 func (m *crashMachine) compact(t *rapid.T) {
-	next := m.now()
+	next := m.current()
 	if next.marker.Index < next.first {
 		t.Skip("nothing to compact")
 	}
 	index := rapid.Uint64Range(next.first, next.marker.Index).Draw(t, "index")
 	next.terms = next.terms[index+1-next.first:]
 	next.first = index + 1
-	m.did(t, next, false, m.shard.Compact(index))
+	m.recordStep(t, next, false, m.shard.Compact(index))
 }
 
-// install replaces everything by the state of another shard.
+// install replaces the shard's content by a snapshot of another shard.
 func (m *crashMachine) install(t *rapid.T) {
-	next := m.now()
+	next := m.current()
 	other, err := Open(Options{Folder: "other", FS: vfs.NewMem(), Reserve: 1})
 	if err != nil {
 		t.Fatal(err)
@@ -214,27 +214,27 @@
 	}
 	next.marker, next.first, next.terms = marker, marker.Index+1, nil
 	next.hard.Commit = marker.Index
-	next.machine = map[string]string{"a": value}
+	next.data = map[string]string{"a": value}
 	hard := next.hard
-	m.did(t, next, true, m.shard.InstallSnapshot(staging, &hard))
+	m.recordStep(t, next, true, m.shard.InstallSnapshot(staging, &hard))
 }
 
 func (m *crashMachine) destroyReplica(t *rapid.T) {
-	if rapid.IntRange(0, 5).Draw(t, "often enough") > 0 {
-		t.Skip("seldom")
+	if rapid.IntRange(0, 5).Draw(t, "skip unless zero") > 0 {
+		t.Skip("destroyed in few draws only")
 	}
-	next := state{first: 1, machine: map[string]string{}, destroy: m.now().destroy + 1}
-	m.did(t, next, true, m.shard.Destroy())
+	next := shardState{first: 1, data: map[string]string{}, destroyed: m.current().destroyed + 1}
+	m.recordStep(t, next, true, m.shard.Destroy())
 }
 
-// crash cuts the power: what was not synced is there in part or not at all.
+// crash simulates a power loss that keeps none, part or all of the unsynced data.
 func (m *crashMachine) crash(t *rapid.T) {
 	random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 	percent := rapid.SampledFrom([]int{0, 20, 60, 100, 100, 100, 100}).Draw(t, "percent")
 	crashed := m.fs.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: percent, RNG: random})
-	if percent == 100 && m.floor != nil {
-		tearLogs(t, m.floor, crashed)
-		m.history = append(m.earlier, m.history...)
+	if percent == 100 && m.beforeSync != nil {
+		truncateLogs(t, m.beforeSync, crashed)
+		m.history = append(m.historyBeforeSync, m.history...)
 	}
 	if err := m.store.Close(); err != nil {
 		t.Fatal(err)
@@ -242,14 +242,14 @@
 	m.fs = crashed
 	m.open(t)
 	if m.store.Incarnation() != m.incarnation {
-		t.Fatal("the folder has lost its identity")
+		t.Fatal("the folder's incarnation changed in a crash")
 	}
 	m.recover(t)
 }
 
-// tearLogs cuts each write-ahead log anywhere behind what synced holds of it.
-// The watermark is as old as that, too.
-func tearLogs(t *rapid.T, synced, crashed *vfs.MemFS) {
+// truncateLogs cuts each write-ahead log at a random point after its synced
+// content, and restores the watermark as of that sync.
+func truncateLogs(t *rapid.T, synced, crashed *vfs.MemFS) {
 	setFileContent(crashed, watermarkFile, fileContent(synced, watermarkFile))
 	names, err := crashed.List("ledger")
 	if err != nil {
@@ -259,9 +259,9 @@
 		if !strings.HasSuffix(name, ".log") {
 			continue
 		}
-		kept, all := fileContent(synced, name), fileContent(crashed, name)
-		cut := rapid.IntRange(min(len(kept), len(all)), len(all)).Draw(t, "cut")
-		setFileContent(crashed, name, all[:cut])
+		syncedContent, content := fileContent(synced, name), fileContent(crashed, name)
+		cut := rapid.IntRange(min(len(syncedContent), len(content)), len(content)).Draw(t, "cut")
+		setFileContent(crashed, name, content[:cut])
 	}
 }
 
@@ -270,7 +270,7 @@
 	if err != nil {
 		panic(err)
 	}
-	_, _ = file.Write(slices.Clone(content)) // pebble spoils it in race builds
+	_, _ = file.Write(slices.Clone(content)) // pebble overwrites written buffers in race builds
 	_ = file.Sync()
 	_ = file.Close()
 }
@@ -285,30 +285,32 @@
 	return content
 }
 
-// recover finds the state that outlived the crash.
+// recover checks that the disk holds a recorded state and continues from it.
 func (m *crashMachine) recover(t *rapid.T) {
 	seen := observe(t, m.shard, m.incarnation)
 	for _, expected := range m.history {
 		if seen.String() == expected.String() {
-			m.history = []state{expected}
+			m.history = []shardState{expected}
 			return
 		}
 	}
-	t.Fatalf("the disk holds a state that never was, or lost what was synced:\n%v\nof\n%v", seen, m.history)
+	t.Fatalf("recovered state\n%v\nis none of the states that the crash allows:\n%v", seen, m.history)
 }
 
 func (m *crashMachine) check(t *rapid.T) {
-	if seen, expected := observe(t, m.shard, m.incarnation), m.now(); seen.String() != expected.String() {
-		t.Fatalf("the shard shows\n%v\ninstead of\n%v", seen, expected)
+	if seen, expected := observe(t, m.shard, m.incarnation), m.current(); seen.String() != expected.String() {
+		t.Fatalf("got state\n%v\nwant\n%v", seen, expected)
 	}
 }
 
-func TestNothingSyncedIsLostInACrash(t *testing.T) {
+// Guards against losing synced writes, or recovering a partial write, after a
+// crash.
+func TestCrashKeepsSyncedWrites(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &crashMachine{fs: vfs.NewCrashableMem()}
 		m.open(t)
 		m.incarnation = m.store.Incarnation()
-		m.history = []state{{first: 1, machine: map[string]string{}}}
+		m.history = []shardState{{first: 1, data: map[string]string{}}}
 		defer func() { _ = m.store.Close() }()
 		t.Repeat(map[string]func(*rapid.T){
 			"":        m.check,
@@ -322,9 +324,9 @@
 	})
 }
 
-// TestTornTailAtEveryByte cuts the write-ahead log at each byte of a few
-// writes: the shard must be as it was after one of them.
-func TestTornTailAtEveryByte(t *testing.T) {
+// Truncates the write-ahead log at each byte after the first sync: the shard
+// must recover to its state after one of the writes, never to part of one.
+func TestTornLogTailRecoversEarlierState(t *testing.T) {
 	g := gomega.NewWithT(t)
 	fs := vfs.NewCrashableMem()
 	store, err := Open(Options{Folder: "ledger", FS: fs, Reserve: 1})
@@ -350,23 +352,23 @@
 		},
 	}
 	var allowed []string
-	var floor *vfs.MemFS
+	var synced *vfs.MemFS
 	for i, step := range steps {
 		g.Expect(step()).To(gomega.Succeed())
 		allowed = append(allowed, observe(t, shard, store.Incarnation()).String())
 		if i == 0 {
-			floor = fs.CrashClone(vfs.CrashCloneCfg{})
+			synced = fs.CrashClone(vfs.CrashCloneCfg{})
 		}
 	}
 	full := fs.CrashClone(vfs.CrashCloneCfg{})
 	name := newestLog(full)
 	content := fileContent(full, name)
 	seen := map[string]bool{}
-	for cut := len(fileContent(floor, name)); cut <= len(content); cut++ {
+	for cut := len(fileContent(synced, name)); cut <= len(content); cut++ {
 		torn := full.CrashClone(vfs.CrashCloneCfg{})
 		setFileContent(torn, name, content[:cut])
-		setFileContent(torn, watermarkFile, fileContent(floor, watermarkFile))
-		state := reopen(t, g, torn, store.Incarnation())
+		setFileContent(torn, watermarkFile, fileContent(synced, watermarkFile))
+		state := recoveredState(t, g, torn, store.Incarnation())
 		g.Expect(allowed).To(gomega.ContainElement(state), "cut at byte %d", cut)
 		seen[state] = true
 	}
@@ -379,7 +381,7 @@
 	return slices.Max(names)
 }
 
-func reopen(t rapid.TB, g *gomega.WithT, fs *vfs.MemFS, incarnation uint64) string {
+func recoveredState(t rapid.TB, g *gomega.WithT, fs *vfs.MemFS, incarnation uint64) string {
 	store, err := Open(Options{Folder: "ledger", FS: fs, Reserve: 1})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	defer store.Close()
--- a/internal/ledger/storage/discard.go
+++ b/internal/ledger/storage/discard.go
@@ -8,13 +8,13 @@
 	"github.com/gravitational/trace"
 )
 
-// corruptMarker is a file that says that the folder was found corrupt.
-const corruptMarker = "CORRUPT"
+// corruptFile is a marker file in a folder that was found corrupt.
+const corruptFile = "CORRUPT"
 
-// markCorrupt leaves the marker, so that a restart doesn't trust the folder.
-// It is best effort: the damage is there to be found again.
+// markCorrupt creates the marker file, so that Open rejects the folder after a
+// restart. Errors are ignored: a restart would detect the corruption again.
 func markCorrupt(options Options) {
-	file, err := options.FS.Create(options.FS.PathJoin(options.Folder, corruptMarker), vfs.WriteCategoryUnspecified)
+	file, err := options.FS.Create(options.FS.PathJoin(options.Folder, corruptFile), vfs.WriteCategoryUnspecified)
 	if err != nil {
 		return
 	}
@@ -22,19 +22,19 @@
 	_ = file.Close()
 }
 
-func markedCorrupt(options Options) (bool, error) {
-	_, err := options.FS.Stat(options.FS.PathJoin(options.Folder, corruptMarker))
+func isMarkedCorrupt(options Options) (bool, error) {
+	_, err := options.FS.Stat(options.FS.PathJoin(options.Folder, corruptFile))
 	if err == nil {
 		return true, nil
 	}
 	if errors.Is(err, fs.ErrNotExist) {
 		return false, nil
 	}
-	return false, trace.Wrap(err, "look for the corruption marker")
+	return false, trace.Wrap(err, "check for the corruption marker")
 }
 
-// Discard removes the folder with all replicas in it. The next Open makes a
-// new one with another incarnation.
+// Discard removes the folder with all its replicas and logs the cause. The next
+// Open creates a folder with a new incarnation.
 func Discard(options Options, cause error) error {
 	if options.FS == nil {
 		options.FS = vfs.Default
--- a/internal/ledger/storage/doc.go
+++ b/internal/ledger/storage/doc.go
@@ -1,19 +1,19 @@
-// Package storage keeps the ledger's replicas of one node on disk: a single
-// pebble store under the node's data folder, with one key prefix a shard.
+// Package storage stores a node's ledger replicas on disk, in a single pebble
+// store in the node's data folder with one key prefix per shard.
 //
-// Three rules hold:
+// It guarantees:
 //
-//   - A batch is durable when Commit with Sync returned nil, never before. All
+//   - A write with sync is durable when it returned nil, not earlier. All
 //     shards share one committer, so that concurrent batches share one sync.
-//   - The folder has an identity, its incarnation, made when the folder is made.
-//     A disk that comes back empty or is discarded has another one, and with it
-//     its replicas are others: they can't vote for what the old ones promised.
-//   - A torn tail of the write-ahead log is cut off, since nothing in it was
-//     acknowledged. Damage anywhere else fails with ErrCorrupt; the folder is
-//     then discarded as a whole and its replicas are fetched from their peers.
-//     A watermark beside pebble's files tells a torn tail from lost syncs.
+//   - The folder has an incarnation, drawn at random when it is created. After
+//     the disk was lost or the folder discarded, its replicas have new
+//     identities, so that they can't vote in place of the old ones.
+//   - A torn tail of the write-ahead log is truncated, since nothing in it was
+//     acknowledged. Any other damage is reported as ErrCorrupt; the folder must
+//     then be discarded and its replicas fetched from their peers. A watermark
+//     file beside pebble's files tells a torn tail from lost synced writes.
 //
-// When the disk runs full, Full turns true while there is still room for the
-// small writes that handing over leadership takes; a disk that fails makes
-// every later call fail with ErrFailed.
+// Full reports true while there is still space for the small writes that a
+// leadership transfer takes. After a disk failure, all writes fail with
+// ErrFailed.
 package storage
--- a/internal/ledger/storage/errors.go
+++ b/internal/ledger/storage/errors.go
@@ -7,18 +7,17 @@
 	"github.com/cockroachdb/pebble/v2"
 )
 
-// Errors of the store.
 var (
-	// ErrCorrupt: data that was durable is damaged. Discard the folder.
+	// ErrCorrupt means that durable data is damaged: the folder must be discarded.
 	ErrCorrupt = errors.New("storage: the ledger folder is corrupt")
-	// ErrFailed: the disk failed a write. Nothing more is written until the
+	// ErrFailed means that a disk write failed. All later writes fail until the
 	// process restarts.
 	ErrFailed = errors.New("storage: the ledger disk has failed")
-	// ErrClosed: the store was closed.
+	// ErrClosed means that the store was closed.
 	ErrClosed = errors.New("storage: closed")
 )
 
-// classify marks pebble's corruption errors as ErrCorrupt.
+// classify wraps pebble's corruption errors in ErrCorrupt.
 func classify(err error) error {
 	if err == nil || errors.Is(err, ErrCorrupt) {
 		return err
--- a/internal/ledger/storage/events.go
+++ b/internal/ledger/storage/events.go
@@ -2,22 +2,22 @@
 
 import "chutelock.dev/chutelock/internal/telemetry"
 
-// Events of the disk store: 4100 to 4149.
+// Event numbers 4100 to 4149 are reserved for this package.
 var (
 	eventCreated = telemetry.Define(4100, "ledger folder created",
-		"The data folder held no ledger, so that this node starts with a new disk incarnation.")
+		"The data folder held no ledger; this node starts with a new disk incarnation.")
 	eventFull = telemetry.Define(4101, "ledger disk full",
 		"Free space fell below the reserve; this node takes no new entries until space is freed.")
-	eventRoomAgain = telemetry.Define(4102, "ledger disk has room again",
+	eventSpaceRecovered = telemetry.Define(4102, "ledger disk has room again",
 		"Free space rose above the reserve; this node takes entries again.")
 	eventFailed = telemetry.Define(4103, "ledger disk failed",
-		"A write or sync failed; this node's replicas stop. Restart the node once the disk is well.")
+		"A write or sync failed; this node's replicas stop. Restart the node once the disk is repaired.")
 	eventCorrupt = telemetry.Define(4104, "ledger folder corrupt",
-		"Damage was found that is no torn tail; the folder must be discarded and fetched from peers.")
+		"Durable data is damaged; the folder must be discarded and its replicas fetched from peers.")
 	eventDiscarded = telemetry.Define(4105, "ledger folder discarded",
 		"The ledger folder was removed; its replicas rejoin under a new disk incarnation.")
-	eventScarce = telemetry.Define(4107, "ledger disk scarce",
-		"Free space passed the bound below which nothing new is begun here, or rose above it again.")
+	eventLowSpace = telemetry.Define(4107, "ledger disk scarce",
+		"Free space fell below the threshold for starting new work on this node, or rose above it again.")
 	eventSlow = telemetry.Define(4106, "ledger disk slow",
-		"A disk operation has been running for longer than the bound.")
+		"A disk operation has been running for longer than the slow-operation threshold.")
 )
--- a/internal/ledger/storage/fault_test.go
+++ b/internal/ledger/storage/fault_test.go
@@ -25,7 +25,7 @@
 	return entries
 }
 
-func mustOpen(g *gomega.WithT, options Options) (*Store, *Shard) {
+func openStore(g *gomega.WithT, options Options) (*Store, *Shard) {
 	store, err := Open(options)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	shard, err := store.OpenShard(0)
@@ -33,23 +33,25 @@
 	return store, shard
 }
 
-func TestCorruptBodyIsRefusedAndTheFolderDiscarded(t *testing.T) {
+// Guards against serving damaged data; a discarded folder must come back empty
+// with a new incarnation.
+func TestOpenRejectsCorruptFolder(t *testing.T) {
 	for name, batches := range map[string]uint64{".log": 20, ".log of one block": 3, ".sst": 20} {
 		t.Run(name, func(t *testing.T) {
 			suffix := name[:4]
 			g := gomega.NewWithT(t)
 			options := Options{Folder: "ledger", FS: vfs.NewMem(), Reserve: 1}
-			store, shard := mustOpen(g, options)
+			store, shard := openStore(g, options)
 			incarnation := store.Incarnation()
 			for i := range batches {
 				g.Expect(shard.Save(nil, entriesFrom(1+i*10, 10), true)).To(gomega.Succeed())
 			}
-			if suffix == ".sst" { // opening again moves the log's content to tables
+			if suffix == ".sst" { // reopening flushes the log to tables
 				g.Expect(store.Close()).To(gomega.Succeed())
-				store, _ = mustOpen(g, options)
+				store, _ = openStore(g, options)
 			}
 			g.Expect(store.Close()).To(gomega.Succeed())
-			damageMiddle(g, options, suffix)
+			corruptLargestFile(g, options, suffix)
 
 			store, err := Open(options)
 			if err == nil {
@@ -59,7 +61,7 @@
 			}
 			g.Expect(err).To(gomega.MatchError(ErrCorrupt))
 			g.Expect(Discard(options, err)).To(gomega.Succeed())
-			store, shard = mustOpen(g, options)
+			store, shard = openStore(g, options)
 			defer store.Close()
 			g.Expect(shard.Empty()).To(gomega.BeTrue())
 			g.Expect(store.Incarnation()).NotTo(gomega.Equal(incarnation))
@@ -67,8 +69,8 @@
 	}
 }
 
-// damageMiddle turns over some bytes in the middle of the largest file.
-func damageMiddle(g *gomega.WithT, options Options, suffix string) {
+// corruptLargestFile overwrites bytes in the middle of the largest file with the suffix.
+func corruptLargestFile(g *gomega.WithT, options Options, suffix string) {
 	names, err := options.FS.List(options.Folder)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	largest, size := "", int64(0)
@@ -86,7 +88,9 @@
 	g.Expect(file.Close()).To(gomega.Succeed())
 }
 
-func TestFailingDiskFailsWritesForGood(t *testing.T) {
+// Guards against writes being acknowledged after a write error, even if the
+// disk works again.
+func TestWriteErrorFailsStorePermanently(t *testing.T) {
 	for name, cause := range map[string]error{"input/output error": syscall.EIO, "no space": syscall.ENOSPC} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
@@ -98,7 +102,7 @@
 				}
 				return nil
 			}))
-			store, shard := mustOpen(g, Options{Folder: "ledger", FS: faulty, Reserve: 1})
+			store, shard := openStore(g, Options{Folder: "ledger", FS: faulty, Reserve: 1})
 			g.Expect(shard.Save(nil, entriesFrom(1, 3), true)).To(gomega.Succeed())
 			failing.Store(true)
 			g.Expect(shard.Save(nil, entriesFrom(4, 1), true)).To(gomega.MatchError(ErrFailed))
@@ -109,7 +113,7 @@
 			g.Expect(store.Close()).To(gomega.Succeed())
 
 			after := Options{Folder: "ledger", FS: inner.CrashClone(vfs.CrashCloneCfg{}), Reserve: 1}
-			store, shard = mustOpen(g, after)
+			store, shard = openStore(g, after)
 			defer store.Close()
 			last, err := shard.LastIndex()
 			g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -118,7 +122,9 @@
 	}
 }
 
-func TestHangingDiskReleasesNobodyEarlyAndFailureReleasesAll(t *testing.T) {
+// Guards against acknowledging a write that hangs, or blocking its caller after
+// it failed.
+func TestSaveBlocksUntilHangingDiskFails(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var hanging atomic.Bool
 	release := make(chan struct{})
@@ -129,7 +135,7 @@
 		}
 		return nil
 	}))
-	store, shard := mustOpen(g, Options{Folder: "ledger", FS: faulty, Reserve: 1})
+	store, shard := openStore(g, Options{Folder: "ledger", FS: faulty, Reserve: 1})
 	hanging.Store(true)
 	saved := make(chan error, 1)
 	go func() { saved <- shard.Save(nil, entriesFrom(1, 1), true) }()
@@ -139,22 +145,25 @@
 	g.Expect(store.Close()).To(gomega.Succeed())
 }
 
-func TestReserveMakesTheStoreFull(t *testing.T) {
+// Guards against small writes failing while the store is full, and against the
+// store staying full once space is free.
+func TestStoreFullBelowReserve(t *testing.T) {
 	g := gomega.NewWithT(t)
 	fs := vfs.NewMem()
 	fs.TestingSetDiskUsage(vfs.DiskUsage{AvailBytes: 1 << 20, TotalBytes: 1 << 30})
-	store, shard := mustOpen(g, Options{Folder: "ledger", FS: fs, Reserve: 2 << 20})
+	store, shard := openStore(g, Options{Folder: "ledger", FS: fs, Reserve: 2 << 20})
 	defer store.Close()
 	g.Expect(store.Full()).To(gomega.BeTrue())
 	hard := replication.HardState{Term: 3}
-	g.Expect(shard.Save(&hard, nil, true)).To(gomega.Succeed(), "the reserve is there for small writes")
+	g.Expect(shard.Save(&hard, nil, true)).To(gomega.Succeed(), "small writes must succeed below the reserve")
 	fs.TestingSetDiskUsage(vfs.DiskUsage{AvailBytes: 1 << 29, TotalBytes: 1 << 30})
 	g.Eventually(store.Full, 10*time.Second).Should(gomega.BeFalse())
 }
 
-func TestDamagedChunkIsRefused(t *testing.T) {
+// Guards against staging a chunk in which any single byte is damaged.
+func TestStagingRejectsDamagedChunk(t *testing.T) {
 	g := gomega.NewWithT(t)
-	store, shard := mustOpen(g, Options{Folder: "ledger", FS: vfs.NewMem(), Reserve: 1})
+	store, shard := openStore(g, Options{Folder: "ledger", FS: vfs.NewMem(), Reserve: 1})
 	defer store.Close()
 	transaction := shard.NewTransaction()
 	g.Expect(transaction.Set([]byte("key"), []byte("value"))).To(gomega.Succeed())
--- a/internal/ledger/storage/keys.go
+++ b/internal/ledger/storage/keys.go
@@ -6,24 +6,24 @@
 	"chutelock.dev/chutelock/internal/ledger"
 )
 
-// Layout of the keys. A node's own keys are spaceNode and a section; a shard's
-// are spaceShard, the shard, a section, and what the section adds.
+// Key layout. Node keys are spaceNode and a section; shard keys are spaceShard,
+// the shard's ID, a section, and the section's suffix.
 const (
 	spaceNode  = 'n'
 	spaceShard = 's'
 
-	sectionIncarnation = 'i' // identity of the folder
-	sectionSequence    = 'q' // of the last write that was to be synced
-	sectionGeneration  = 'g' // by shard: how often its replica here was destroyed
+	sectionIncarnation = 'i' // incarnation of the folder
+	sectionSequence    = 'q' // sequence of the last synced write
+	sectionGeneration  = 'g' // per shard: how often its replica was destroyed
 
 	sectionHardState = 'h' // term, vote and commit index
-	sectionApplied   = 'a' // what the state includes
-	sectionCompacted = 'c' // last entry that the log no longer holds
+	sectionApplied   = 'a' // snapshot marker and version of the applied state
+	sectionCompacted = 'c' // position of the last entry removed from the log
 	sectionLog       = 'l' // entries, by index
-	sectionState     = 'x' // applied state, by edition
+	sectionState     = 'x' // applied state, by version
 
-	// An edition of the state holds the state machine's keys, and what the
-	// shell keeps beside them.
+	// Each version of the applied state holds the state machine's keys and the
+	// roster.
 	partMachine = 'm'
 	partRoster  = 'r'
 )
@@ -53,9 +53,9 @@
 	return append(shardPrefix(shard), section)
 }
 
-// statePrefix is the prefix of one edition of a shard's applied state.
-func statePrefix(shard ledger.ShardID, edition uint32) []byte {
-	return binary.BigEndian.AppendUint32(sectionKey(shard, sectionState), edition)
+// statePrefix returns the prefix of one version of a shard's applied state.
+func statePrefix(shard ledger.ShardID, version uint32) []byte {
+	return binary.BigEndian.AppendUint32(sectionKey(shard, sectionState), version)
 }
 
 func logKey(shard ledger.ShardID, index uint64) []byte {
@@ -66,7 +66,7 @@
 	return binary.BigEndian.AppendUint64(key, index)
 }
 
-// prefixEnd returns the first key after all keys with the prefix.
+// prefixEnd returns the first key after all with the prefix; nil if there is none.
 func prefixEnd(prefix []byte) []byte {
 	end := append([]byte(nil), prefix...)
 	for i := len(end) - 1; i >= 0; i-- {
--- a/internal/ledger/storage/keyspace.go
+++ b/internal/ledger/storage/keyspace.go
@@ -21,8 +21,8 @@
 	return append(full, key...)
 }
 
-// end maps the exclusive bound of a scan; an empty one is the end of the space.
-func (k *keySpace) end(to []byte) []byte {
+// upperBound returns a scan's exclusive bound; an empty to means the end.
+func (k *keySpace) upperBound(to []byte) []byte {
 	if len(to) == 0 {
 		return prefixEnd(k.prefix)
 	}
@@ -42,9 +42,9 @@
 	return copied, true, trace.Wrap(closer.Close())
 }
 
-// Scan implements ledger.Reader. An empty to means the end of the key space.
+// Scan implements ledger.Reader. If to is empty, it scans to the end.
 func (k *keySpace) Scan(from, to []byte, visit func(key, value []byte) (bool, error)) error {
-	iterator, err := k.reader.NewIter(&pebble.IterOptions{LowerBound: k.key(from), UpperBound: k.end(to)})
+	iterator, err := k.reader.NewIter(&pebble.IterOptions{LowerBound: k.key(from), UpperBound: k.upperBound(to)})
 	if err != nil {
 		return trace.Wrap(classify(err), "open an iterator")
 	}
@@ -69,12 +69,12 @@
 	return trace.Wrap(classify(iterator.Error()), "scan keys")
 }
 
-// Transaction collects the writes of applied entries, and reads through them.
-// It implements ledger.Writer. Close it when it is no longer used.
+// Transaction collects the writes of applied entries; its reads include them.
+// It implements ledger.Writer. The caller must commit or close it.
 type Transaction struct {
 	keySpace
-	batch *pebble.Batch
-	state []byte // prefix of the edition
+	batch         *pebble.Batch
+	versionPrefix []byte // of the version in use
 }
 
 var _ ledger.Writer = (*Transaction)(nil)
@@ -89,13 +89,12 @@
 	return trace.Wrap(t.batch.Delete(t.key(key), nil))
 }
 
-// DeleteRange implements ledger.Writer. An empty to means the end of the key
-// space.
+// DeleteRange implements ledger.Writer. If to is empty, it deletes to the end.
 func (t *Transaction) DeleteRange(from, to []byte) error {
-	return trace.Wrap(t.batch.DeleteRange(t.key(from), t.end(to), nil))
+	return trace.Wrap(t.batch.DeleteRange(t.key(from), t.upperBound(to), nil))
 }
 
-// Close gives the transaction up, if it was not committed.
+// Close discards the transaction's writes unless it was committed.
 func (t *Transaction) Close() {
 	if t.batch != nil {
 		_ = t.batch.Close()
@@ -103,13 +102,13 @@
 	}
 }
 
-// View is a consistent read-only state of a shard's machine. It implements
-// ledger.Reader. Close it when it is no longer used.
+// View is a consistent read-only view of a shard's applied state. It implements
+// ledger.Reader. The caller must close it.
 type View struct {
 	keySpace
-	snapshot *pebble.Snapshot
-	applied  applied
-	state    []byte // prefix of the edition
+	snapshot      *pebble.Snapshot
+	applied       applied
+	versionPrefix []byte // of the version in use
 }
 
 // Close releases the view.
--- a/internal/ledger/storage/large_test.go
+++ b/internal/ledger/storage/large_batch_test.go
@@ -10,9 +10,9 @@
 	"github.com/onsi/gomega"
 )
 
-// Batches of any size, synced and not, go to the store of a small disk side by
-// side.
-func TestLargeBatchesOnASmallDisk(t *testing.T) {
+// Guards against commit failures when large batches, synced and unsynced, are
+// written concurrently on a small disk.
+func TestCommitLargeBatchesOnSmallDisk(t *testing.T) {
 	g := gomega.NewWithT(t)
 	store, err := Open(Options{Folder: "ledger", FS: vfs.NewMem(), Reserve: 1, DiskBytes: 47 << 20})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
--- a/internal/ledger/storage/logger.go
+++ b/internal/ledger/storage/logger.go
@@ -6,10 +6,10 @@
 	"k8s.io/klog/v2"
 )
 
-// verboseLevel is the klog level of pebble's own lines.
+// verboseLevel is the klog verbosity at which pebble's log lines are shown.
 const verboseLevel = 4
 
-// storeLogger takes pebble's log lines. It implements pebble.Logger.
+// storeLogger forwards pebble's log lines to klog. It implements pebble.Logger.
 type storeLogger struct {
 	store *Store
 }
@@ -24,9 +24,8 @@
 	klog.V(verboseLevel).Infof(format, args...)
 }
 
-// Fatalf implements pebble.Logger. Pebble's state is not sound after it, so
-// that the calling goroutine must not go on: it is parked, and the store's
-// users are released through Failed.
+// Fatalf implements pebble.Logger. Pebble's state is undefined after it, so it
+// never returns; the store fails, which releases its users through Failed.
 func (l *storeLogger) Fatalf(format string, args ...any) {
 	l.store.fail(fmt.Errorf(format, args...))
 	select {}
--- a/internal/ledger/storage/main_test.go
+++ b/internal/ledger/storage/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the stateful tests; CHUTELOCK_CAMPAIGN gives a
-// long run with other seeds, which rapid prints on failure.
+// TestMain fixes the seed of the rapid tests. With CHUTELOCK_CAMPAIGN set, they
+// run more checks with random seeds, which rapid prints on failure.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	settings := map[string]string{"rapid.seed": "1", "rapid.checks": "200"}
--- a/internal/ledger/storage/records.go
+++ b/internal/ledger/storage/records.go
@@ -10,28 +10,28 @@
 	"chutelock.dev/chutelock/internal/wire"
 )
 
-// appliedVersion is the encoding's version.
+// appliedVersion is the version of the encoding of applied.
 const appliedVersion = 1
 
-// checksumSize is the size of the checksum before each record, in bytes.
+// checksumSize is the size in bytes of the checksum before each record.
 const checksumSize = 8
 
-// seal puts a checksum over the key and the record before the record. A
-// record that was written under another key doesn't pass for this one.
-func seal(key, record []byte) []byte {
-	sealed := make([]byte, checksumSize, checksumSize+len(record))
-	binary.BigEndian.PutUint64(sealed, checksum(key, record))
-	return append(sealed, record...)
+// addChecksum prepends a checksum of the key and the record to the record, so
+// that a record stored under a wrong key is detected.
+func addChecksum(key, record []byte) []byte {
+	value := make([]byte, checksumSize, checksumSize+len(record))
+	binary.BigEndian.PutUint64(value, checksum(key, record))
+	return append(value, record...)
 }
 
-// unseal checks a sealed record and returns it; it aliases sealed.
-func unseal(key, sealed []byte) ([]byte, error) {
-	if len(sealed) < checksumSize {
-		return nil, fmt.Errorf("%w: record %x of %d bytes", ErrCorrupt, key, len(sealed))
+// verifyChecksum checks a stored value and returns its record, which aliases it.
+func verifyChecksum(key, value []byte) ([]byte, error) {
+	if len(value) < checksumSize {
+		return nil, fmt.Errorf("%w: record %x has only %d bytes", ErrCorrupt, key, len(value))
 	}
-	record := sealed[checksumSize:]
-	if binary.BigEndian.Uint64(sealed) != checksum(key, record) {
-		return nil, fmt.Errorf("%w: checksum of record %x", ErrCorrupt, key)
+	record := value[checksumSize:]
+	if binary.BigEndian.Uint64(value) != checksum(key, record) {
+		return nil, fmt.Errorf("%w: checksum mismatch in record %x", ErrCorrupt, key)
 	}
 	return record, nil
 }
@@ -43,23 +43,23 @@
 	return digest.Sum64()
 }
 
-// applied is what an edition of the state includes.
+// applied holds the last applied position and the version of the state in use.
 type applied struct {
 	marker  replication.SnapshotMarker
-	edition uint32
+	version uint32
 }
 
-type fixedApplied struct {
-	Edition uint32
+type appliedHeader struct {
+	Version uint32
 }
 
 func (a applied) encode() ([]byte, error) {
-	return wire.Marshal(appliedVersion, fixedApplied{Edition: a.edition}, a.marker.Marshal())
+	return wire.Marshal(appliedVersion, appliedHeader{Version: a.version}, a.marker.Marshal())
 }
 
 func decodeApplied(record []byte) (applied, error) {
-	var fixed fixedApplied
-	fields, err := wire.Unmarshal(record, appliedVersion, &fixed, 1)
+	var header appliedHeader
+	fields, err := wire.Unmarshal(record, appliedVersion, &header, 1)
 	if err != nil {
 		return applied{}, fmt.Errorf("%w: applied state: %w", ErrCorrupt, err)
 	}
@@ -67,10 +67,10 @@
 	if err != nil {
 		return applied{}, fmt.Errorf("%w: applied marker: %w", ErrCorrupt, err)
 	}
-	return applied{marker: marker, edition: fixed.Edition}, nil
+	return applied{marker: marker, version: header.Version}, nil
 }
 
-// position is an index and its term.
+// position is a log index and its term. Incarnations are stored as an index, too.
 type position struct {
 	Index uint64
 	Term  uint64
--- a/internal/ledger/storage/roster.go
+++ b/internal/ledger/storage/roster.go
@@ -11,65 +11,64 @@
 	"chutelock.dev/chutelock/internal/wire"
 )
 
-// RosterEntry tells which node a replica identity belongs to. The roster is
-// part of the replicated state, so that replicas find each other without the
-// platform's store.
+// RosterEntry maps a replica to its node. The roster is part of the replicated
+// state, so that replicas find each other without the platform's store.
 type RosterEntry struct {
 	Replica replication.ReplicaID
 	Node    string
 	Zone    string
-	// Address is where the node was when the entry was made; it may have moved.
+	// Address is the node's address when the entry was written; it may be stale.
 	Address transport.Address
 }
 
 const rosterVersion = 1
 
-type fixedRoster struct {
+type rosterHeader struct {
 	Replica replication.ReplicaID
 }
 
-func rosterKey(state []byte, replica replication.ReplicaID) []byte {
-	key := append(append([]byte(nil), state...), partRoster)
+func rosterKey(prefix []byte, replica replication.ReplicaID) []byte {
+	key := append(append([]byte(nil), prefix...), partRoster)
 	return binary.BigEndian.AppendUint64(key, uint64(replica))
 }
 
 // Marshal encodes the entry.
 func (e RosterEntry) Marshal() []byte {
-	encoded, err := wire.Marshal(rosterVersion, fixedRoster{e.Replica}, []byte(e.Node), []byte(e.Zone), []byte(e.Address))
+	encoded, err := wire.Marshal(rosterVersion, rosterHeader{e.Replica}, []byte(e.Node), []byte(e.Zone), []byte(e.Address))
 	if err != nil {
-		panic(err) // the fixed part is of fixed size
+		panic(err) // rosterHeader has a fixed size
 	}
 	return encoded
 }
 
-// UnmarshalRosterEntry decodes what Marshal encoded.
+// UnmarshalRosterEntry decodes an entry encoded by Marshal.
 func UnmarshalRosterEntry(encoded []byte) (RosterEntry, error) {
-	var fixed fixedRoster
-	fields, err := wire.Unmarshal(encoded, rosterVersion, &fixed, 3)
+	var header rosterHeader
+	fields, err := wire.Unmarshal(encoded, rosterVersion, &header, 3)
 	if err != nil {
 		return RosterEntry{}, err
 	}
 	return RosterEntry{
-		Replica: fixed.Replica,
+		Replica: header.Replica,
 		Node:    string(fields[0]),
 		Zone:    string(fields[1]),
 		Address: transport.Address(fields[2]),
 	}, nil
 }
 
-// SetRoster adds or replaces a roster entry.
+// SetRoster adds or replaces the entry of a replica.
 func (t *Transaction) SetRoster(entry RosterEntry) error {
-	return trace.Wrap(t.batch.Set(rosterKey(t.state, entry.Replica), entry.Marshal(), nil))
+	return trace.Wrap(t.batch.Set(rosterKey(t.versionPrefix, entry.Replica), entry.Marshal(), nil))
 }
 
-// DeleteRoster removes a roster entry.
+// DeleteRoster removes the entry of a replica.
 func (t *Transaction) DeleteRoster(replica replication.ReplicaID) error {
-	return trace.Wrap(t.batch.Delete(rosterKey(t.state, replica), nil))
+	return trace.Wrap(t.batch.Delete(rosterKey(t.versionPrefix, replica), nil))
 }
 
-// Roster reads all roster entries of the view.
+// Roster returns all roster entries, ordered by replica.
 func (v *View) Roster() ([]RosterEntry, error) {
-	space := keySpace{reader: v.snapshot, prefix: append(append([]byte(nil), v.state...), partRoster)}
+	space := keySpace{reader: v.snapshot, prefix: append(append([]byte(nil), v.versionPrefix...), partRoster)}
 	var roster []RosterEntry
 	err := space.Scan(nil, nil, func(_, value []byte) (bool, error) {
 		entry, err := UnmarshalRosterEntry(value)
--- a/internal/ledger/storage/shard.go
+++ b/internal/ledger/storage/shard.go
@@ -13,15 +13,15 @@
 	"chutelock.dev/chutelock/internal/ledger/replication"
 )
 
-// Shard is the disk of one replica: its log, hard state and applied state. It
-// implements replication.Storage. Save may run beside CommitApplied and
-// Compact; all other writing methods, and each with itself, must be called by
-// one goroutine at a time. Reading may run beside all of them.
+// Shard stores the log, hard state and applied state of one replica. It
+// implements replication.Storage. Save may run concurrently with CommitApplied
+// or Compact; no other two writing methods, nor two calls of one, may run
+// concurrently. Reads may run concurrently with all of them.
 type Shard struct {
 	store *Store
 	id    ledger.ShardID
 
-	mutex      sync.RWMutex // a leaf: guards what is below
+	mutex      sync.RWMutex // a leaf lock: guards the fields below
 	generation uint64
 	hard       replication.HardState
 	applied    applied
@@ -32,8 +32,8 @@
 
 var _ replication.Storage = (*Shard)(nil)
 
-// OpenShard reads and checks a shard's records. It fails with ErrCorrupt when
-// they don't fit together. A new shard is empty.
+// OpenShard loads and checks a shard's records. It fails with ErrCorrupt when
+// they are damaged or inconsistent. A new shard is empty.
 func (s *Store) OpenShard(id ledger.ShardID) (*Shard, error) {
 	shard := &Shard{store: s, id: id}
 	if err := shard.load(); err != nil {
@@ -46,7 +46,7 @@
 	return shard, nil
 }
 
-// ShardIDs lists the shards that have a replica here.
+// ShardIDs returns the shards with data in the store, in ascending order.
 func (s *Store) ShardIDs() ([]ledger.ShardID, error) {
 	iterator, err := s.db.NewIter(&pebble.IterOptions{
 		LowerBound: []byte{spaceShard},
@@ -64,18 +64,18 @@
 	return ids, trace.Wrap(classify(iterator.Close()), "list shards")
 }
 
-// ID returns the shard's number.
+// ID returns the shard's ID.
 func (s *Shard) ID() ledger.ShardID { return s.id }
 
-// Incarnation identifies this replica's memory: it changes with the folder's
-// incarnation, and when the replica was destroyed.
+// Incarnation identifies this replica's persistent state: it changes with the
+// folder's incarnation and each time the replica is destroyed.
 func (s *Shard) Incarnation() uint64 {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
 	return s.store.incarnation + s.generation
 }
 
-// Empty says that the replica was neither bootstrapped nor sent anything.
+// Empty reports whether the replica has no hard state, log or snapshot.
 func (s *Shard) Empty() bool {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
@@ -93,7 +93,7 @@
 		return fmt.Errorf("%w: shard %d ends at %d, before its commit index %d or its applied index %d",
 			ErrCorrupt, s.id, s.last, s.hard.Commit, s.applied.marker.Index)
 	}
-	return s.removeStagedEditions()
+	return s.deleteStagedStates()
 }
 
 func (s *Shard) loadGeneration() error {
@@ -136,7 +136,7 @@
 	return err
 }
 
-// loadLog checks every entry of the log.
+// loadLog checks every entry of the log and finds its end and size.
 func (s *Shard) loadLog() error {
 	s.last = s.compacted.Index
 	return s.scanLog(s.compacted.Index+1, ^uint64(0), func(entry replication.Entry, size int) (bool, error) {
@@ -149,12 +149,12 @@
 	})
 }
 
-// removeStagedEditions drops what a snapshot that was never installed left.
-func (s *Shard) removeStagedEditions() error {
+// deleteStagedStates deletes staged snapshots that were never installed.
+func (s *Shard) deleteStagedStates() error {
 	batch := s.store.db.NewBatch()
 	err := errors.Join(
-		batch.DeleteRange(sectionKey(s.id, sectionState), statePrefix(s.id, s.applied.edition), nil),
-		batch.DeleteRange(prefixEnd(statePrefix(s.id, s.applied.edition)), sectionKey(s.id, sectionState+1), nil),
+		batch.DeleteRange(sectionKey(s.id, sectionState), statePrefix(s.id, s.applied.version), nil),
+		batch.DeleteRange(prefixEnd(statePrefix(s.id, s.applied.version)), sectionKey(s.id, sectionState+1), nil),
 	)
 	if err != nil {
 		return err
@@ -195,8 +195,8 @@
 	if index == 0 {
 		return 0, nil
 	}
-	if err := s.within(index); err != nil {
-		return s.termOfCompacted(index, err)
+	if err := s.checkIndex(index); err != nil {
+		return s.compactedTerm(index, err)
 	}
 	var term uint64
 	found := false
@@ -205,13 +205,13 @@
 		return false, nil
 	})
 	if err == nil && !found {
-		err = replication.ErrUnavailable // replaced meanwhile
+		err = replication.ErrUnavailable // truncated concurrently
 	}
 	return term, err
 }
 
-// within says whether the log holds the index.
-func (s *Shard) within(index uint64) error {
+// checkIndex returns an error unless the log holds the entry at the index.
+func (s *Shard) checkIndex(index uint64) error {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
 	switch {
@@ -223,7 +223,7 @@
 	return nil
 }
 
-func (s *Shard) termOfCompacted(index uint64, err error) (uint64, error) {
+func (s *Shard) compactedTerm(index uint64, err error) (uint64, error) {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
 	if index == s.compacted.Index {
@@ -234,7 +234,7 @@
 
 // Entries implements replication.Storage.
 func (s *Shard) Entries(from, to uint64, maxBytes int) ([]replication.Entry, error) {
-	if err := s.within(from); err != nil {
+	if err := s.checkIndex(from); err != nil {
 		return nil, err
 	}
 	var entries []replication.Entry
@@ -248,7 +248,7 @@
 		return true, nil
 	})
 	if err == nil && len(entries) == 0 {
-		err = replication.ErrCompacted // compacted meanwhile
+		err = replication.ErrCompacted // compacted concurrently
 	}
 	return entries, err
 }
@@ -268,11 +268,11 @@
 
 func (s *Shard) visitLog(iterator *pebble.Iterator, visit func(replication.Entry, int) (bool, error)) error {
 	for valid := iterator.First(); valid; valid = iterator.Next() {
-		sealed, err := iterator.ValueAndErr()
+		value, err := iterator.ValueAndErr()
 		if err != nil {
 			return classify(err)
 		}
-		record, err := unseal(iterator.Key(), sealed)
+		record, err := verifyChecksum(iterator.Key(), value)
 		if err != nil {
 			return err
 		}
@@ -288,19 +288,18 @@
 	return classify(iterator.Error())
 }
 
-// LogBytes estimates the size of the log.
+// LogBytes returns an estimate of the size of the log, in bytes.
 func (s *Shard) LogBytes() uint64 {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
 	return s.logBytes
 }
 
-// IncarnationAt returns what Incarnation of the shard would be, without
-// opening it.
+// IncarnationAt returns the Incarnation of a shard without opening it.
 func (s *Store) IncarnationAt(id ledger.ShardID) (uint64, error) {
 	shard := &Shard{store: s, id: id}
 	if err := shard.loadGeneration(); err != nil {
-		return 0, trace.Wrap(err, "read the identity at shard %d", id)
+		return 0, trace.Wrap(err, "read the incarnation at shard %d", id)
 	}
 	return shard.Incarnation(), nil
 }
--- a/internal/ledger/storage/snapshot.go
+++ b/internal/ledger/storage/snapshot.go
@@ -12,28 +12,28 @@
 	"chutelock.dev/chutelock/internal/wire"
 )
 
-// ErrBadChunk says that a chunk of a snapshot is damaged.
+// ErrBadChunk means that a snapshot chunk is damaged.
 var ErrBadChunk = errors.New("storage: damaged snapshot chunk")
 
 const chunkVersion = 1
 
-// fixedChunk heads a chunk; its fields are keys and values in turn.
-type fixedChunk struct {
+// chunkHeader precedes the chunk's fields, which are alternating keys and values.
+type chunkHeader struct {
 	Checksum uint64 // over Final and the fields
-	Final    bool   // no chunk follows
+	Final    bool   // set on the last chunk
 }
 
-// Marker returns what the view's state includes.
+// Marker returns the last position that the view's state includes.
 func (v *View) Marker() replication.SnapshotMarker { return v.applied.marker }
 
-// Chunk encodes about maxBytes of the state that follows the key after, or
-// that starts the state when after is empty.
+// Chunk encodes the keys that follow after, or the first keys if after is empty,
+// and their values, about maxBytes in total.
 func (v *View) Chunk(after []byte, maxBytes int) ([]byte, error) {
 	from := after
 	if len(after) > 0 {
 		from = append(append([]byte(nil), after...), 0)
 	}
-	space := keySpace{reader: v.snapshot, prefix: v.state}
+	space := keySpace{reader: v.snapshot, prefix: v.versionPrefix}
 	var fields [][]byte
 	size := 0
 	final := true
@@ -49,8 +49,8 @@
 	if err != nil {
 		return nil, trace.Wrap(err, "read a snapshot chunk")
 	}
-	fixed := fixedChunk{Checksum: chunkChecksum(final, fields), Final: final}
-	chunk, err := wire.Marshal(chunkVersion, fixed, fields...)
+	header := chunkHeader{Checksum: chunkChecksum(final, fields), Final: final}
+	chunk, err := wire.Marshal(chunkVersion, header, fields...)
 	return chunk, trace.Wrap(err)
 }
 
@@ -64,20 +64,20 @@
 	return digest.Sum64()
 }
 
-// Staging receives a snapshot beside the state that it will replace.
+// Staging collects the chunks of a snapshot while the current state stays in use.
 type Staging struct {
 	shard   *Shard
 	marker  replication.SnapshotMarker
-	edition uint32
+	version uint32
 	after   []byte
 	final   bool
 }
 
-// Stage starts to receive a snapshot; an earlier one that was not installed
-// is dropped.
+// Stage starts receiving a snapshot. It deletes an earlier staged one that was
+// not installed.
 func (s *Shard) Stage(marker replication.SnapshotMarker) (*Staging, error) {
-	staging := &Staging{shard: s, marker: marker, edition: s.edition() + 1}
-	prefix := statePrefix(s.id, staging.edition)
+	staging := &Staging{shard: s, marker: marker, version: s.stateVersion() + 1}
+	prefix := statePrefix(s.id, staging.version)
 	batch := s.store.db.NewBatch()
 	if err := batch.DeleteRange(prefix, prefixEnd(prefix), nil); err != nil {
 		return nil, trace.Wrap(err, "stage a snapshot of shard %d", s.id)
@@ -85,27 +85,27 @@
 	return staging, trace.Wrap(s.store.committer.commit(batch, false), "stage a snapshot of shard %d", s.id)
 }
 
-// Marker returns what the staged state includes.
+// Marker returns the last position that the snapshot includes.
 func (g *Staging) Marker() replication.SnapshotMarker { return g.marker }
 
-// After is the last key received, to ask for the next chunk.
+// After returns the last key received, from which the next chunk follows.
 func (g *Staging) After() []byte { return g.after }
 
-// Complete says that the final chunk was received.
+// Complete reports whether the final chunk was received.
 func (g *Staging) Complete() bool { return g.final }
 
-// Add takes the next chunk.
+// Add writes the next chunk. It fails with ErrBadChunk if the chunk is damaged.
 func (g *Staging) Add(chunk []byte) error {
-	var fixed fixedChunk
-	fields, err := wire.Unmarshal(chunk, chunkVersion, &fixed, -1)
+	var header chunkHeader
+	fields, err := wire.Unmarshal(chunk, chunkVersion, &header, -1)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrBadChunk, err)
 	}
-	if len(fields)%2 != 0 || fixed.Checksum != chunkChecksum(fixed.Final, fields) {
+	if len(fields)%2 != 0 || header.Checksum != chunkChecksum(header.Final, fields) {
 		return ErrBadChunk
 	}
 	batch := g.shard.store.db.NewBatch()
-	prefix := statePrefix(g.shard.id, g.edition)
+	prefix := statePrefix(g.shard.id, g.version)
 	for i := 0; i < len(fields); i += 2 {
 		key := append(append([]byte(nil), prefix...), fields[i]...)
 		if err := batch.Set(key, fields[i+1], nil); err != nil {
@@ -113,15 +113,15 @@
 		}
 		g.after = append([]byte(nil), fields[i]...)
 	}
-	g.final = fixed.Final
+	g.final = header.Final
 	if len(fields) == 0 {
 		return nil
 	}
 	return trace.Wrap(g.shard.store.committer.commit(batch, false), "stage a chunk of shard %d", g.shard.id)
 }
 
-// InstallSnapshot replaces the whole log and applied state by a complete
-// staging, together with the hard state, and syncs.
+// InstallSnapshot atomically replaces the log and applied state by the staged
+// snapshot and, if hard isn't nil, the hard state. The write is synced.
 func (s *Shard) InstallSnapshot(staging *Staging, hard *replication.HardState) error {
 	if !staging.final {
 		return trace.Errorf("install shard %d: the snapshot is not complete", s.id)
@@ -133,22 +133,22 @@
 	if hard != nil {
 		state = *hard
 	}
-	next := applied{marker: staging.marker, edition: staging.edition}
+	next := applied{marker: staging.marker, version: staging.version}
 	batch := s.store.db.NewBatch()
-	if err := s.putBase(batch, next, state); err != nil {
+	if err := s.putBaseState(batch, next, state); err != nil {
 		return trace.Wrap(err, "install shard %d", s.id)
 	}
-	if err := s.dropEdition(batch, s.edition()); err != nil {
+	if err := s.deleteState(batch, s.stateVersion()); err != nil {
 		return trace.Wrap(err, "install shard %d", s.id)
 	}
 	if err := s.store.committer.commit(batch, true); err != nil {
 		return trace.Wrap(err, "install shard %d", s.id)
 	}
-	s.setBase(next, state)
+	s.setBaseState(next, state)
 	return nil
 }
 
-func (s *Shard) dropEdition(batch *pebble.Batch, edition uint32) error {
-	prefix := statePrefix(s.id, edition)
+func (s *Shard) deleteState(batch *pebble.Batch, version uint32) error {
+	prefix := statePrefix(s.id, version)
 	return batch.DeleteRange(prefix, prefixEnd(prefix), nil)
 }
--- a/internal/ledger/storage/store.go
+++ b/internal/ledger/storage/store.go
@@ -16,77 +16,75 @@
 	"github.com/gravitational/trace"
 )
 
-// Sizes and bounds of the store.
 const (
-	memTableBytes   = 4 << 20
-	memTableLeast   = 1 << 20
-	blockCacheBytes = 4 << 20
-	// smallDiskBytes is the size from which on compactions may take their time
-	// and room; smallTableBytes is the size of tables on smaller disks.
+	memTableBytes    = 4 << 20
+	minMemTableBytes = 1 << 20
+	blockCacheBytes  = 4 << 20
+	// smallDiskBytes is the disk size below which compactions are kept small;
+	// smallTableBytes is the target size of tables on such disks.
 	smallDiskBytes  = 1 << 30
 	smallTableBytes = 256 << 10
-	// slowDisk is when a disk operation is reported as slow.
-	slowDisk = 2 * time.Second
-	// spaceInterval is the time between two looks at the free space.
+	// slowThreshold is the duration after which a disk operation is reported as slow.
+	slowThreshold = 2 * time.Second
+	// spaceInterval is the interval between checks of the free space.
 	spaceInterval = time.Second
-	// DefaultReserve is the free space, in bytes, below which no new entry is
-	// taken.
+	// DefaultReserve is the default of Options.Reserve, in bytes.
 	DefaultReserve = 256 << 20
 	folderMode     = 0o750
-	// closeTimeout bounds the closing of a corrupt folder.
+	// closeTimeout limits the wait for closing a corrupt store.
 	closeTimeout = 5 * time.Second
 )
 
-// Options of a store.
+// Options configures a store.
 type Options struct {
-	// Folder is the ledger's folder, made if it is missing.
+	// Folder is the ledger's folder; it is created if missing.
 	Folder string
-	// FS is the file system; nil means the machine's.
+	// FS is the file system; nil means the operating system's.
 	FS vfs.FS
-	// Reserve is the free space in bytes below which the store counts as
-	// full; 0 means DefaultReserve.
+	// Reserve is the free space in bytes below which Full reports true; 0 means
+	// DefaultReserve.
 	Reserve uint64
-	// Scarce is the free space in bytes below which the store asks for nothing
-	// new to be begun; 0 means Reserve.
+	// Scarce is the free space in bytes below which the Scarce method reports
+	// true; it is at least Reserve.
 	Scarce uint64
-	// DiskBytes is the size of the disk, which bounds the write-ahead logs; 0
-	// means large.
+	// DiskBytes is the disk's size, to which the sizes of write-ahead logs and
+	// compactions are adapted; 0 means a large disk.
 	DiskBytes uint64
 }
 
 func (o Options) smallDisk() bool { return o.DiskBytes > 0 && o.DiskBytes < smallDiskBytes }
 
-// memTable is the size of a table in memory, and so of a write-ahead log; up to
-// five of these logs lie on the disk.
-func (o Options) memTable() uint64 {
+// memTableSize returns the size of a memtable, which limits the size of a
+// write-ahead log; the disk holds up to five of these logs.
+func (o Options) memTableSize() uint64 {
 	if o.DiskBytes == 0 {
 		return memTableBytes
 	}
-	return min(max(o.DiskBytes/64, memTableLeast), memTableBytes)
+	return min(max(o.DiskBytes/64, minMemTableBytes), memTableBytes)
 }
 
-// Store is the ledger's disk of one node. All methods may be called
-// concurrently. Lock order: mutex is a leaf; no call is made under it.
+// Store holds all ledger replicas of one node. Its methods are safe for
+// concurrent use. Lock order: mutex is a leaf lock; no call is made under it.
 type Store struct {
-	options     Options
-	db          *pebble.DB
-	health      io.Closer
-	incarnation uint64
-	committer   *committer
-	watermark   *watermark
-	full        atomic.Bool
-	scarce      atomic.Bool
-	slow        atomic.Int64 // UnixNano of the last slow operation
+	options      Options
+	db           *pebble.DB
+	healthChecks io.Closer
+	incarnation  uint64
+	committer    *committer
+	watermark    *watermark
+	full         atomic.Bool
+	lowSpace     atomic.Bool
+	lastSlow     atomic.Int64 // UnixNano when an operation was last found slow
 
 	mutex   sync.Mutex
-	failure error         // why failed was closed
-	failed  chan struct{} // closed when nothing more can be written
+	failure error         // set before failed is closed
+	failed  chan struct{} // closed when the store can't write any more
 	stop    chan struct{}
-	watcher sync.WaitGroup
+	monitor sync.WaitGroup
 }
 
-// Open opens or makes the store. It fails with ErrCorrupt when the folder
-// must be discarded.
+// Open opens or creates the store. It fails with ErrCorrupt when the folder must
+// be discarded.
 func Open(options Options) (*Store, error) {
 	if options.FS == nil {
 		options.FS = vfs.Default
@@ -96,17 +94,17 @@
 	}
 	options.Scarce = max(options.Scarce, options.Reserve)
 	s := &Store{options: options, failed: make(chan struct{}), stop: make(chan struct{})}
-	if err := s.openIdentified(); err != nil {
+	if err := s.openAndVerify(); err != nil {
 		return nil, trace.Wrap(classify(err), "open the ledger folder %s", options.Folder)
 	}
-	s.lookAtSpace()
-	s.watcher.Add(1)
-	go s.watchSpace()
+	s.checkSpace()
+	s.monitor.Add(1)
+	go s.monitorSpace()
 	return s, nil
 }
 
-// openIdentified opens the folder, and gives a new one its identity.
-func (s *Store) openIdentified() error {
+// openAndVerify opens the folder and checks its incarnation and watermark.
+func (s *Store) openAndVerify() error {
 	if err := s.open(); err != nil {
 		return err
 	}
@@ -120,7 +118,7 @@
 	return nil
 }
 
-// checkWatermark compares the store with what was synced to it.
+// checkWatermark returns ErrCorrupt if synced writes are missing.
 func (s *Store) checkWatermark() error {
 	watermark, err := openWatermark(s.options, s.incarnation)
 	if err != nil {
@@ -128,7 +126,7 @@
 	}
 	sequence, err := s.loadSequence()
 	if err == nil && sequence < watermark.highest {
-		err = fmt.Errorf("%w: it holds write %d, but write %d was synced", ErrCorrupt, sequence, watermark.highest)
+		err = fmt.Errorf("%w: last write found is %d, but write %d was synced", ErrCorrupt, sequence, watermark.highest)
 	}
 	if err != nil {
 		watermark.close()
@@ -148,15 +146,15 @@
 	}
 	defer closer.Close()
 	if len(value) != 8 {
-		return 0, fmt.Errorf("%w: sequence of %d bytes", ErrCorrupt, len(value))
+		return 0, fmt.Errorf("%w: sequence has %d bytes, want 8", ErrCorrupt, len(value))
 	}
 	return binary.BigEndian.Uint64(value), nil
 }
 
-// noteSynced is told of each sync.
-func (s *Store) noteSynced(sequence uint64) {
+// advanceWatermark is called after each sync.
+func (s *Store) advanceWatermark(sequence uint64) {
 	if s.watermark != nil {
-		s.watermark.note(sequence, s.incarnation)
+		s.watermark.advance(sequence, s.incarnation)
 	}
 }
 
@@ -164,22 +162,22 @@
 	if err := s.options.FS.MkdirAll(s.options.Folder, folderMode); err != nil {
 		return err
 	}
-	marked, err := markedCorrupt(s.options)
+	marked, err := isMarkedCorrupt(s.options)
 	if err != nil {
 		return err
 	}
 	if marked {
 		return ErrCorrupt
 	}
-	fs, health := vfs.WithDiskHealthChecks(s.options.FS, slowDisk, nil, s.diskSlow)
-	s.health = health
+	fs, healthChecks := vfs.WithDiskHealthChecks(s.options.FS, slowThreshold, nil, s.onDiskSlow)
+	s.healthChecks = healthChecks
 	s.db, err = pebble.Open(s.options.Folder, s.pebbleOptions(fs))
 	if err != nil {
-		_ = health.Close()
+		_ = healthChecks.Close()
 		return err
 	}
 	sequence, err := s.loadSequence()
-	s.committer = startCommitter(s.db, sequence, s.failed, s.fail, s.noteSynced)
+	s.committer = startCommitter(s.db, sequence, s.failed, s.fail, s.advanceWatermark)
 	return err
 }
 
@@ -187,26 +185,26 @@
 	options := &pebble.Options{
 		FS:                          fs,
 		CacheSize:                   blockCacheBytes,
-		MemTableSize:                s.options.memTable(),
+		MemTableSize:                s.options.memTableSize(),
 		MemTableStopWritesThreshold: 4,
 		L0CompactionThreshold:       8,
 		L0StopWritesThreshold:       1000,
 		FormatMajorVersion:          pebble.FormatWALSyncChunks,
 		Logger:                      &storeLogger{store: s},
-		EventListener:               &pebble.EventListener{DataCorruption: s.dataCorrupt},
+		EventListener:               &pebble.EventListener{DataCorruption: s.onDataCorruption},
 	}
 	for level := range options.Levels {
 		options.Levels[level].FilterPolicy = bloom.FilterPolicy(10)
 	}
 	if s.options.smallDisk() {
-		s.compactInSmallSteps(options)
+		s.limitCompactionSize(options)
 	}
 	return options
 }
 
-// compactInSmallSteps makes compactions small: one needs room for all that it
-// writes before it can drop what it read.
-func (s *Store) compactInSmallSteps(options *pebble.Options) {
+// limitCompactionSize makes compactions small, since each needs disk space for
+// its whole output before its inputs are deleted.
+func (s *Store) limitCompactionSize(options *pebble.Options) {
 	options.L0CompactionThreshold = 2
 	options.LBaseMaxBytes = int64(s.options.DiskBytes / 32)
 	for level := range options.TargetFileSizes {
@@ -214,7 +212,7 @@
 	}
 }
 
-// loadIncarnation reads the folder's identity or gives it one.
+// loadIncarnation reads the folder's incarnation, or creates it in a new folder.
 func (s *Store) loadIncarnation() error {
 	record, found, err := s.getRecord(incarnationKey())
 	if err != nil {
@@ -229,19 +227,19 @@
 }
 
 func (s *Store) createIncarnation() error {
-	var random [8]byte
-	if _, err := rand.Read(random[:]); err != nil {
+	var randomBytes [8]byte
+	if _, err := rand.Read(randomBytes[:]); err != nil {
 		return err
 	}
-	random[0] &= 0x7f // reads well as a signed number, too
-	random[7] |= 1    // never 0
+	randomBytes[0] &= 0x7f // positive as a signed integer, too
+	randomBytes[7] |= 1    // never 0
 	batch := s.db.NewBatch()
-	incarnation := binary.BigEndian.Uint64(random[:])
+	incarnation := binary.BigEndian.Uint64(randomBytes[:])
 	record, err := position{Index: incarnation}.encode()
 	if err != nil {
 		return err
 	}
-	if err := put(batch, incarnationKey(), record); err != nil {
+	if err := putRecord(batch, incarnationKey(), record); err != nil {
 		return err
 	}
 	if err := s.committer.commit(batch, true); err != nil {
@@ -252,32 +250,33 @@
 	return nil
 }
 
-// Incarnation identifies the folder: it is never 0, stays the same as long as
-// the folder's content does, and is another one for every new folder.
+// Incarnation identifies the folder: it is never 0, is stored in the folder, and
+// is drawn at random for each new one.
 func (s *Store) Incarnation() uint64 { return s.incarnation }
 
-// Full says that no new entry may be taken for want of space.
+// Full reports whether free space is too low to accept new entries.
 func (s *Store) Full() bool { return s.full.Load() }
 
-// Scarce says that nothing new should be begun, so that what was begun can be
-// completed.
-func (s *Store) Scarce() bool { return s.scarce.Load() }
+// Scarce reports whether free space is below Options.Scarce: no new work should
+// be started, so that work in progress can complete.
+func (s *Store) Scarce() bool { return s.lowSpace.Load() }
 
-// Failed is closed when the store can't write any more; Failure says why.
+// Failed returns a channel that is closed when the store can't write any more;
+// Failure returns the reason.
 func (s *Store) Failed() <-chan struct{} { return s.failed }
 
-// Failure returns why Failed was closed: ErrFailed or ErrCorrupt, with its
-// cause. It is nil before.
+// Failure returns the reason that Failed was closed, ErrFailed or ErrCorrupt
+// with its cause, or nil if it is open.
 func (s *Store) Failure() error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.failure
 }
 
-// SlowSince returns when a disk operation was last found to hang for longer
-// than two seconds; zero if never.
-func (s *Store) SlowSince() time.Time {
-	at := s.slow.Load()
+// LastSlow returns when a disk operation was last found to take longer than two
+// seconds, or the zero time if none was.
+func (s *Store) LastSlow() time.Time {
+	at := s.lastSlow.Load()
 	if at == 0 {
 		return time.Time{}
 	}
@@ -287,17 +286,17 @@
 // DiskBytes returns the disk space that the store uses.
 func (s *Store) DiskBytes() uint64 { return s.db.Metrics().DiskSpaceUsage() }
 
-// MemoryBytes estimates the memory that the store uses for tables and cache.
+// MemoryBytes estimates the memory used by memtables and the block cache.
 func (s *Store) MemoryBytes() uint64 {
 	metrics := s.db.Metrics()
 	return metrics.MemTable.Size + uint64(metrics.BlockCache.Size)
 }
 
-// Close closes the store. What was not committed is lost. After a failed
-// write, files stay open until the process ends: pebble may hang in them.
+// Close closes the store; uncommitted writes are lost. After ErrFailed, files
+// stay open until the process ends, since closing pebble might hang.
 func (s *Store) Close() error {
 	close(s.stop)
-	s.watcher.Wait()
+	s.monitor.Wait()
 	failure := s.Failure()
 	if failure == nil {
 		return trace.Wrap(s.closeFiles(), "close the ledger folder %s", s.options.Folder)
@@ -309,8 +308,8 @@
 	return s.closeCorrupt()
 }
 
-// closeCorrupt frees a corrupt folder, so that it can be discarded. It doesn't
-// wait for a background task that hangs over the damage.
+// closeCorrupt closes a corrupt store, so that its folder can be discarded. It
+// waits for a limited time, since pebble's background tasks may hang.
 func (s *Store) closeCorrupt() error {
 	closed := make(chan error, 1)
 	go func() { closed <- s.closeFiles() }()
@@ -327,7 +326,7 @@
 		s.watermark.close()
 	}
 	err := s.db.Close()
-	_ = s.health.Close()
+	_ = s.healthChecks.Close()
 	return classify(err)
 }
 
@@ -353,24 +352,24 @@
 	event.Error(cause, "folder", s.options.Folder, "incarnation", s.incarnation)
 }
 
-func (s *Store) dataCorrupt(info pebble.DataCorruptionInfo) {
+func (s *Store) onDataCorruption(info pebble.DataCorruptionInfo) {
 	markCorrupt(s.options)
 	s.fail(fmt.Errorf("%w: %s", ErrCorrupt, info.Path))
 }
 
-func (s *Store) diskSlow(info vfs.DiskSlowInfo) {
-	s.slow.Store(time.Now().UnixNano())
+func (s *Store) onDiskSlow(info vfs.DiskSlowInfo) {
+	s.lastSlow.Store(time.Now().UnixNano())
 	eventSlow.Info("folder", s.options.Folder, "operation", info.OpType.String(), "duration", info.Duration)
 }
 
-func (s *Store) watchSpace() {
-	defer s.watcher.Done()
+func (s *Store) monitorSpace() {
+	defer s.monitor.Done()
 	ticker := time.NewTicker(spaceInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			s.lookAtSpace()
+			s.checkSpace()
 			s.watermark.sync()
 		case <-s.stop:
 			return
@@ -378,25 +377,25 @@
 	}
 }
 
-func (s *Store) lookAtSpace() {
+func (s *Store) checkSpace() {
 	usage, err := s.options.FS.GetDiskUsage(s.options.Folder)
 	if errors.Is(err, vfs.ErrUnsupported) {
 		return
 	}
-	s.noteScarce(err != nil || usage.AvailBytes < s.options.Scarce, usage.AvailBytes)
+	s.setLowSpace(err != nil || usage.AvailBytes < s.options.Scarce, usage.AvailBytes)
 	full := err != nil || usage.AvailBytes < s.options.Reserve
 	if s.full.Swap(full) == full {
 		return
 	}
-	event := eventRoomAgain
+	event := eventSpaceRecovered
 	if full {
 		event = eventFull
 	}
 	event.Info("folder", s.options.Folder, "available", usage.AvailBytes, "reserve", s.options.Reserve)
 }
 
-func (s *Store) noteScarce(scarce bool, available uint64) {
-	if s.scarce.Swap(scarce) != scarce {
-		eventScarce.Info("folder", s.options.Folder, "scarce", scarce, "available", available, "bound", s.options.Scarce)
+func (s *Store) setLowSpace(low bool, available uint64) {
+	if s.lowSpace.Swap(low) != low {
+		eventLowSpace.Info("folder", s.options.Folder, "scarce", low, "available", available, "bound", s.options.Scarce)
 	}
 }
--- a/internal/ledger/storage/watermark.go
+++ b/internal/ledger/storage/watermark.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	// watermarkFile lies beside pebble's files.
+	// watermarkFile is stored beside pebble's files.
 	watermarkFile = "SYNCED"
-	// watermarkSlots are written in turn, each in a page of its own, so that
-	// a torn write spoils one of them only.
+	// watermarkSlots are written alternately, each in a page of its own, so that
+	// a torn write damages only one of them.
 	watermarkSlots    = 2
 	watermarkSlotStep = 4096
 	watermarkSlotSize = 3 * 8
 )
 
-// watermark remembers, outside of pebble, the sequence of the last write that
-// was synced. Pebble cuts a write-ahead log at the first damage behind which
-// it finds no proof of a later sync, which may silently drop synced writes;
-// the sequence in the store is then behind the watermark.
+// watermark stores, outside of pebble, the sequence of the last synced write.
+// Pebble truncates a write-ahead log at the first damage unless it finds evidence
+// of a later sync, which may silently drop synced writes; the sequence in the
+// store is then below the watermark.
 //
-// A slot is written after the sync that it tells of, and is itself synced only
-// now and then: it may be too low after a power cut, but is never too high.
+// A slot is written after the sync that it records and is itself synced only
+// periodically: after a power loss it may be too low, but never too high.
 type watermark struct {
 	file vfs.File
 
@@ -37,8 +37,8 @@
 	dirty   bool
 }
 
-// openWatermark opens or makes the file, and returns the highest sequence in
-// it that belongs to the incarnation; 0 if there is none.
+// openWatermark opens or creates the file and reads the highest sequence that
+// belongs to the incarnation; 0 if there is none.
 func openWatermark(options Options, incarnation uint64) (*watermark, error) {
 	path := options.FS.PathJoin(options.Folder, watermarkFile)
 	file, err := options.FS.OpenReadWrite(path, vfs.WriteCategoryUnspecified)
@@ -52,7 +52,7 @@
 	for slot := range int64(watermarkSlots) {
 		var content [watermarkSlotSize]byte
 		if _, err := file.ReadAt(content[:], slot*watermarkSlotStep); err != nil && !errors.Is(err, io.EOF) {
-			continue // an unreadable slot tells nothing
+			continue // ignore an unreadable slot
 		}
 		w.highest = max(w.highest, decodeSlot(content[:], incarnation))
 	}
@@ -73,9 +73,10 @@
 	return binary.BigEndian.Uint64(content)
 }
 
-// note records that the write with the sequence was synced. A failure is left
-// to the next real write: the watermark is only the second line.
-func (w *watermark) note(sequence, incarnation uint64) {
+// advance records that the write with the sequence was synced. Errors are
+// ignored: the watermark then only detects less, and a failed disk fails the
+// next write to the store.
+func (w *watermark) advance(sequence, incarnation uint64) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if sequence <= w.highest {
@@ -87,7 +88,7 @@
 	_, _ = w.file.WriteAt(encodeSlot(sequence, incarnation), slot*watermarkSlotStep)
 }
 
-// sync makes the watermark durable if it has risen.
+// sync makes the watermark durable if it has advanced since the last sync.
 func (w *watermark) sync() {
 	w.mutex.Lock()
 	dirty := w.dirty
--- a/internal/ledger/storage/write.go
+++ b/internal/ledger/storage/write.go
@@ -10,12 +10,12 @@
 	"chutelock.dev/chutelock/internal/ledger/replication"
 )
 
-// ErrNotEmpty says that a shard that has data already can't be bootstrapped.
+// ErrNotEmpty means that a shard can't be bootstrapped since it has data.
 var ErrNotEmpty = errors.New("storage: the shard has data already")
 
-// put adds a sealed record to the batch.
-func put(batch *pebble.Batch, key, record []byte) error {
-	return batch.Set(key, seal(key, record), nil)
+// putRecord adds a record with its checksum to the batch.
+func putRecord(batch *pebble.Batch, key, record []byte) error {
+	return batch.Set(key, addChecksum(key, record), nil)
 }
 
 func (s *Store) getRecord(key []byte) (record []byte, found bool, err error) {
@@ -23,7 +23,7 @@
 }
 
 func getRecordFrom(reader pebble.Reader, key []byte) (record []byte, found bool, err error) {
-	sealed, closer, err := reader.Get(key)
+	value, closer, err := reader.Get(key)
 	if errors.Is(err, pebble.ErrNotFound) {
 		return nil, false, nil
 	}
@@ -31,53 +31,53 @@
 		return nil, false, classify(err)
 	}
 	defer closer.Close()
-	record, err = unseal(key, sealed)
+	record, err = verifyChecksum(key, value)
 	return append([]byte(nil), record...), err == nil, err
 }
 
-// Bootstrap makes the replica one of a new shard's first, with the roster of
-// all of them.
+// Bootstrap initializes an empty replica of a new shard with the roster of all
+// its first replicas. The write is synced.
 func (s *Shard) Bootstrap(marker replication.SnapshotMarker, hard replication.HardState, roster []RosterEntry) error {
 	if !s.Empty() {
 		return trace.Wrap(ErrNotEmpty, "bootstrap shard %d", s.id)
 	}
 	batch := s.store.db.NewBatch()
-	prefix := statePrefix(s.id, s.applied.edition)
+	prefix := statePrefix(s.id, s.applied.version)
 	for _, entry := range roster {
 		if err := batch.Set(rosterKey(prefix, entry.Replica), entry.Marshal(), nil); err != nil {
 			return trace.Wrap(err)
 		}
 	}
-	next := applied{marker: marker, edition: s.applied.edition}
-	if err := s.putBase(batch, next, hard); err != nil {
+	next := applied{marker: marker, version: s.applied.version}
+	if err := s.putBaseState(batch, next, hard); err != nil {
 		return trace.Wrap(err, "bootstrap shard %d", s.id)
 	}
 	if err := s.store.committer.commit(batch, true); err != nil {
 		return trace.Wrap(err, "bootstrap shard %d", s.id)
 	}
-	s.setBase(next, hard)
+	s.setBaseState(next, hard)
 	return nil
 }
 
-// putBase writes a state that is not preceded by any log.
-func (s *Shard) putBase(batch *pebble.Batch, next applied, hard replication.HardState) error {
+// putBaseState adds an applied state and hard state with an empty log.
+func (s *Shard) putBaseState(batch *pebble.Batch, next applied, hard replication.HardState) error {
 	record, err := next.encode()
 	if err != nil {
 		return err
 	}
-	before, err := position{Index: next.marker.Index, Term: next.marker.Term}.encode()
+	compacted, err := position{Index: next.marker.Index, Term: next.marker.Term}.encode()
 	if err != nil {
 		return err
 	}
 	return errors.Join(
-		put(batch, sectionKey(s.id, sectionApplied), record),
-		put(batch, sectionKey(s.id, sectionCompacted), before),
-		put(batch, sectionKey(s.id, sectionHardState), hard.Marshal()),
+		putRecord(batch, sectionKey(s.id, sectionApplied), record),
+		putRecord(batch, sectionKey(s.id, sectionCompacted), compacted),
+		putRecord(batch, sectionKey(s.id, sectionHardState), hard.Marshal()),
 		batch.DeleteRange(logKey(s.id, 0), sectionKey(s.id, sectionLog+1), nil),
 	)
 }
 
-func (s *Shard) setBase(next applied, hard replication.HardState) {
+func (s *Shard) setBaseState(next applied, hard replication.HardState) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.applied = next
@@ -87,8 +87,8 @@
 	s.logBytes = 0
 }
 
-// Save persists the hard state, if not nil, and the entries, which replace
-// the log from the first one's index on.
+// Save writes the hard state, if not nil, and the entries, which replace the log
+// from the first entry's index on. With sync, they are durable when it returns.
 func (s *Shard) Save(hard *replication.HardState, entries []replication.Entry, sync bool) error {
 	batch := s.store.db.NewBatch()
 	size, err := s.putEntries(batch, entries)
@@ -96,7 +96,7 @@
 		return trace.Wrap(err, "save shard %d", s.id)
 	}
 	if hard != nil {
-		if err := put(batch, sectionKey(s.id, sectionHardState), hard.Marshal()); err != nil {
+		if err := putRecord(batch, sectionKey(s.id, sectionHardState), hard.Marshal()); err != nil {
 			return trace.Wrap(err, "save shard %d", s.id)
 		}
 	}
@@ -121,19 +121,19 @@
 	}
 	first, last := entries[0].Index, entries[len(entries)-1].Index
 	s.mutex.RLock()
-	before, held := s.compacted.Index, s.last
+	compacted, lastIndex := s.compacted.Index, s.last
 	s.mutex.RUnlock()
-	if first <= before || first > held+1 {
-		return 0, fmt.Errorf("storage: entries from %d don't follow the log (%d, %d]", first, before, held)
+	if first <= compacted || first > lastIndex+1 {
+		return 0, fmt.Errorf("storage: entries from %d don't follow the log (%d, %d]", first, compacted, lastIndex)
 	}
-	if last < held {
-		if err := batch.DeleteRange(logKey(s.id, last+1), logKey(s.id, held+1), nil); err != nil {
+	if last < lastIndex {
+		if err := batch.DeleteRange(logKey(s.id, last+1), logKey(s.id, lastIndex+1), nil); err != nil {
 			return 0, err
 		}
 	}
 	for _, entry := range entries {
 		record := entry.Marshal()
-		if err := put(batch, logKey(s.id, entry.Index), record); err != nil {
+		if err := putRecord(batch, logKey(s.id, entry.Index), record); err != nil {
 			return 0, err
 		}
 		size += uint64(len(record))
@@ -141,28 +141,28 @@
 	return size, nil
 }
 
-// NewTransaction starts the writes of applied entries.
+// NewTransaction returns a transaction for the writes of applied entries.
 func (s *Shard) NewTransaction() *Transaction {
 	batch := s.store.db.NewIndexedBatch()
-	prefix := statePrefix(s.id, s.edition())
+	prefix := statePrefix(s.id, s.stateVersion())
 	return &Transaction{
-		keySpace: keySpace{reader: batch, prefix: append(prefix, partMachine)},
-		batch:    batch,
-		state:    prefix,
+		keySpace:      keySpace{reader: batch, prefix: append(prefix, partMachine)},
+		batch:         batch,
+		versionPrefix: prefix,
 	}
 }
 
-// CommitApplied commits the transaction together with the applied marker.
-// Without sync it may be lost in a crash, but never in part and never without
-// what was committed after it. The transaction is closed.
+// CommitApplied commits the transaction and the marker atomically. Without sync,
+// a crash may lose them, but only as a whole and with all later commits. It
+// closes the transaction.
 func (s *Shard) CommitApplied(transaction *Transaction, marker replication.SnapshotMarker, sync bool) error {
 	defer transaction.Close()
-	next := applied{marker: marker, edition: s.edition()}
+	next := applied{marker: marker, version: s.stateVersion()}
 	record, err := next.encode()
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	if err := put(transaction.batch, sectionKey(s.id, sectionApplied), record); err != nil {
+	if err := putRecord(transaction.batch, sectionKey(s.id, sectionApplied), record); err != nil {
 		return trace.Wrap(err, "apply to shard %d", s.id)
 	}
 	batch := transaction.batch
@@ -176,7 +176,7 @@
 	return nil
 }
 
-// NewView opens a consistent view of the state, and the marker that it is at.
+// NewView opens a consistent view of the applied state and its marker.
 func (s *Shard) NewView() (*View, error) {
 	snapshot := s.store.db.NewSnapshot()
 	view := &View{snapshot: snapshot}
@@ -188,23 +188,23 @@
 		_ = snapshot.Close()
 		return nil, trace.Wrap(err, "view shard %d", s.id)
 	}
-	view.state = statePrefix(s.id, view.applied.edition)
-	view.keySpace = keySpace{reader: snapshot, prefix: append(statePrefix(s.id, view.applied.edition), partMachine)}
+	view.versionPrefix = statePrefix(s.id, view.applied.version)
+	view.keySpace = keySpace{reader: snapshot, prefix: append(statePrefix(s.id, view.applied.version), partMachine)}
 	return view, nil
 }
 
-func (s *Shard) edition() uint32 {
+func (s *Shard) stateVersion() uint32 {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
-	return s.applied.edition
+	return s.applied.version
 }
 
-// Compact drops the log up to and including index, which must be applied. It
-// is not synced: it can only be lost together with nothing, or alone.
+// Compact removes applied entries up to and including index from the log. The
+// write is not synced: if a crash loses it, the entries are still there.
 func (s *Shard) Compact(index uint64) error {
 	marker, _ := s.Snapshot()
 	index = min(index, marker.Index)
-	if s.within(index) != nil {
+	if s.checkIndex(index) != nil {
 		return nil
 	}
 	term, err := s.Term(index)
@@ -219,7 +219,7 @@
 	batch := s.store.db.NewBatch()
 	err = errors.Join(
 		batch.DeleteRange(logKey(s.id, 0), logKey(s.id, index+1), nil),
-		put(batch, sectionKey(s.id, sectionCompacted), record),
+		putRecord(batch, sectionKey(s.id, sectionCompacted), record),
 	)
 	if err != nil {
 		return trace.Wrap(err, "compact shard %d", s.id)
@@ -235,7 +235,7 @@
 	return nil
 }
 
-// Destroy removes the replica's data and gives the place a new identity.
+// Destroy durably deletes the replica's data and changes its incarnation.
 func (s *Shard) Destroy() error {
 	s.mutex.RLock()
 	generation := s.generation + 1
@@ -247,7 +247,7 @@
 	batch := s.store.db.NewBatch()
 	err = errors.Join(
 		batch.DeleteRange(shardPrefix(s.id), prefixEnd(shardPrefix(s.id)), nil),
-		put(batch, generationKey(s.id), record),
+		putRecord(batch, generationKey(s.id), record),
 	)
 	if err != nil {
 		return trace.Wrap(err, "destroy shard %d", s.id)
