--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,9 +1,9 @@
-// Package ledger keeps accepted jobs and results on several machines. A shard
-// is a majority-replicated log that feeds a state machine; every replica
-// applies the same entries in the same order to its own store.
+// Package ledger replicates accepted jobs and results across machines. A shard
+// is a majority-replicated log that feeds a state machine; every replica applies
+// the same entries in the same order to its own store.
 //
-// Sub-packages: replication (the pure protocol), storage (the disk), replica
-// (the shell that runs both). See docs/design/001-ledger.md.
+// Sub-packages: replication (the protocol, without I/O), storage (the disk
+// store) and replica (runs both on a node). See docs/design/001-ledger.md.
 package ledger
 
 import (
@@ -16,31 +16,31 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// ShardID names a shard, from 0; those of regions have the highest bit.
+// ShardID identifies a shard, from 0; those of regions have the highest bit set.
 type ShardID uint32
 
 const regionalBit ShardID = 1 << 31
 
-// RegionShard is the shard whose replicas lie in a region only. It follows from the
-// region's name, so that nodes need not agree on a numbering.
+// RegionShard returns the ID of the shard whose replicas are all in the region. It
+// is a hash of the region's name, so that nodes need not agree on a numbering.
 func RegionShard(region string) ShardID {
 	return regionalBit | ShardID(xxhash.Sum64String(region)>>33)
 }
 
-// Regional says whether the shard is that of a region.
+// Regional reports whether the shard belongs to a region.
 func (id ShardID) Regional() bool { return id&regionalBit != 0 }
 
-// Reader reads a state machine's key space. Values alias storage and are
-// valid only until the callback or the transaction ends.
+// Reader reads a state machine's key space. Keys and values may alias storage:
+// they are valid only until the callback or the transaction ends.
 type Reader interface {
 	// Get returns nil and false when the key is absent.
 	Get(key []byte) ([]byte, bool, error)
-	// Scan visits from ≤ key < to in order until visit returns false.
+	// Scan visits the keys from ≤ key < to in order until visit returns false.
 	Scan(from, to []byte, visit func(key, value []byte) (bool, error)) error
 }
 
-// Writer writes as part of applying one entry; all of an entry's writes and
-// its index become durable together.
+// Writer makes the writes of one applied entry. They become durable atomically,
+// together with the entry's index.
 type Writer interface {
 	Reader
 	Set(key, value []byte) error
@@ -48,39 +48,38 @@
 	DeleteRange(from, to []byte) error
 }
 
-// StateMachine is replicated by a shard. Apply must be deterministic: it may
-// read neither clock nor randomness; time comes inside entries.
+// StateMachine is the state machine of a shard. Apply must be deterministic: it
+// must not use the clock or random numbers; entries carry the time.
 type StateMachine interface {
-	// Apply applies one committed entry and returns the proposer's answer. An
-	// error means that the store failed, never that the entry was refused:
-	// a refusal is an answer.
+	// Apply applies one committed entry and returns the response to its proposer.
+	// An error means that the store failed; a rejected entry is a response.
 	Apply(writer Writer, index uint64, entry []byte) ([]byte, error)
-	// Reload rebuilds what the machine caches in memory from the store, after
-	// a restart or a snapshot.
+	// Reload rebuilds the in-memory caches from the store after a restart or an
+	// installed snapshot.
 	Reload(reader Reader) error
 }
 
-// Shard is a replica of a shard, as its users on the same node see it.
+// Shard is the interface of a shard's replica to its users on the same node.
 type Shard interface {
-	// Propose commits an entry and returns what Apply answered. It fails with
-	// *NotLeaderError when another replica leads (the entry was not taken),
-	// ErrUnknownOutcome when it may or may not be committed, and
-	// ErrUnavailable when it certainly was not taken.
+	// Propose commits an entry and returns the response of Apply. It fails with
+	// *NotLeaderError if another replica leads (the entry was not accepted),
+	// ErrUnknownOutcome if the entry may or may not be committed, and
+	// ErrUnavailable if the entry was certainly not accepted.
 	Propose(ctx context.Context, entry []byte) ([]byte, error)
-	// Read runs a query on a state that includes every entry committed before
-	// the call (at the leader, after it confirmed that it still leads).
+	// Read runs a query on a state that includes every entry committed before the
+	// call. Only the leader serves it, after confirming its leadership.
 	Read(ctx context.Context, query func(Reader) error) error
-	// FollowerRead is Read at any replica: one that doesn't lead asks the leader
-	// up to where it has to have applied the log, so that the answer is as new.
+	// FollowerRead is like Read but works on any replica: a follower gets the read
+	// index from the leader and waits until it has applied the log up to it.
 	FollowerRead(ctx context.Context, query func(Reader) error) error
-	// Leading says whether this replica leads, and its term.
+	// Leading reports whether this replica is the leader, and its term.
 	Leading() (bool, uint64)
 }
 
 // Directory finds the leader of any shard.
 type Directory interface {
 	Shards() int
-	// Leader returns the last known leader's address; ok is false when none is.
+	// Leader returns the last known leader's address, and whether one is known.
 	Leader(shard ShardID) (transport.Address, bool)
 	// Local returns this node's replica of the shard, if it has one.
 	Local(shard ShardID) (Shard, bool)
@@ -92,7 +91,7 @@
 	ErrUnavailable    = errors.New("ledger: the shard has no leader or its disk is failing")
 )
 
-// NotLeaderError points to the leader, if known.
+// NotLeaderError is returned by replicas that don't lead. Leader may be empty.
 type NotLeaderError struct {
 	Shard  ShardID
 	Leader transport.Address
