--- a/internal/ledger/replica/apply.go
+++ b/internal/ledger/replica/apply.go
@@ -7,31 +7,32 @@
 	"chutelock.dev/chutelock/internal/ledger/storage"
 )
 
-// queuedApplyBytes bounds the committed entries that wait to be applied; the
-// protocol waits when there are more.
-const queuedApplyBytes = 8 << 20
-
-// applyQueue holds committed entries on their way to the state machine. They
-// are applied beside the protocol, so that heartbeats don't wait for the state
-// machine. After a crash, the log is applied again from the applied index on
-// the disk. It is guarded by the shard's mutex.
+// maxQueuedApplyBytes limits the committed entries queued for the state machine;
+// the protocol blocks above it.
+const maxQueuedApplyBytes = 8 << 20
+
+// applyQueue holds committed entries for the state machine. They are applied
+// concurrently with the protocol so that heartbeats don't wait for them. After a
+// crash, the log is replayed from the applied index on disk. The shard's mutex
+// guards it.
 type applyQueue struct {
 	batches [][]replication.Entry
-	bytes   int  // of batches, and of the batch being applied
-	working bool // a worker has it
+	bytes   int  // in batches and in the batch being applied
+	active  bool // a worker is processing the queue
 }
 
-// queueApply hands committed entries to a worker; the caller holds the mutex.
+// queueApply queues committed entries and starts a worker if none is active;
+// the caller holds the mutex.
 func (s *Shard) queueApply(entries []replication.Entry) {
 	if len(entries) == 0 {
 		return
 	}
 	s.queue.batches = append(s.queue.batches, entries)
 	s.queue.bytes += batchBytes(entries)
-	if s.queue.working || s.enter() != nil {
+	if s.queue.active || s.acquireDisk() != nil {
 		return
 	}
-	s.queue.working = true
+	s.queue.active = true
 	s.service.appliers.Submit(s.applyAll)
 }
 
@@ -43,28 +44,28 @@
 	return size
 }
 
-// awaitApplied waits until no more than queuedApplyBytes wait to be applied,
-// or the shard stops.
+// awaitApplied blocks until at most maxQueuedApplyBytes are queued or the shard
+// stops.
 func (s *Shard) awaitApplied() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for s.queue.bytes > queuedApplyBytes && !s.stopped && s.halted == nil {
+	for s.queue.bytes > maxQueuedApplyBytes && !s.stopped && s.halted == nil {
 		s.progressed.Wait()
 	}
 }
 
-// awaitIdle waits until nothing is being applied or compacted, so that the
-// state can be replaced. It returns false when the shard stops.
+// awaitIdle blocks until nothing is being applied or compacted, so that the
+// state can be replaced. It returns false if the shard stops.
 func (s *Shard) awaitIdle() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for s.queue.working && !s.stopped && s.halted == nil {
+	for s.queue.active && !s.stopped && s.halted == nil {
 		s.progressed.Wait()
 	}
 	return !s.stopped && s.halted == nil
 }
 
-// applyAll applies until nothing is queued.
+// applyAll applies queued batches until the queue is empty.
 func (s *Shard) applyAll() {
 	defer s.users.Done()
 	for {
@@ -83,7 +84,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if len(s.queue.batches) == 0 || s.stopped || s.halted != nil {
-		s.queue.working = false
+		s.queue.active = false
 		s.progressed.Broadcast()
 		return nil, false
 	}
@@ -92,8 +93,8 @@
 	return entries, true
 }
 
-// finishApply answers those who waited. It returns up to where the log may be
-// dropped, or 0.
+// finishApply completes the proposals and reads that the batch satisfies. It
+// returns the index up to which the log can be compacted, or 0.
 func (s *Shard) finishApply(entries []replication.Entry, answers []appliedEntry, err error) uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -107,10 +108,10 @@
 		s.answerProposal(applied)
 	}
 	s.answerReads()
-	return s.droppable()
+	return s.compactionIndex()
 }
 
-// appliedEntry is what came of applying an entry.
+// appliedEntry is the result of applying an entry.
 type appliedEntry struct {
 	index  uint64
 	term   uint64
@@ -150,7 +151,7 @@
 		}
 		return nil, s.applyConfiguration(transaction, marker, configuration)
 	case len(entry.Data) == 0:
-		return nil, nil // opens a leader's term
+		return nil, nil // a new leader's first entry
 	case entry.Data[0] == entryRoster:
 		return nil, s.applyRoster(transaction, entry.Data[1:])
 	default:
@@ -159,7 +160,8 @@
 	}
 }
 
-// applyConfiguration also drops the roster entries of replicas that left.
+// applyConfiguration installs a configuration and deletes the roster entries of
+// removed replicas.
 func (s *Shard) applyConfiguration(transaction *storage.Transaction, marker *replication.SnapshotMarker, next replication.Configuration) error {
 	for _, id := range marker.Configuration.Members() {
 		if next.HasVoter(id) || next.HasLearner(id) {
@@ -173,7 +175,7 @@
 		s.mutex.Unlock()
 	}
 	marker.Configuration = next
-	s.service.repairSoon()
+	s.service.triggerRepair()
 	return nil
 }
 
@@ -188,10 +190,10 @@
 	return transaction.SetRoster(entry)
 }
 
-// droppable returns up to where neither slow followers nor transfers need the
-// log, or 0; the caller holds the mutex. A log that is far too long is dropped
-// whoever needs it.
-func (s *Shard) droppable() uint64 {
+// compactionIndex returns the index up to which the log can be compacted, or 0;
+// the caller holds the mutex. It keeps what slow followers and snapshot transfers
+// need, up to maxRetainFactor times RetainBytes.
+func (s *Shard) compactionIndex() uint64 {
 	retain := s.service.options.RetainBytes
 	size := s.disk.LogBytes()
 	if size < 2*retain {
@@ -202,8 +204,8 @@
 	last, _ := s.disk.LastIndex()
 	surplus := uint64(float64(last-first+1) * float64(size-retain) / float64(size))
 	index := min(first+surplus, marker.Index)
-	if size < retainLimit*retain {
-		index = s.neededFrom(index)
+	if size < maxRetainFactor*retain {
+		index = s.minNeededIndex(index)
 	}
 	if index <= first {
 		return 0
@@ -219,16 +221,17 @@
 	}
 }
 
-// neededFrom returns the lowest index that a follower or transfer needs.
-func (s *Shard) neededFrom(index uint64) uint64 {
+// minNeededIndex returns the lowest index, at most index, that a follower or a
+// snapshot transfer needs.
+func (s *Shard) minNeededIndex(index uint64) uint64 {
 	for _, follower := range s.core.Status().Followers {
 		if !follower.Silent && !follower.Snapshotting {
 			index = min(index, follower.Match)
 		}
 	}
-	return min(index, s.service.snapshots.neededFrom(s.id))
+	return min(index, s.service.snapshots.minNeededIndex(s.id))
 }
 
-// retainLimit is how many times RetainBytes a log may grow for those who
-// still need it.
-const retainLimit = 16
+// maxRetainFactor limits, in multiples of RetainBytes, the log kept for slow
+// followers and snapshot transfers.
+const maxRetainFactor = 16
--- a/internal/ledger/replica/bench_test.go
+++ b/internal/ledger/replica/bench_test.go
@@ -19,17 +19,18 @@
 	"chutelock.dev/chutelock/internal/ledger/replication"
 )
 
-// entryBytes is the size of a benchmark's entry.
+// entryBytes is the size of a benchmark entry.
 const entryBytes = 256
 
-// benchEntry makes a distinct entry.
+// benchEntry returns an entry that is unique for its number.
 func benchEntry(number int64) []byte {
 	entry := make([]byte, entryBytes)
 	copy(entry, fmt.Sprintf("%015d", number))
 	return entry
 }
 
-// proposeInParallel proposes count entries at the leader of shard 0.
+// proposeInParallel proposes count entries at the leader of shard 0 with inFlight
+// concurrent proposers.
 func proposeInParallel(b *testing.B, c *cluster, inFlight int, next *atomic.Int64, count int) {
 	shard, _ := c.leader(0).service.Local(0)
 	var left, failures atomic.Int64
@@ -53,8 +54,8 @@
 	}
 }
 
-// BenchmarkPropose measures committed and applied entries a second at three
-// replicas in one process, on a real disk and over loopback transport.
+// BenchmarkPropose measures applied entries per second with three replicas in one
+// process, on a real disk and over loopback transport.
 func BenchmarkPropose(b *testing.B) {
 	for _, inFlight := range []int{1, 8, 64, 256} {
 		b.Run(fmt.Sprintf("in flight %d", inFlight), func(b *testing.B) {
@@ -70,7 +71,7 @@
 	}
 }
 
-// BenchmarkRead measures linearizable reads.
+// BenchmarkRead measures linearizable reads per second.
 func BenchmarkRead(b *testing.B) {
 	c := newCluster(b, Options{ElectionTimeout: replication.DefaultElectionTimeout})
 	c.onDisk = true
@@ -89,8 +90,8 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "reads/s")
 }
 
-// BenchmarkRecovery measures the time from the loss of the leader until the
-// next entry is committed, with the default timeouts.
+// BenchmarkRecovery measures the time from the loss of the leader to the next
+// commit, with the default timeouts.
 func BenchmarkRecovery(b *testing.B) {
 	c := newCluster(b, Options{
 		ElectionTimeout:   replication.DefaultElectionTimeout,
@@ -111,15 +112,15 @@
 		b.StopTimer()
 		worst, total = max(worst, took), total+took
 		c.start(lost)
-		c.settled(0, 3)
+		c.waitForReplicas(0, 3)
 	}
 	b.ReportMetric(worst.Seconds(), "worst-s")
 	b.ReportMetric(total.Seconds()/float64(b.N), "mean-s")
 }
 
-// BenchmarkMillion measures disk and memory after a million entries, which
-// stay in the state. It runs only when CHUTELOCK_CAMPAIGN is set.
-func BenchmarkMillion(b *testing.B) {
+// BenchmarkMillionEntries measures disk and memory use with a million entries in the
+// state. It runs only if CHUTELOCK_CAMPAIGN is set.
+func BenchmarkMillionEntries(b *testing.B) {
 	if os.Getenv("CHUTELOCK_CAMPAIGN") == "" {
 		b.Skip("set CHUTELOCK_CAMPAIGN")
 	}
@@ -142,9 +143,8 @@
 	b.ReportMetric(float64(heapBytes()-before)/(1<<20)/3, "heap-MiB/node")
 }
 
-// BenchmarkIdle measures what idle shards cost a node: three nodes, each shard
-// with three replicas, default timeouts. Only one run of a few seconds is meant
-// (-benchtime 1x).
+// BenchmarkIdle measures the network, CPU and memory cost of idle shards on three
+// nodes with default timeouts. Run it with -benchtime 1x.
 func BenchmarkIdle(b *testing.B) {
 	for _, shards := range []int{1, 16, 64} {
 		b.Run(fmt.Sprintf("shards %d", shards), func(b *testing.B) { measureIdle(b, shards) })
@@ -165,7 +165,7 @@
 	before := heapBytes()
 	c.addAll("a", "b", "c")
 	for id := range ledger.ShardID(shards) {
-		c.settled(id, 3)
+		c.waitForReplicas(id, 3)
 	}
 	time.Sleep(time.Second)
 	bytesBefore, cpuBefore := c.sentBytes(), processTime(b)
@@ -177,7 +177,7 @@
 	b.ReportMetric(float64(heapBytes()-before)/(1<<20)/nodes, "heap-MiB/node")
 }
 
-// sentBytes sums the payload bytes that the nodes' transports have sent.
+// sentBytes returns the sum of the transports' byte counters.
 func (c *cluster) sentBytes() float64 {
 	families, err := c.registry.Gather()
 	c.g.Expect(err).NotTo(gomega.HaveOccurred())
--- a/internal/ledger/replica/bootstrap.go
+++ b/internal/ledger/replica/bootstrap.go
@@ -21,24 +21,23 @@
 )
 
 const (
-	// bootstrapInterval is the time between two looks at the store while
-	// shards are missing; it grows up to bootstrapSlow while the store fails
-	// or nothing changes.
-	bootstrapInterval = 200 * time.Millisecond
-	bootstrapSlow     = 10 * time.Second
-	// bootstrapWatch is the interval of the nodes that leave the placing to
-	// another.
-	bootstrapWatch = time.Second
-	storeTimeout   = 5 * time.Second
+	// bootstrapInterval is the store polling interval while shards are missing;
+	// it backs off to maxBootstrapInterval while passes fail.
+	bootstrapInterval    = 200 * time.Millisecond
+	maxBootstrapInterval = 10 * time.Second
+	// bootstrapWatchInterval is the polling interval of nodes other than the one
+	// that places shards.
+	bootstrapWatchInterval = time.Second
+	storeTimeout           = 5 * time.Second
 )
 
 // shardObject is the spec of a shards object in the platform's store.
 type shardObject struct {
-	// Region is where all replicas lie; empty if they may lie anywhere.
+	// Region restricts the replicas to a region; empty means any region.
 	Region string `json:"region,omitempty"`
-	// Initial is the first replica set; it is never changed.
+	// Initial is the first replica set; it is immutable.
 	Initial []replicaRecord `json:"initial"`
-	// Current is the replica set as a leader wrote it last, for operators.
+	// Current is the replica set last published by a leader, for operators.
 	Current []replicaRecord `json:"current,omitempty"`
 	Leader  string          `json:"leader,omitempty"`
 	Term    uint64          `json:"term,omitempty"`
@@ -52,19 +51,19 @@
 	Learner bool                  `json:"learner,omitempty"`
 }
 
-// bootstrapper watches for the number of data nodes to stand still.
+// bootstrapper places shards once the number of data nodes is stable.
 type bootstrapper struct {
 	service *Service
 	count   int
 	since   time.Time
-	// short are shards of regions with too few data nodes, and onlyShort says that all
-	// others exist.
-	short     []ledger.ShardID
-	onlyShort bool
+	// shortRegions lists the shards of regions with too few data nodes;
+	// onlyShortMissing is set when all other shards exist.
+	shortRegions     []ledger.ShardID
+	onlyShortMissing bool
 }
 
-// runBootstrap places the shards that don't exist yet, and starts the replicas
-// that are placed here. It rests once all shards exist, until more are needed.
+// runBootstrap places missing shards and starts the initial replicas assigned to
+// this node. Once all shards exist, it blocks until more are requested.
 func (s *Service) runBootstrap() {
 	if s.options.Store == nil {
 		return
@@ -77,35 +76,36 @@
 			select {
 			case <-s.running.Done():
 				return
-			case <-s.need:
+			case <-s.shardsNeeded:
 			}
 			b.since, wait = clock.Now(), bootstrapInterval
 			continue
 		}
 		if err != nil {
 			eventDirectoryFailed.Error(err, "step", "bootstrap")
-			wait = min(2*wait, bootstrapSlow)
+			wait = min(2*wait, maxBootstrapInterval)
 		} else {
 			wait = b.interval()
 		}
-		if !s.pause(wait/2 + rand.N(wait)) {
+		if !s.sleep(wait/2 + rand.N(wait)) {
 			return
 		}
 	}
 }
 
-// interval is the time to the next look: short at the node that places.
+// interval returns the polling interval, which is short on the node that places
+// shards.
 func (b *bootstrapper) interval() time.Duration {
 	self := b.service.self()
 	if dataMembers(b.service.options.Members.View(), self)[0].Name == self.Name {
 		return bootstrapInterval
 	}
-	return bootstrapWatch
+	return bootstrapWatchInterval
 }
 
-// step returns true once all shards exist in the store.
+// step runs one bootstrap pass and reports whether all shards exist in the store.
 func (b *bootstrapper) step(now time.Time) (bool, error) {
-	if b.waitsForNodes() {
+	if b.waitingForNodes() {
 		return false, nil
 	}
 	ctx, cancel := context.WithTimeout(b.service.running, storeTimeout)
@@ -122,7 +122,7 @@
 		}
 	}
 	var missing []ledger.ShardID
-	for _, id := range b.service.wanted() {
+	for _, id := range b.service.requiredShards() {
 		if !placed[b.service.objectName(id)] {
 			missing = append(missing, id)
 		}
@@ -130,53 +130,54 @@
 	if len(missing) == 0 {
 		return true, nil
 	}
-	if missing = b.placeable(missing); len(missing) == 0 || !b.mayPlace(now) {
+	if missing = b.filterPlaceable(missing); len(missing) == 0 || !b.mayPlace(now) {
 		return false, nil
 	}
 	return false, b.service.placeMissing(ctx, missing)
 }
 
-// placeable leaves out the shards of regions with too few data nodes, and tells of them
-// once.
-func (b *bootstrapper) placeable(missing []ledger.ShardID) []ledger.ShardID {
+// filterPlaceable removes the shards of regions with too few data nodes and logs
+// them when the list changes.
+func (b *bootstrapper) filterPlaceable(missing []ledger.ShardID) []ledger.ShardID {
 	members := dataMembers(b.service.options.Members.View(), b.service.self())
 	var short, rest []ledger.ShardID
 	for _, id := range missing {
-		if b.service.enough(id, b.service.within(id, members)) {
+		if b.service.hasEnoughNodes(id, b.service.eligibleMembers(id, members)) {
 			rest = append(rest, id)
 		} else {
 			short = append(short, id)
 		}
 	}
-	if !slices.Equal(short, b.short) {
+	if !slices.Equal(short, b.shortRegions) {
 		for _, id := range short {
 			eventRegionShort.Info("shard", id, "region", b.service.Region(id),
-				"nodes", len(b.service.within(id, members)), "least", b.service.options.LeastCopies)
+				"nodes", len(b.service.eligibleMembers(id, members)), "least", b.service.options.LeastCopies)
 		}
 	}
-	b.short, b.onlyShort = short, len(rest) == 0
+	b.shortRegions, b.onlyShortMissing = short, len(rest) == 0
 	return rest
 }
 
-// waitsForNodes says that all that is missing are shards of regions that have too few data
-// nodes still.
-func (b *bootstrapper) waitsForNodes() bool {
-	if len(b.short) == 0 || !b.onlyShort {
+// waitingForNodes reports whether the only missing shards are those of regions
+// that still have too few data nodes.
+func (b *bootstrapper) waitingForNodes() bool {
+	if len(b.shortRegions) == 0 || !b.onlyShortMissing {
 		return false
 	}
 	select {
-	case <-b.service.need:
+	case <-b.service.shardsNeeded:
 		return false
 	default:
 	}
 	members := dataMembers(b.service.options.Members.View(), b.service.self())
-	return !slices.ContainsFunc(b.short, func(id ledger.ShardID) bool {
-		return b.service.enough(id, b.service.within(id, members))
+	return !slices.ContainsFunc(b.shortRegions, func(id ledger.ShardID) bool {
+		return b.service.hasEnoughNodes(id, b.service.eligibleMembers(id, members))
 	})
 }
 
-// mayPlace says whether enough data nodes are known, or no more are coming,
-// and whether it is this node's turn: the first by name, others much later.
+// mayPlace reports whether this node may place shards now. The first data node
+// by name places once there are enough nodes or their number has been stable for
+// BootstrapWait; others wait twice as long in case it fails.
 func (b *bootstrapper) mayPlace(now time.Time) bool {
 	self := b.service.self()
 	members := dataMembers(b.service.options.Members.View(), self)
@@ -192,17 +193,17 @@
 	return enough || now.Sub(b.since) >= wait
 }
 
-func numberName(id ledger.ShardID) string { return strconv.FormatUint(uint64(id), 10) }
+func formatShardNumber(id ledger.ShardID) string { return strconv.FormatUint(uint64(id), 10) }
 
-func numberOf(name string) (ledger.ShardID, error) {
+func parseShardNumber(name string) (ledger.ShardID, error) {
 	number, err := strconv.ParseUint(name, 10, 31)
 	return ledger.ShardID(number), err
 }
 
-// startInitial bootstraps this node's replica if it is one of the shard's
-// first, with the very identity that its disk gives it, and has never run.
+// startInitial bootstraps this node's replica if the shard's initial set lists
+// its current replica ID and it isn't running yet.
 func (s *Service) startInitial(object platform.Object) error {
-	id, known, err := s.shardOf(object.Name)
+	id, known, err := s.parseObjectName(object.Name)
 	if err != nil || !known {
 		return err
 	}
@@ -237,7 +238,7 @@
 			Replica: record.Replica, Node: record.Node, Zone: record.Zone, Address: record.Address,
 		})
 	}
-	shard, err := s.hold(id, func(disk *storage.Shard) error {
+	shard, err := s.openReplica(id, func(disk *storage.Shard) error {
 		err := disk.Bootstrap(replication.BootstrapMarker(voters...), replication.BootstrapState(), roster)
 		if errors.Is(err, storage.ErrNotEmpty) {
 			return nil
@@ -251,15 +252,15 @@
 	return nil
 }
 
-// placeMissing creates the objects of shards that don't exist. A conflict
-// means that another node was faster; an unknown outcome shows at the next list.
+// placeMissing creates the store objects of missing shards. A conflict means that
+// another node created the object first; the next list resolves unknown outcomes.
 func (s *Service) placeMissing(ctx context.Context, missing []ledger.ShardID) error {
 	members := dataMembers(s.options.Members.View(), s.self())
-	placement := placeShards(s.options.Shards, sitesFor(members), s.options.aim())
+	placement := placeShards(s.options.Shards, sitesFor(members), s.options.placementPolicy())
 	for _, id := range missing {
 		var chosen []site
 		if id.Regional() {
-			chosen = placeShards(1, sitesFor(s.within(id, members)), s.options.aim())[0]
+			chosen = placeShards(1, sitesFor(s.eligibleMembers(id, members)), s.options.placementPolicy())[0]
 		} else {
 			chosen = placement[id]
 		}
@@ -281,9 +282,9 @@
 func (s *Service) placeOne(ctx context.Context, id ledger.ShardID, sites []site) error {
 	spec := shardObject{Region: s.Region(id)}
 	for _, chosen := range sites {
-		record, err := s.describeSite(id, chosen)
+		record, err := s.recordForSite(id, chosen)
 		if err != nil {
-			return trace.Wrap(err, "ask peer %s for its identity", chosen.node)
+			return trace.Wrap(err, "request the replica ID of peer %s", chosen.node)
 		}
 		spec.Initial = append(spec.Initial, record)
 	}
@@ -302,13 +303,13 @@
 	return trace.Wrap(err)
 }
 
-func (s *Service) describeSite(id ledger.ShardID, chosen site) (replicaRecord, error) {
+func (s *Service) recordForSite(id ledger.ShardID, chosen site) (replicaRecord, error) {
 	m, found := findMember(s.options.Members.View(), chosen.node)
 	if self := s.self(); chosen.node == self.Name {
 		m, found = self, true
 	}
 	if !found {
-		return replicaRecord{}, trace.NotFound("%s is no member any more", chosen.node)
+		return replicaRecord{}, trace.NotFound("node %s is not a member", chosen.node)
 	}
 	answer, err := s.callDescribe(m, id)
 	if err != nil {
--- a/internal/ledger/replica/calls.go
+++ b/internal/ledger/replica/calls.go
@@ -15,11 +15,11 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// callTimeout bounds the small calls between ledgers.
+// callTimeout limits describe, leave and member calls.
 const callTimeout = 2 * time.Second
 
-// directoryTimeout bounds a look at a peer's directory; another peer is asked
-// next.
+// directoryTimeout limits a directory fetch; the next fetch may use another
+// peer.
 const directoryTimeout = 400 * time.Millisecond
 
 var errNotHere = errors.New("replica: this node holds no such replica")
@@ -47,7 +47,7 @@
 	for _, message := range messages {
 		shard, found := s.local(ledger.ShardID(message.Shard))
 		if !found {
-			shard, found = s.holdIfMeant(message)
+			shard, found = s.openIfAddressed(message)
 		}
 		if found {
 			shard.step(message, from)
@@ -55,9 +55,9 @@
 	}
 }
 
-// holdIfMeant starts a replica whose identity a leader knows already: it is
-// one of a shard's first replicas that never ran, and so has forgotten nothing.
-func (s *Service) holdIfMeant(message replication.Message) (*Shard, bool) {
+// openIfAddressed starts the replica that a leader's message addresses, if its ID
+// matches the disk's incarnation. Such a replica has never run, so it lost no state.
+func (s *Service) openIfAddressed(message replication.Message) (*Shard, bool) {
 	store := s.disk()
 	if store == nil || !s.exists(ledger.ShardID(message.Shard)) || !s.accepting() {
 		return nil, false
@@ -72,11 +72,11 @@
 	if err != nil || replication.NewReplicaID(s.self().Name, incarnation) != message.To {
 		return nil, false
 	}
-	shard, err := s.hold(id, nil)
+	shard, err := s.openReplica(id, nil)
 	return shard, err == nil
 }
 
-// announce tells all data nodes that this one leads a shard.
+// announce sends this node's leadership of a shard to all data nodes.
 func (s *Service) announce(shard ledger.ShardID, term uint64) {
 	self := s.self()
 	s.directory.learn(shard, term, self.Address)
@@ -103,28 +103,29 @@
 	return s.directory.encodeAll(), nil
 }
 
-// runDirectory asks a data node for the leaders, now and then and on a miss.
+// runDirectory fetches the leaders from a data node periodically and after a
+// lookup miss.
 func (s *Service) runDirectory() {
 	ticker := time.NewTicker(s.options.DirectoryInterval)
 	defer ticker.Stop()
 	for {
-		s.lookAtDirectory()
+		s.fetchDirectory()
 		select {
 		case <-s.running.Done():
 			return
 		case <-ticker.C:
-		case <-s.suspect:
-			if !s.pause(directoryPause) {
+		case <-s.refreshDirectory:
+			if !s.sleep(minDirectoryInterval) {
 				return
 			}
 		}
 	}
 }
 
-// directoryPause is the least time between two looks at the directory.
-const directoryPause = 50 * time.Millisecond
+// minDirectoryInterval is the minimum time between directory fetches.
+const minDirectoryInterval = 50 * time.Millisecond
 
-func (s *Service) pause(duration time.Duration) bool {
+func (s *Service) sleep(duration time.Duration) bool {
 	select {
 	case <-s.running.Done():
 		return false
@@ -133,7 +134,7 @@
 	}
 }
 
-func (s *Service) lookAtDirectory() {
+func (s *Service) fetchDirectory() {
 	peer, found := s.pickDirectoryPeer()
 	if !found {
 		return
@@ -147,8 +148,9 @@
 	}
 }
 
-// pickDirectoryPeer picks one of a few data nodes of this node's zone mostly, or else of its
-// region; now and then one of a few of all, and seldom any.
+// pickDirectoryPeer picks a data node from a small fixed set, usually in this
+// node's zone or else its region. Some fetches use a set drawn from all data
+// nodes, and a few use any data node.
 func (s *Service) pickDirectoryPeer() (transport.Address, bool) {
 	self := s.self()
 	var all, inRegion, inZone []membership.Member
@@ -167,28 +169,28 @@
 	if len(all) == 0 {
 		return "", false
 	}
-	if rand.IntN(anyShare) == 0 {
+	if rand.IntN(anyNodeFetchRatio) == 0 {
 		return all[rand.IntN(len(all))].Address, true
 	}
 	near := inZone
 	if len(near) == 0 {
 		near = inRegion
 	}
-	if len(near) == 0 || rand.IntN(farShare) == 0 {
+	if len(near) == 0 || rand.IntN(remoteFetchRatio) == 0 {
 		near = all
 	}
-	candidates := membership.Elect(self.Name, near, fewMost) // others look at others
+	candidates := membership.Elect(self.Name, near, maxDirectoryPeers) // spreads nodes over different peers
 	return candidates[rand.IntN(len(candidates))].Address, true
 }
 
 const (
-	// farShare is how many looks at the directory there are for one beyond the own zone, and
-	// anyShare for one at any data node.
-	farShare = 4
-	anyShare = 16
-	// fewMost is how many data nodes of a group a node looks at: each has connections to
-	// those that look at it, and with any of 150 asked, a node keeps one to most of them.
-	fewMost = 3
+	// One in remoteFetchRatio fetches may leave the node's zone and region, and
+	// one in anyNodeFetchRatio uses any data node.
+	remoteFetchRatio  = 4
+	anyNodeFetchRatio = 16
+	// maxDirectoryPeers limits the data nodes of a group that a node fetches from,
+	// to limit the connections per node in a large fleet.
+	maxDirectoryPeers = 3
 )
 
 func (s *Service) handleDescribe(_ context.Context, _ transport.Address, payload []byte) ([]byte, error) {
@@ -204,7 +206,7 @@
 	if store == nil {
 		return nil, trace.Wrap(errNotHere)
 	}
-	answer := describeAnswer{Replicas: uint32(len(s.allShards()))}
+	answer := describeResponse{Replicas: uint32(len(s.allShards()))}
 	shard, holds := s.local(id)
 	if holds {
 		shard.mutex.Lock()
@@ -227,13 +229,13 @@
 		return nil, err
 	}
 	if !s.exists(request.Shard) {
-		return nil, trace.BadParameter("no shard %d", request.Shard)
+		return nil, trace.BadParameter("shard %d does not exist", request.Shard)
 	}
 	if !s.accepting() {
-		return nil, trace.Wrap(ledger.ErrUnavailable, "the disk takes no replica now")
+		return nil, trace.Wrap(ledger.ErrUnavailable, "the disk is full or has failed")
 	}
 	if _, found := s.local(request.Shard); !found {
-		shard, err := s.hold(request.Shard, nil)
+		shard, err := s.openReplica(request.Shard, nil)
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
@@ -242,7 +244,7 @@
 	return s.describe(request.Shard)
 }
 
-// handleLeave destroys a replica that a leader has removed.
+// handleLeave destroys this node's replica after a leader removed it.
 func (s *Service) handleLeave(_ context.Context, from transport.Address, payload []byte) ([]byte, error) {
 	var request memberRequest
 	if _, err := decode(payload, &request, 0); err != nil {
@@ -257,9 +259,9 @@
 
 func (s *Service) destroy(shard *Shard, replica replication.ReplicaID, from transport.Address) error {
 	shard.mutex.Lock()
-	same := shard.replica == replica && !shard.stopped && shard.halted == nil
+	matches := shard.replica == replica && !shard.stopped && shard.halted == nil
 	shard.mutex.Unlock()
-	if !same {
+	if !matches {
 		return nil
 	}
 	shard.stop()
@@ -275,7 +277,8 @@
 	return nil
 }
 
-// handleMember answers at the leader whether a replica is a member.
+// handleMember reports to a replica whether it is a member; only a confirmed
+// leader answers.
 func (s *Service) handleMember(ctx context.Context, _ transport.Address, payload []byte) ([]byte, error) {
 	var request memberRequest
 	if _, err := decode(payload, &request, 0); err != nil {
@@ -287,16 +290,16 @@
 	}
 	err := shard.Read(ctx, func(ledger.Reader) error { return nil })
 	if err != nil {
-		return nil, err // only a leader that is confirmed may say no
+		return nil, err // only a confirmed leader may deny membership
 	}
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
 	status := shard.core.Status()
 	if status.ConfigurationPending {
-		return nil, trace.Wrap(ledger.ErrUnavailable, "a change is pending")
+		return nil, trace.Wrap(ledger.ErrUnavailable, "a configuration change is pending")
 	}
 	member := status.Configuration.HasVoter(request.Replica) || status.Configuration.HasLearner(request.Replica)
-	return encode(memberAnswer{Member: member}), nil
+	return encode(memberResponse{Member: member}), nil
 }
 
 func (s *Service) handleSnapshotOpen(_ context.Context, _ transport.Address, payload []byte) ([]byte, error) {
@@ -312,7 +315,7 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	return encode(snapshotOpenAnswer{Session: session}, marker.Marshal()), nil
+	return encode(snapshotOpenResponse{Session: session}, marker.Marshal()), nil
 }
 
 func (s *Service) handleSnapshotChunk(ctx context.Context, _ transport.Address, payload []byte) ([]byte, error) {
--- a/internal/ledger/replica/chaos_test.go
+++ b/internal/ledger/replica/chaos_test.go
@@ -18,32 +18,32 @@
 	"chutelock.dev/chutelock/internal/ledger"
 )
 
-// fates are what proposers were told of their entries.
-type fates struct {
+// proposalOutcomes records the outcomes returned to proposers.
+type proposalOutcomes struct {
 	mutex     sync.Mutex
 	committed map[string]bool
 	refused   map[string]bool
 	unknown   int
 }
 
-func (f *fates) note(entry string, err error) {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
+func (o *proposalOutcomes) record(entry string, err error) {
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
 	var notLeader *ledger.NotLeaderError
 	switch {
 	case err == nil:
-		f.committed[entry] = true
+		o.committed[entry] = true
 	case errors.As(err, &notLeader), errors.Is(err, ledger.ErrUnavailable):
-		f.refused[entry] = true
+		o.refused[entry] = true
 	case errors.Is(err, ledger.ErrUnknownOutcome):
-		f.unknown++
+		o.unknown++
 	default:
 		panic(fmt.Sprintf("entry %s: %v", entry, err))
 	}
 }
 
-// proposeAt proposes one entry at one node, leader or not.
-func (f *fates) proposeAt(n *node, entry string) {
+// proposeAt proposes an entry at a node, whether or not it leads.
+func (o *proposalOutcomes) proposeAt(n *node, entry string) {
 	n.mutex.Lock()
 	service := n.service
 	n.mutex.Unlock()
@@ -57,12 +57,12 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	_, err := shard.Propose(ctx, []byte(entry))
-	f.note(entry, err)
+	o.record(entry, err)
 }
 
-// TestChaos runs proposers while nodes lose power, disks, links and disk
-// space, at most two of five at a time. Whatever was answered must hold.
-// CHUTELOCK_CAMPAIGN sets the number of rounds, CHUTELOCK_SEED the first seed.
+// Guards against lost committed entries and applied refused entries while up to two
+// nodes at a time lose power, disk, network or disk space. CHUTELOCK_CAMPAIGN sets
+// the number of rounds, CHUTELOCK_SEED the first seed.
 func TestChaos(t *testing.T) {
 	rounds, seed := 1, uint64(7)
 	if campaign := os.Getenv("CHUTELOCK_CAMPAIGN"); campaign != "" {
@@ -82,7 +82,7 @@
 	c := newCluster(t, Options{Copies: 5, ReplaceAfter: time.Second, RetainBytes: 8 << 10, Reserve: 1 << 20})
 	c.addAll("a", "a", "b", "b", "c", "c")
 	c.proposeMany(0, "first", 20)
-	f := &fates{committed: map[string]bool{}, refused: map[string]bool{}}
+	outcomes := &proposalOutcomes{committed: map[string]bool{}, refused: map[string]bool{}}
 	var stop atomic.Bool
 	var group sync.WaitGroup
 	for worker := range 6 {
@@ -90,42 +90,42 @@
 		go func() {
 			defer group.Done()
 			for i := 0; !stop.Load(); i++ {
-				f.proposeAt(c.nodes[fmt.Sprintf("n%d", (worker+i)%6)], fmt.Sprintf("w%d-%d", worker, i))
+				outcomes.proposeAt(c.nodes[fmt.Sprintf("n%d", (worker+i)%6)], fmt.Sprintf("w%d-%d", worker, i))
 				time.Sleep(time.Millisecond)
 			}
 		}()
 	}
 	for range 8 {
-		c.disturb(random)
+		c.injectFaults(random)
 	}
 	stop.Store(true)
 	group.Wait()
-	c.settled(0, 5)
-	t.Logf("%d committed, %d refused, %d unknown", len(f.committed), len(f.refused), f.unknown)
-	c.g.Expect(f.committed).NotTo(gomega.BeEmpty())
+	c.waitForReplicas(0, 5)
+	t.Logf("%d committed, %d refused, %d unknown", len(outcomes.committed), len(outcomes.refused), outcomes.unknown)
+	c.g.Expect(outcomes.committed).NotTo(gomega.BeEmpty())
 	c.expectEntries(0, "first", 20)
-	c.expectFates(f)
+	c.expectOutcomes(outcomes)
 }
 
-// disturb harms one or two nodes at a time, and heals them.
-func (c *cluster) disturb(random *rand.Rand) {
+// injectFaults injects faults into one or two nodes and then reverts them.
+func (c *cluster) injectFaults(random *rand.Rand) {
 	names := random.Perm(6)[:1+random.IntN(2)]
-	var heal []func()
+	var reverts []func()
 	for _, at := range names {
 		n := c.nodes[fmt.Sprintf("n%d", at)]
-		heal = append(heal, c.harm(n, random.IntN(5)))
+		reverts = append(reverts, c.injectFault(n, random.IntN(5)))
 	}
 	c.store.down.Store(random.IntN(2) == 0)
 	time.Sleep(time.Duration(100+random.IntN(900)) * time.Millisecond)
-	for _, restore := range heal {
-		restore()
+	for _, revert := range reverts {
+		revert()
 	}
 	c.store.down.Store(false)
-	c.settled(0, 5)
+	c.waitForReplicas(0, 5)
 }
 
-// harm does one kind of harm and returns what undoes it.
-func (c *cluster) harm(n *node, kind int) func() {
+// injectFault injects one kind of fault and returns the function that reverts it.
+func (c *cluster) injectFault(n *node, kind int) func() {
 	switch kind {
 	case 0:
 		c.kill(n)
@@ -134,8 +134,8 @@
 		c.wipe(n)
 		return func() { c.start(n) }
 	case 2:
-		n.cut.Store(true)
-		return func() { n.cut.Store(false) }
+		n.partitioned.Store(true)
+		return func() { n.partitioned.Store(false) }
 	case 3:
 		n.fs.TestingSetDiskUsage(vfs.DiskUsage{AvailBytes: 1, TotalBytes: 1 << 30})
 		return func() { n.fs.TestingSetDiskUsage(vfs.DiskUsage{AvailBytes: 1 << 29, TotalBytes: 1 << 30}) }
@@ -146,17 +146,17 @@
 	}
 }
 
-func (c *cluster) expectFates(f *fates) {
+func (c *cluster) expectOutcomes(outcomes *proposalOutcomes) {
 	shard, _ := c.leader(0).service.Local(0)
 	err := shard.Read(context.Background(), func(reader ledger.Reader) error {
-		for entry := range f.committed {
+		for entry := range outcomes.committed {
 			if _, found, err := reader.Get([]byte("entry/" + entry)); err != nil || !found {
 				return fmt.Errorf("committed entry %s: found %v, %w", entry, found, err)
 			}
 		}
-		for entry := range f.refused {
+		for entry := range outcomes.refused {
 			if _, found, _ := reader.Get([]byte("entry/" + entry)); found {
-				return fmt.Errorf("entry %s was refused, and is there", entry)
+				return fmt.Errorf("refused entry %s was applied", entry)
 			}
 		}
 		return nil
--- a/internal/ledger/replica/cluster_test.go
+++ b/internal/ledger/replica/cluster_test.go
@@ -22,8 +22,8 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// recorder is a state machine that keeps each entry under its content, and
-// answers how many entries there are and whether this one was new.
+// recorder is a state machine that stores each entry under a key with its content. Its
+// result is the number of applied entries and whether this one was new.
 type recorder struct{ count uint64 }
 
 var countKey = []byte("count")
@@ -52,7 +52,7 @@
 	return err
 }
 
-// memberList is a membership that the test sets.
+// memberList is a membership list that the test controls.
 type memberList struct {
 	mutex   sync.Mutex
 	members map[string]membership.Member
@@ -77,7 +77,7 @@
 	l.view.Store(view)
 }
 
-// memberSource is one node's view of the list.
+// memberSource is one node's view of a memberList.
 type memberSource struct {
 	list *memberList
 	name string
@@ -90,13 +90,14 @@
 	return m
 }
 
-// objectStore is the platform's store; down makes every call fail.
+// objectStore is an in-memory platform.Store; every call fails while down is set.
 type objectStore struct {
 	mutex   sync.Mutex
 	objects map[string]platform.Object
 	down    atomic.Bool
-	// loseAnswers makes that many writes fail after they took effect.
-	loseAnswers atomic.Int32
+	// loseResponses is the number of next writes that return an error after they
+	// took effect.
+	loseResponses atomic.Int32
 }
 
 var errStoreDown = errors.New("the store is down")
@@ -139,7 +140,7 @@
 	}
 	object.Revision++
 	s.objects[key] = object
-	if s.loseAnswers.Add(-1) >= 0 {
+	if s.loseResponses.Add(-1) >= 0 {
 		return platform.Object{}, errStoreDown
 	}
 	return object, nil
@@ -151,8 +152,8 @@
 	return errStoreDown
 }
 
-// cluster is a ledger on several nodes in this process, over real transport,
-// each node on a file system in memory that forgets what was not synced.
+// cluster is a ledger on several nodes in this process, over real transport. Each
+// node has an in-memory file system that loses unsynced data on a crash.
 type cluster struct {
 	g        *gomega.WithT
 	t        testing.TB
@@ -161,37 +162,37 @@
 	options  Options
 	keys     *transport.Keyring
 	nodes    map[string]*node
-	registry *prometheus.Registry // of all transports; may be nil
-	onDisk   bool                 // keep the ledgers in real folders
-	root     string               // of these folders; removed after the nodes have stopped
-	wrap     func(*node) vfs.FS   // what a node sees of its file system; may be nil
-	frames   func(*node, []byte)  // is told of each frame that a node gets; may be nil
+	registry *prometheus.Registry // for all transports; may be nil
+	onDisk   bool                 // use real folders instead of memory
+	root     string               // parent of the real folders
+	wrapFS   func(*node) vfs.FS   // wraps a node's file system; may be nil
+	onFrame  func(*node, []byte)  // called for each frame that a node receives; may be nil
 }
 
-// frameWatch tells of the frames that a node gets.
-type frameWatch struct {
+// frameObserver calls onFrame for each frame that a node receives.
+type frameObserver struct {
 	transport.Receiver
-	got func(payload []byte)
+	onFrame func(payload []byte)
 }
 
-func (w frameWatch) HandleMessage(kind transport.Kind, handler transport.MessageHandler) {
+func (w frameObserver) HandleMessage(kind transport.Kind, handler transport.MessageHandler) {
 	w.Receiver.HandleMessage(kind, func(from transport.Address, payload []byte) {
 		if kind == kindFrame {
-			w.got(payload)
+			w.onFrame(payload)
 		}
 		handler(from, payload)
 	})
 }
 
 type node struct {
-	name      string
-	zone      string
-	data      bool
-	fs        *vfs.MemFS
-	transport *transport.Node
-	cut       atomic.Bool
-
-	mutex   sync.Mutex // guards service where proposers run beside
+	name        string
+	zone        string
+	hasData     bool
+	fs          *vfs.MemFS
+	transport   *transport.Node
+	partitioned atomic.Bool
+
+	mutex   sync.Mutex // guards service while proposers run concurrently
 	service *Service
 }
 
@@ -222,15 +223,15 @@
 	return c
 }
 
-// add starts a node; zone "" makes it a node without data.
+// add starts a node; zone "" makes it a node that holds no replicas.
 func (c *cluster) add(name, zone string) *node {
-	n := &node{name: name, zone: zone, data: zone != "", fs: vfs.NewCrashableMem()}
+	n := &node{name: name, zone: zone, hasData: zone != "", fs: vfs.NewCrashableMem()}
 	c.nodes[name] = n
 	c.start(n)
 	return n
 }
 
-// addAll starts data nodes n0, n1, ... in the zones.
+// addAll starts data nodes n0, n1, ..., one per given zone.
 func (c *cluster) addAll(zones ...string) {
 	for i, zone := range zones {
 		c.add(fmt.Sprintf("n%d", i), zone)
@@ -241,7 +242,7 @@
 	listen := transport.Options{
 		Listen: "127.0.0.1:0",
 		Keys:   c.keys,
-		Allow:  func(transport.Address) bool { return !n.cut.Load() },
+		Allow:  func(transport.Address) bool { return !n.partitioned.Load() },
 	}
 	if c.registry != nil {
 		listen.Registry = prometheus.WrapRegistererWith(prometheus.Labels{"node": n.name}, c.registry)
@@ -249,22 +250,22 @@
 	opened, err := transport.Listen(listen)
 	c.g.Expect(err).NotTo(gomega.HaveOccurred())
 	n.transport = opened
-	c.list.set(membership.Member{Name: n.name, Address: opened.Address(), Zone: n.zone, Region: regionOfZone(n.zone), HasData: n.data})
+	c.list.set(membership.Member{Name: n.name, Address: opened.Address(), Zone: n.zone, Region: regionOfZone(n.zone), HasData: n.hasData})
 	options := c.options
 	options.Sender, options.Receiver = opened, opened
-	if c.frames != nil {
-		options.Receiver = frameWatch{opened, func(payload []byte) { c.frames(n, payload) }}
+	if c.onFrame != nil {
+		options.Receiver = frameObserver{opened, func(payload []byte) { c.onFrame(n, payload) }}
 	}
 	options.Members = memberSource{c.list, n.name}
 	options.Store = c.store
-	if n.data {
+	if n.hasData {
 		options.Folder = "ledger"
 		options.FS = n.fs
 		if c.onDisk {
 			options.Folder, options.FS = filepath.Join(c.root, n.name), nil
 		}
-		if c.wrap != nil {
-			options.FS = c.wrap(n)
+		if c.wrapFS != nil {
+			options.FS = c.wrapFS(n)
 		}
 	}
 	service, err := Open(options)
@@ -274,12 +275,12 @@
 	n.set(service)
 }
 
-// regionOfZone is north or south by the zone's first letter, else none.
+// regionOfZone returns north or south by the zone's first letter, else "".
 func regionOfZone(zone string) string {
 	return map[string]string{"n": "north", "s": "south"}[zone[:min(1, len(zone))]]
 }
 
-// kill ends a node as a power cut does: what was not synced is gone.
+// kill stops a node as a power loss does: unsynced data is lost.
 func (c *cluster) kill(n *node) {
 	n.fs = n.fs.CrashClone(vfs.CrashCloneCfg{})
 	c.stop(n)
@@ -304,13 +305,13 @@
 	n.service = service
 }
 
-// wipe kills a node and takes its disk.
+// wipe kills a node and replaces its disk with an empty one.
 func (c *cluster) wipe(n *node) {
 	c.kill(n)
 	n.fs = vfs.NewCrashableMem()
 }
 
-// leader waits for a node that leads the shard.
+// leader waits until a node leads the shard and returns it.
 func (c *cluster) leader(id ledger.ShardID) (found *node) {
 	c.g.Eventually(func() *node {
 		found = c.leaderNow(id)
@@ -336,8 +337,8 @@
 	return found
 }
 
-// propose commits an entry at whichever node leads, and returns the answer. An
-// entry whose fate is not known is proposed again.
+// propose commits an entry at the current leader and returns the result. It retries,
+// also after an unknown outcome.
 func (c *cluster) propose(id ledger.ShardID, entry string) []byte {
 	var answer []byte
 	c.g.Eventually(func() error {
@@ -355,7 +356,7 @@
 	return answer
 }
 
-// proposeMany commits count entries with a prefix, some at a time.
+// proposeMany commits count entries with a prefix, eight at a time.
 func (c *cluster) proposeMany(id ledger.ShardID, prefix string, count int) {
 	var group sync.WaitGroup
 	for worker := range 8 {
@@ -370,7 +371,7 @@
 	group.Wait()
 }
 
-// expectEntries reads at the leader that all entries of the prefix are there.
+// expectEntries checks at the leader that all entries of a prefix exist.
 func (c *cluster) expectEntries(id ledger.ShardID, prefix string, count int) {
 	c.g.Eventually(func() error {
 		shard, _ := c.leader(id).service.Local(id)
@@ -386,7 +387,7 @@
 	}).Should(gomega.Succeed())
 }
 
-// replicas lists the nodes of the shard's voters, as its leader sees them.
+// replicas returns the shard's healthy voters by node, as its leader sees them.
 func (c *cluster) replicas(id ledger.ShardID) map[string]ReplicaStatus {
 	n := c.leaderNow(id)
 	voters := map[string]ReplicaStatus{}
@@ -401,9 +402,9 @@
 	return voters
 }
 
-// settled waits until the shard has exactly so many replicas, all of them
-// voters that are there and none on the nodes without.
-func (c *cluster) settled(id ledger.ShardID, count int, without ...*node) {
+// waitForReplicas waits until the shard has exactly count replicas, all of them
+// healthy voters, and none on the nodes in without.
+func (c *cluster) waitForReplicas(id ledger.ShardID, count int, without ...*node) {
 	for _, n := range without {
 		c.g.Eventually(func() map[string]ReplicaStatus { return c.replicas(id) }).
 			Should(gomega.And(gomega.Not(gomega.BeEmpty()), gomega.Not(gomega.HaveKey(n.name))))
@@ -415,7 +416,7 @@
 		}
 		replicas := n.service.Status().Shards[id].Replicas
 		for i := range replicas {
-			if !c.holds(id, replicas[i]) {
+			if !c.runsReplica(id, replicas[i]) {
 				replicas[i].State = "gone"
 			}
 		}
@@ -423,9 +424,9 @@
 	}).Should(gomega.And(gomega.HaveLen(count), gomega.HaveEach(gomega.HaveField("State", "voter"))))
 }
 
-// holds says whether the replica's node runs it under this very identity; the
-// leader notices only later that it doesn't.
-func (c *cluster) holds(id ledger.ShardID, replica ReplicaStatus) bool {
+// runsReplica reports whether the replica's node runs it under this replica ID. The
+// leader's status may lag behind.
+func (c *cluster) runsReplica(id ledger.ShardID, replica ReplicaStatus) bool {
 	n := c.nodes[replica.Node]
 	if n == nil || n.service == nil {
 		return false
--- a/internal/ledger/replica/directory.go
+++ b/internal/ledger/replica/directory.go
@@ -11,35 +11,35 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// leaderHint is the last known leader of a shard.
+// leaderHint is the last known leader of a shard; an empty address means unknown.
 type leaderHint struct {
 	term   uint64
 	leader transport.Address
 }
 
-// directory holds a hint for each shard. A higher term wins.
+// directory holds a leader hint for each shard. A hint with a higher term wins.
 type directory struct {
 	mutex sync.RWMutex
 	hints []leaderHint
-	// regions are the hints of regions' shards; those that may exist have one.
-	regions map[ledger.ShardID]*leaderHint
+	// regionHints has a hint for each regional shard that may exist.
+	regionHints map[ledger.ShardID]*leaderHint
 }
 
 func newDirectory(shards int, regional ...ledger.ShardID) *directory {
-	d := &directory{hints: make([]leaderHint, shards), regions: make(map[ledger.ShardID]*leaderHint, len(regional))}
+	d := &directory{hints: make([]leaderHint, shards), regionHints: make(map[ledger.ShardID]*leaderHint, len(regional))}
 	for _, id := range regional {
-		d.regions[id] = &leaderHint{}
+		d.regionHints[id] = &leaderHint{}
 	}
 	return d
 }
 
-// hint returns a shard's; nil if there can't be such a shard. The caller holds the
-// mutex.
+// hint returns the hint of a shard, or nil for an unknown shard. The caller holds
+// the mutex.
 func (d *directory) hint(shard ledger.ShardID) *leaderHint {
 	if int(shard) < len(d.hints) {
 		return &d.hints[shard]
 	}
-	return d.regions[shard]
+	return d.regionHints[shard]
 }
 
 func (d *directory) leader(shard ledger.ShardID) (transport.Address, bool) {
@@ -52,17 +52,17 @@
 	return hint.leader, hint.leader != ""
 }
 
-// regional lists the shards of regions that have had a leader, in order.
+// regional returns the regional shards that have had a leader, sorted.
 func (d *directory) regional() []ledger.ShardID {
 	d.mutex.RLock()
 	defer d.mutex.RUnlock()
-	return d.led()
+	return d.regionalLocked()
 }
 
-// led is regional for a caller that holds the mutex.
-func (d *directory) led() []ledger.ShardID {
+// regionalLocked is regional for callers that hold the mutex.
+func (d *directory) regionalLocked() []ledger.ShardID {
 	var ids []ledger.ShardID
-	for id, hint := range d.regions {
+	for id, hint := range d.regionHints {
 		if hint.term > 0 {
 			ids = append(ids, id)
 		}
@@ -71,7 +71,7 @@
 	return ids
 }
 
-// learn takes a hint; it returns whether it was news.
+// learn merges a hint and reports whether it changed the directory.
 func (d *directory) learn(shard ledger.ShardID, term uint64, leader transport.Address) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -86,8 +86,8 @@
 	return true
 }
 
-// suspect forgets a leader that could not be reached, until anyone confirms
-// it or names another.
+// suspect clears the address of an unreachable leader until another node confirms
+// it or reports a new one.
 func (d *directory) suspect(shard ledger.ShardID, leader transport.Address) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -96,7 +96,7 @@
 	}
 }
 
-// digest is equal for equal directories.
+// digest returns a hash of the directory's contents.
 func (d *directory) digest() uint64 {
 	d.mutex.RLock()
 	defer d.mutex.RUnlock()
@@ -104,8 +104,8 @@
 	for _, hint := range d.hints {
 		writeHint(hash, hint)
 	}
-	for _, id := range d.led() {
-		writeHint(hash, *d.regions[id])
+	for _, id := range d.regionalLocked() {
+		writeHint(hash, *d.regionHints[id])
 	}
 	return hash.Sum64()
 }
@@ -127,17 +127,17 @@
 			fields = append(fields, encodeLeader(ledger.ShardID(shard), hint))
 		}
 	}
-	for _, id := range d.led() {
-		if hint := d.regions[id]; hint.leader != "" {
+	for _, id := range d.regionalLocked() {
+		if hint := d.regionHints[id]; hint.leader != "" {
 			fields = append(fields, encodeLeader(id, *hint))
 		}
 	}
-	return encode(directoryAnswer{}, fields...)
+	return encode(directoryResponse{}, fields...)
 }
 
 // learnAll merges an encoded directory.
 func (d *directory) learnAll(encoded []byte) error {
-	fields, err := decode(encoded, &directoryAnswer{}, -1)
+	fields, err := decode(encoded, &directoryResponse{}, -1)
 	if err != nil {
 		return err
 	}
--- a/internal/ledger/replica/doc.go
+++ b/internal/ledger/replica/doc.go
@@ -1,34 +1,33 @@
-// Package replica runs the ledger's replicas of one node: it joins the pure
-// protocol (package replication), the disk (package storage) and the network
-// (package transport), and finds the leaders of all shards for every node,
-// also for one that keeps no replica.
+// Package replica runs a node's ledger replicas. It connects the consensus
+// protocol (package replication) to the disk (package storage) and the network
+// (package transport). It also locates the leader of every shard, including on
+// nodes that hold no replica.
 //
-// # How a replica works
+// # Processing
 //
-// All shards share one pool of workers. A shard that has something to do is
-// worked on by one worker at a time, which takes a Ready from the protocol and
-// does, in this order: send what promises nothing, write and sync, send what
-// promised that, Advance. Committed entries are applied by a worker of a second
-// pool, which answers proposers and readers, so that a slow state machine holds
-// up no heartbeat. Proposals that arrive meanwhile gather for the next Ready,
-// so that one sync and one message serve many of them; the syncs of several
-// shards are shared by the store.
+// All shards share one worker pool. At most one worker processes a shard at a
+// time. It takes a Ready from the protocol and, in this order, sends the
+// messages that don't depend on the disk, writes and syncs, sends the messages
+// that do, and calls Advance. A second pool applies committed entries and
+// completes proposals and reads, so a slow state machine doesn't delay
+// heartbeats. Proposals that arrive meanwhile are batched into the next Ready;
+// the store shares syncs between shards.
 //
-// # How replicas find each other
+// # Addressing
 //
-// A replica identity is a hash of the node's name and its disk's incarnation.
-// The roster, which is replicated with each shard's state, tells which node an
-// identity belongs to; membership tells where that node is now. The platform's
-// store holds the first replica set of each shard (objects of kind shards) and
-// a copy of later ones for operators. It is asked only until a shard exists.
+// A replica ID is a hash of the node's name and its disk's incarnation. The
+// roster, replicated with each shard's state, maps a replica ID to its node;
+// membership maps the node to its current address. The platform's store holds
+// the initial replica set of each shard (objects of kind shards) and a copy of
+// the current one for operators. It is read only until a shard exists.
 //
 // # Repair
 //
-// The leader of a shard replaces replicas that have been silent for longer
-// than Options.ReplaceAfter, and at once those whose node came back with
-// another disk: it adds a learner in the best zone, lets it catch up at a
-// bounded rate, promotes it and removes the old identity. Without a quorum of
-// known identities nothing is done, and the shard says so.
+// The leader of a shard replaces a replica that has been silent for longer than
+// Options.ReplaceAfter, or immediately if its node came back with another disk:
+// it adds a learner in the best zone, lets it catch up at a limited rate,
+// promotes it and removes the old replica ID. Without a quorum of known replicas
+// it changes nothing and reports the shard as without quorum.
 //
-// Lock order: Shard.mutex, then Service.mutex, then the others, which are leaves.
+// Lock order: Shard.mutex, then Service.mutex. All other mutexes are leaf locks.
 package replica
--- a/internal/ledger/replica/followerread.go
+++ b/internal/ledger/replica/followerread.go
@@ -12,13 +12,12 @@
 )
 
 const (
-	// roundPause is the least time between two questions of a follower to its
-	// leader: reads that come meanwhile share the next one. A reader of results
-	// polls twice a second, and doesn't notice it.
-	roundPause = 10 * time.Millisecond
-	// roundTimeout bounds a question; the reads that wait for it fail, and their
-	// callers go to the leader.
-	roundTimeout = 400 * time.Millisecond
+	// minReadIndexInterval is the minimum time between a follower's read index
+	// requests to the leader; reads that arrive meanwhile share the next one.
+	minReadIndexInterval = 10 * time.Millisecond
+	// readIndexTimeout limits a read index request. Reads that wait for it fail,
+	// and their callers use the leader instead.
+	readIndexTimeout = 400 * time.Millisecond
 )
 
 // FollowerRead implements ledger.Shard.
@@ -26,58 +25,59 @@
 	if leading, _ := s.Leading(); leading {
 		return s.Read(ctx, query)
 	}
-	index, err := s.rounds.wait(ctx, s.askCommitted)
+	index, err := s.readIndexes.wait(ctx, s.fetchReadIndex)
 	if err != nil {
 		return trace.Wrap(err, "read shard %d at a follower", s.id)
 	}
 	return s.readAt(ctx, index, query)
 }
 
-// readAt runs a query once an index is applied here.
+// readAt runs a query once this replica has applied the index.
 func (s *Shard) readAt(ctx context.Context, index uint64, query func(ledger.Reader) error) error {
-	applied, err := s.submitWait(index)
+	applied, err := s.enqueueRead(index)
 	if err != nil {
 		return err
 	}
 	return s.readOnce(ctx, applied, query)
 }
 
-// submitWait waits until an index is applied here; if it succeeds, the caller
-// must call users.Done.
-func (s *Shard) submitWait(index uint64) (<-chan error, error) {
+// enqueueRead returns a channel that signals when the index is applied here. If
+// it succeeds, the caller must call users.Done.
+func (s *Shard) enqueueRead(index uint64) (<-chan error, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if err := s.enter(); err != nil {
+	if err := s.acquireDisk(); err != nil {
 		return nil, trace.Wrap(err, "read shard %d", s.id)
 	}
 	waiting := &read{index: index, done: make(chan error, 1)}
-	s.waiting = append(s.waiting, waiting)
+	s.confirmedReads = append(s.confirmedReads, waiting)
 	s.answerReads()
 	return waiting.done, nil
 }
 
-// askCommitted asks the leader for an index that covers all that is committed.
-func (s *Shard) askCommitted() (uint64, error) {
+// fetchReadIndex asks the leader for an index that covers all committed entries.
+func (s *Shard) fetchReadIndex() (uint64, error) {
 	s.mutex.Lock()
 	leader, known := s.leaderAddress()
 	s.mutex.Unlock()
 	if !known {
 		return 0, trace.Wrap(ledger.ErrUnavailable, "no leader is known")
 	}
-	ctx, cancel := context.WithTimeout(s.service.running, roundTimeout)
+	ctx, cancel := context.WithTimeout(s.service.running, readIndexTimeout)
 	defer cancel()
 	encoded, err := s.service.options.Sender.Call(ctx, leader, kindCommitted, encode(committedRequest{Shard: s.id}))
 	if err != nil {
-		return 0, trace.Wrap(ledger.ErrUnavailable, "ask leader %s for its index: %v", leader, err)
+		return 0, trace.Wrap(ledger.ErrUnavailable, "request read index from leader %s: %v", leader, err)
 	}
-	var answer committedAnswer
+	var answer committedResponse
 	if _, err := decode(encoded, &answer, 0); err != nil {
-		return 0, trace.Wrap(err, "ask leader %s for its index", leader)
+		return 0, trace.Wrap(err, "request read index from leader %s", leader)
 	}
 	return answer.Index, nil
 }
 
-// handleCommitted answers a follower, after this replica confirmed that it leads.
+// handleCommitted returns the applied index to a follower after this replica
+// confirmed its leadership.
 func (s *Service) handleCommitted(ctx context.Context, _ transport.Address, payload []byte) ([]byte, error) {
 	var request committedRequest
 	if _, err := decode(payload, &request, 0); err != nil {
@@ -96,10 +96,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return encode(committedAnswer{Index: index}), nil
+	return encode(committedResponse{Index: index}), nil
 }
 
-// Replicas lists the addresses of a shard's voters, if this node holds a
+// Replicas returns the addresses of a shard's voters, or nil if this node holds no
 // replica of it.
 func (s *Service) Replicas(id ledger.ShardID) []transport.Address {
 	shard, found := s.local(id)
@@ -119,23 +119,24 @@
 	return addresses
 }
 
-// rounds lets many readers share a question to the leader: each gets the answer
-// to one that was asked after it came. The zero value is ready.
-type rounds struct {
-	mutex   sync.Mutex // guards what is below; a leaf
-	next    *round
+// readIndexBatcher shares read index requests between readers. Each reader gets
+// the result of a request that began after it called wait. The zero value is
+// ready to use.
+type readIndexBatcher struct {
+	mutex   sync.Mutex // leaf lock; guards the fields below
+	next    *readIndexBatch
 	running bool
 }
 
-type round struct {
+type readIndexBatch struct {
 	done  chan struct{}
 	index uint64
 	err   error
 }
 
-// wait returns what ask answers to a question that begins after the call.
-func (r *rounds) wait(ctx context.Context, ask func() (uint64, error)) (uint64, error) {
-	joined := r.join(ask)
+// wait returns the result of a fetch that begins after the call.
+func (r *readIndexBatcher) wait(ctx context.Context, fetch func() (uint64, error)) (uint64, error) {
+	joined := r.join(fetch)
 	select {
 	case <-joined.done:
 		return joined.index, joined.err
@@ -144,37 +145,37 @@
 	}
 }
 
-func (r *rounds) join(ask func() (uint64, error)) *round {
+func (r *readIndexBatcher) join(fetch func() (uint64, error)) *readIndexBatch {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.next == nil {
-		r.next = &round{done: make(chan struct{})}
+		r.next = &readIndexBatch{done: make(chan struct{})}
 	}
 	if !r.running {
 		r.running = true
-		go r.run(ask)
+		go r.run(fetch)
 	}
 	return r.next
 }
 
-// run asks until nobody waits. It ends by itself, as ask is bounded.
-func (r *rounds) run(ask func() (uint64, error)) {
+// run fetches until no reader waits. It terminates because fetch has a timeout.
+func (r *readIndexBatcher) run(fetch func() (uint64, error)) {
 	for {
-		now, found := r.take()
+		batch, found := r.take()
 		if !found {
 			return
 		}
-		now.index, now.err = ask()
-		close(now.done)
-		time.Sleep(roundPause)
+		batch.index, batch.err = fetch()
+		close(batch.done)
+		time.Sleep(minReadIndexInterval)
 	}
 }
 
-func (r *rounds) take() (*round, bool) {
+func (r *readIndexBatcher) take() (*readIndexBatch, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	now := r.next
+	batch := r.next
 	r.next = nil
-	r.running = now != nil
-	return now, now != nil
+	r.running = batch != nil
+	return batch, batch != nil
 }
--- a/internal/ledger/replica/followerread_test.go
+++ b/internal/ledger/replica/followerread_test.go
@@ -15,23 +15,24 @@
 	"chutelock.dev/chutelock/internal/ledger"
 )
 
-// TestAFollowerReadsAllThatWasCommittedBefore reads each entry at every node,
-// right after it was answered.
-func TestAFollowerReadsAllThatWasCommittedBefore(t *testing.T) {
+// Guards against stale follower reads: each entry is readable at every node as soon
+// as its proposal returns.
+func TestFollowerReadSeesEarlierCommits(t *testing.T) {
 	c := newCluster(t, Options{})
 	c.addAll("a", "b", "c")
-	c.settled(0, 3)
+	c.waitForReplicas(0, 3)
 	for i := range 50 {
 		entry := fmt.Sprintf("entry%05d", i)
 		c.propose(0, entry)
 		for _, n := range c.nodes {
-			c.g.Expect(followerSees(n, entry)).To(gomega.BeTrue(), "%s at %s", entry, n.name)
+			c.g.Expect(followerHasEntry(n, entry)).To(gomega.BeTrue(), "%s at %s", entry, n.name)
 		}
 	}
 }
 
-// followerSees tries until the node answers, and says whether it has the entry.
-func followerSees(n *node, entry string) (bool, error) {
+// followerHasEntry retries a follower read until it succeeds and reports whether the
+// node has the entry.
+func followerHasEntry(n *node, entry string) (bool, error) {
 	shard, _ := n.service.Local(0)
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
@@ -48,19 +49,18 @@
 	}
 }
 
-// TestAFollowerWaitsUntilItHasAppliedTheIndex holds a read back until the next
-// entry is applied.
-func TestAFollowerWaitsUntilItHasAppliedTheIndex(t *testing.T) {
+// Guards against reads that run before their index is applied.
+func TestFollowerReadWaitsForAppliedIndex(t *testing.T) {
 	c := newCluster(t, Options{})
 	c.addAll("a", "b", "c")
-	c.settled(0, 3)
+	c.waitForReplicas(0, 3)
 	c.propose(0, "first")
 	leader := c.leader(0)
 	for _, n := range c.nodes {
 		if n == leader {
 			continue
 		}
-		c.g.Expect(followerSees(n, "first")).To(gomega.BeTrue())
+		c.g.Expect(followerHasEntry(n, "first")).To(gomega.BeTrue())
 		shard, _ := n.service.local(0)
 		marker, err := shard.disk.Snapshot()
 		c.g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -74,12 +74,11 @@
 	}
 }
 
-// TestAFollowerThatIsCutOffAnswersNoRead cuts a follower off: what it has may
-// be old, so that it may not answer.
-func TestAFollowerThatIsCutOffAnswersNoRead(t *testing.T) {
+// Guards against stale reads at a follower that can't reach its leader.
+func TestPartitionedFollowerRejectsReads(t *testing.T) {
 	c := newCluster(t, Options{ReplaceAfter: time.Hour})
 	c.addAll("a", "b", "c")
-	c.settled(0, 3)
+	c.waitForReplicas(0, 3)
 	c.propose(0, "old")
 	leader := c.leader(0)
 	var follower *node
@@ -88,26 +87,26 @@
 			follower = n
 		}
 	}
-	follower.cut.Store(true)
+	follower.partitioned.Store(true)
 	shard, _ := follower.service.Local(0)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	err := shard.FollowerRead(ctx, func(ledger.Reader) error { return nil })
 	c.g.Expect(errors.Is(err, ledger.ErrUnavailable)).To(gomega.BeTrue(), "%v", err)
-	follower.cut.Store(false)
+	follower.partitioned.Store(false)
 	c.propose(0, "new")
-	c.g.Expect(followerSees(follower, "new")).To(gomega.BeTrue())
+	c.g.Expect(followerHasEntry(follower, "new")).To(gomega.BeTrue())
 }
 
-// TestReadersShareQuestionsThatBeginAfterThem counts questions in virtual time:
-// each reader's answer is of a question that began after the reader came.
-func TestReadersShareQuestionsThatBeginAfterThem(t *testing.T) {
+// Guards against a reader getting the result of a fetch that began before it called
+// wait, and against one fetch per reader.
+func TestReadIndexBatcherSharesLaterFetch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		var r rounds
-		var asked atomic.Uint64
-		ask := func() (uint64, error) {
-			began := asked.Add(1)
+		var r readIndexBatcher
+		var fetches atomic.Uint64
+		fetch := func() (uint64, error) {
+			began := fetches.Add(1)
 			time.Sleep(3 * time.Millisecond)
 			return began, nil
 		}
@@ -115,14 +114,14 @@
 		for i := range 200 {
 			readers.Go(func() {
 				time.Sleep(time.Duration(i) * time.Millisecond)
-				before := asked.Load()
-				index, err := r.wait(context.Background(), ask)
+				before := fetches.Load()
+				index, err := r.wait(context.Background(), fetch)
 				g.Expect(err).NotTo(gomega.HaveOccurred())
 				g.Expect(index).To(gomega.BeNumerically(">", before))
 			})
 		}
 		readers.Wait()
-		g.Expect(asked.Load()).To(gomega.BeNumerically("<=", 200/13+2))
-		time.Sleep(time.Second) // the goroutine that asks ends by itself
+		g.Expect(fetches.Load()).To(gomega.BeNumerically("<=", 200/13+2))
+		time.Sleep(time.Second) // lets the fetching goroutine end
 	})
 }
--- a/internal/ledger/replica/messages.go
+++ b/internal/ledger/replica/messages.go
@@ -11,82 +11,82 @@
 	"chutelock.dev/chutelock/internal/wire"
 )
 
-// Kinds of messages between the nodes' ledgers.
+// Message kinds.
 const (
-	kindFrame    = transport.KindLedger + iota // messages of replicas, one way
-	kindAnnounce                               // a new leader, one way
-	kindDescribe                               // call: which identity and load a node has
-	kindJoin                                   // call: hold an empty replica
+	kindFrame    = transport.KindLedger + iota // one-way: protocol messages of replicas
+	kindAnnounce                               // one-way: a new leader
+	kindDescribe                               // call: a node's replica ID and load
+	kindJoin                                   // call: start an empty replica
 	kindLeave                                  // call: destroy a removed replica
 	kindSnapshotOpen
 	kindSnapshotChunk
-	kindDirectory // call: all leaders known
-	kindMember    // call: is a replica still a member?
-	kindCommitted // call: an index that covers all that is committed
-	kindPlaced    // call: does a node hold a replica, and how many others are sound?
+	kindDirectory // call: all known leaders
+	kindMember    // call: whether a replica is a member
+	kindCommitted // call: an index that covers all committed entries
+	kindPlaced    // call: whether a node holds a replica, and the number of other healthy voters
 )
 
-// messageVersion is the version of all messages below.
+// messageVersion is the wire version of all messages of this package.
 const messageVersion = 1
 
-// fixedFrame heads a frame; each field is one replication.Message.
+// fixedFrame is the fixed part of a frame; each field is one replication.Message.
 type fixedFrame struct{}
 
-// describeRequest asks for a node's identity at a shard.
+// describeRequest asks for a node's replica ID in a shard.
 type describeRequest struct {
 	Shard ledger.ShardID
 }
 
-// describeAnswer tells it, and how many replicas the node holds.
-type describeAnswer struct {
+// describeResponse has the node's replica ID and the number of replicas it holds.
+type describeResponse struct {
 	Replica  replication.ReplicaID
 	Holds    bool // the node runs a replica of the shard
 	Replicas uint32
 }
 
-// joinRequest asks a node to hold an empty replica; the answer is a
-// describeAnswer.
+// joinRequest asks a node to start an empty replica; the response is a
+// describeResponse.
 type joinRequest struct {
 	Shard ledger.ShardID
 }
 
-// memberRequest asks a leader whether a replica is a member. leaveRequest has
-// the same form and tells a replica that it is none.
+// memberRequest asks a leader whether a replica is a member (kindMember), or tells
+// a node that its replica was removed (kindLeave).
 type memberRequest struct {
 	Shard   ledger.ShardID
 	Replica replication.ReplicaID
 }
 
-type memberAnswer struct {
+type memberResponse struct {
 	Member bool
 }
 
-// committedRequest asks a leader for an index that covers all that is committed.
+// committedRequest asks a leader for an index that covers all committed entries.
 type committedRequest struct {
 	Shard ledger.ShardID
 }
 
-type committedAnswer struct {
+type committedResponse struct {
 	Index uint64
 }
 
-// placedRequest asks a leader about the node in its field.
+// placedRequest asks a leader whether the node named in its field holds a replica.
 type placedRequest struct {
 	Shard ledger.ShardID
 }
 
-type placedAnswer struct {
-	Holds bool
-	Sound uint32
+type placedResponse struct {
+	Holds         bool
+	HealthyVoters uint32
 }
 
 type snapshotOpenRequest struct {
 	Shard   ledger.ShardID
-	Replica replication.ReplicaID // of the receiver
+	Replica replication.ReplicaID // the receiver's ID
 }
 
-// snapshotOpenAnswer has one field: the marker.
-type snapshotOpenAnswer struct {
+// snapshotOpenResponse has one field: the snapshot marker.
+type snapshotOpenResponse struct {
 	Session uint64
 }
 
@@ -95,25 +95,25 @@
 	Session uint64
 }
 
-// leaderRecord is one entry of a directory; its field is the leader's address.
+// leaderRecord is a directory entry; its field is the leader's address.
 type leaderRecord struct {
 	Shard ledger.ShardID
 	Term  uint64
 }
 
-// directoryRequest carries a digest of the asker's directory; the answer is
-// empty when the digests are equal, else each field is a leaderRecord.
+// directoryRequest has the digest of the requester's directory. The response is
+// empty if the digests are equal; otherwise each field is a leaderRecord.
 type directoryRequest struct {
 	Digest uint64
 }
 
-type directoryAnswer struct{}
+type directoryResponse struct{}
 
 // encode marshals a message of this package.
 func encode(fixed any, fields ...[]byte) []byte {
 	encoded, err := wire.Marshal(messageVersion, fixed, fields...)
 	if err != nil {
-		panic(err) // all of them are of fixed size by declaration
+		panic(err) // unreachable: all messages have a fixed size
 	}
 	return encoded
 }
@@ -123,7 +123,7 @@
 	return decoded, trace.Wrap(err)
 }
 
-// decodeFrame returns the messages of a frame; it fails as a whole.
+// decodeFrame returns the messages of a frame; one invalid message fails the frame.
 func decodeFrame(frame []byte) ([]replication.Message, error) {
 	fields, err := decode(frame, &fixedFrame{}, -1)
 	if err != nil {
@@ -140,8 +140,8 @@
 	return messages, nil
 }
 
-// Entries of the log that carry data begin with a byte that says what they are.
+// The first byte of a log entry's data is its type.
 const (
-	entryUser   = 0 // for the state machine
+	entryUser   = 0 // an entry for the state machine
 	entryRoster = 1 // a storage.RosterEntry
 )
--- a/internal/ledger/replica/metrics.go
+++ b/internal/ledger/replica/metrics.go
@@ -10,11 +10,12 @@
 	noQuorum      prometheus.Gauge
 	zoneExposed   prometheus.Gauge
 	diskBytes     prometheus.Gauge
-	voters        *prometheus.GaugeVec // of regions' shards, at their leaders
+	voters        *prometheus.GaugeVec // by region, set at the leader of its shard
 }
 
-// noteRegional takes the number of voters of a region's shard.
-func (m *metrics) noteRegional(shard *Shard) {
+// updateRegionVoters sets the voter count of a regional shard, or removes it if this
+// node doesn't lead the shard.
+func (m *metrics) updateRegionVoters(shard *Shard) {
 	if !shard.id.Regional() {
 		return
 	}
--- a/internal/ledger/replica/offer_test.go
+++ b/internal/ledger/replica/offer_test.go
@@ -9,18 +9,19 @@
 	"chutelock.dev/chutelock/internal/membership"
 )
 
-// A node that never answers must not hold the replacement of a replica up.
-func TestTheBestOfThoseWhoAnswerIsChosen(t *testing.T) {
+// Guards against an unresponsive node delaying a replica's replacement.
+func TestBestOfferIgnoresUnresponsiveNode(t *testing.T) {
 	g := gomega.NewWithT(t)
 	offers := make(chan offer, 3)
 	offers <- offer{member: membership.Member{Name: "busy"}, replicas: 3}
 	offers <- offer{member: membership.Member{Name: "idle"}, replicas: 1}
-	chosen, err := bestOffer(offers, 3) // the third never comes
+	chosen, err := bestOffer(offers, 3) // the third offer never arrives
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(chosen.Name).To(gomega.Equal("idle"))
 }
 
-func TestWithoutAnyOfferTheReasonIsSaid(t *testing.T) {
+// Guards against hiding why no candidate made an offer.
+func TestBestOfferReturnsCallError(t *testing.T) {
 	g := gomega.NewWithT(t)
 	offers := make(chan offer, 2)
 	offers <- offer{member: membership.Member{Name: "a"}, err: errors.New("unreachable")}
--- a/internal/ledger/replica/operator.go
+++ b/internal/ledger/replica/operator.go
@@ -5,10 +5,10 @@
 	"net/http"
 )
 
-// PathLedger is where the operator port tells the ledger's status.
+// PathLedger is the path of the ledger's status on the operator port.
 const PathLedger = "/operator/ledger"
 
-// ServeStatus answers with Status as JSON.
+// ServeStatus writes Status as JSON.
 func (s *Service) ServeStatus(writer http.ResponseWriter, _ *http.Request) {
 	writer.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(writer).Encode(s.Status())
--- a/internal/ledger/replica/options.go
+++ b/internal/ledger/replica/options.go
@@ -28,60 +28,61 @@
 	defaultNoQuorumAfter          = 10 * time.Second
 )
 
-// Options of a node's ledger. The zero values of durations and sizes take the
+// Options configures a node's ledger. Zero durations and sizes select the
 // defaults.
 type Options struct {
 	Sender   transport.Sender
 	Receiver transport.Receiver
 	Members  membership.Source
-	// Store holds the shard directory; nil means that shards must exist already.
+	// Store holds the shard directory; if nil, all shards must already exist.
 	Store platform.Store
-	// Folder is the ledger's folder; empty means that this node keeps no
-	// replica and only finds leaders.
+	// Folder is the ledger's directory on disk. A node with an empty Folder holds
+	// no replicas and only locates leaders.
 	Folder string
-	// FS is the folder's file system; nil means the machine's.
+	// FS is the file system of Folder; nil means the operating system's.
 	FS vfs.FS
-	// Reserve is the free disk space below which nothing is accepted.
+	// Reserve is the free disk space in bytes below which writes are refused.
 	Reserve uint64
-	// Scarce is the free disk space below which Scarce says so; 0 means Reserve.
+	// Scarce is the free disk space in bytes below which Service.Scarce returns
+	// true; 0 means Reserve.
 	Scarce uint64
-	// DiskBytes is the size of the disk; 0 means large.
+	// DiskBytes is the size of the disk; 0 means that it is unknown and large.
 	DiskBytes uint64
-	// Shards and Copies are the same on all nodes. Shards can't be changed
-	// once the ledger exists.
+	// Shards and Copies must be equal on all nodes. Shards can't change once the
+	// ledger exists.
 	Shards int
 	Copies int
-	// ZoneLosses is how many zones may be lost at once, 0 or 1: no zone holds so many
-	// of a shard's replicas that the rest is no majority, where there are three zones.
+	// ZoneLosses is the number of simultaneous zone losses to tolerate, 0 or 1. With
+	// 1 and at least three zones, no zone holds a majority of a shard's replicas.
 	ZoneLosses int
-	// Regions are those that may get a shard of their own, whose replicas lie only on
-	// nodes of the region; see Service.Need. LeastCopies is the least number of its
-	// replicas: a region with fewer data nodes gets none.
+	// Regions lists the regions that may have their own shard, whose replicas stay
+	// on nodes of the region; see Service.Need. LeastCopies is the minimum number of
+	// its replicas; a region with fewer data nodes gets no shard.
 	Regions     []string
 	LeastCopies int
-	// NewMachine makes the state machine of a shard.
+	// NewMachine returns the state machine of a shard.
 	NewMachine func(ledger.ShardID) ledger.StateMachine
-	// Registry takes the metrics; nil means none.
+	// Registry registers the metrics; nil disables them.
 	Registry prometheus.Registerer
 
-	// ReplaceAfter is how long a replica is silent before it is replaced.
+	// ReplaceAfter is how long a replica must be silent before it is replaced.
 	ReplaceAfter time.Duration
-	// BootstrapWait is how long the number of data nodes must have stood
-	// still before shards are placed on fewer than Copies.
+	// BootstrapWait is how long the number of data nodes must be stable before
+	// shards are placed on fewer than Copies nodes.
 	BootstrapWait time.Duration
-	// SnapshotBytesPerSecond bounds what this node sends as snapshots.
+	// SnapshotBytesPerSecond limits the rate at which this node sends snapshots.
 	SnapshotBytesPerSecond int
-	// RetainBytes is how much of a shard's log is kept for slow followers.
+	// RetainBytes is the log size that each shard keeps for slow followers.
 	RetainBytes       uint64
 	ElectionTimeout   time.Duration
 	HeartbeatInterval time.Duration
 	TickInterval      time.Duration
 	DirectoryInterval time.Duration
 	RepairInterval    time.Duration
-	// ReplaceLeaving also moves replicas off the nodes that membership says are
-	// leaving, for good: their disks go with them.
+	// ReplaceLeaving also replaces replicas on nodes that are leaving the
+	// membership, since their disks are lost with them.
 	ReplaceLeaving bool
-	// NoQuorumAfter is how long a shard has no leader before that is an event.
+	// NoQuorumAfter is how long a shard must be without a leader before it is reported.
 	NoQuorumAfter time.Duration
 }
 
@@ -101,7 +102,9 @@
 	return o
 }
 
-func (o Options) aim() aim { return aim{copies: o.Copies, zoneLosses: o.ZoneLosses} }
+func (o Options) placementPolicy() placementPolicy {
+	return placementPolicy{copies: o.Copies, zoneLosses: o.ZoneLosses}
+}
 
 func setDefault[T comparable](value *T, byDefault T) {
 	var zero T
@@ -117,9 +120,9 @@
 	case o.Folder != "" && o.NewMachine == nil:
 		return trace.BadParameter("a node with a ledger folder needs a state machine")
 	case o.ZoneLosses < 0 || o.ZoneLosses > 1:
-		return trace.BadParameter("the ledger bears the loss of one zone at most, not of %d", o.ZoneLosses)
-	case hasDoubles(o.Regions):
-		return trace.BadParameter("two of the regions %v are not told apart by the ledger; rename one", o.Regions)
+		return trace.BadParameter("zone losses must be 0 or 1, not %d", o.ZoneLosses)
+	case hasShardCollision(o.Regions):
+		return trace.BadParameter("two of the regions %v map to the same shard ID; rename one", o.Regions)
 	case o.Copies%2 == 0:
 		return trace.BadParameter("the number of copies must be odd, not %d", o.Copies)
 	}
--- a/internal/ledger/replica/outbox.go
+++ b/internal/ledger/replica/outbox.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// lazyFlush is how long heartbeats wait for those of other shards to the
-	// same node.
-	lazyFlush = 10 * time.Millisecond
-	// frameBytes bounds a frame of several messages.
-	frameBytes = 4 << 20
+	// maxHeartbeatDelay is how long a heartbeat waits to share a frame with those
+	// of other shards.
+	maxHeartbeatDelay = 10 * time.Millisecond
+	// maxFrameBytes limits a frame that has more than one message.
+	maxFrameBytes = 4 << 20
 )
 
-// outbox gathers the messages of all shards to each peer, and sends what has
-// gathered as one frame. Urgent messages go as soon as the sender goroutine
-// gets to them; heartbeats wait up to lazyFlush.
+// outbox batches the messages of all shards into frames per peer. Urgent messages
+// are sent as soon as the sender goroutine runs; lazy ones, the heartbeats, wait up
+// to maxHeartbeatDelay.
 type outbox struct {
 	sender transport.Sender
 
 	mutex   sync.Mutex
-	waiting map[transport.Address][][]byte
-	urgent  chan struct{} // of capacity 1: something waits that is to go at once
-	lazy    chan struct{} // of capacity 1: something else waits
+	pending map[transport.Address][][]byte
+	urgent  chan struct{} // capacity 1; signals a pending urgent message
+	lazy    chan struct{} // capacity 1; signals a pending lazy message
 	stop    chan struct{}
 	stopped sync.WaitGroup
 }
@@ -32,7 +32,7 @@
 func newOutbox(sender transport.Sender) *outbox {
 	return &outbox{
 		sender:  sender,
-		waiting: map[transport.Address][][]byte{},
+		pending: map[transport.Address][][]byte{},
 		urgent:  make(chan struct{}, 1),
 		lazy:    make(chan struct{}, 1),
 		stop:    make(chan struct{}),
@@ -51,7 +51,7 @@
 
 func (o *outbox) add(to transport.Address, message []byte, lazy bool) {
 	o.mutex.Lock()
-	o.waiting[to] = append(o.waiting[to], message)
+	o.pending[to] = append(o.pending[to], message)
 	o.mutex.Unlock()
 	signal := o.urgent
 	if lazy {
@@ -63,15 +63,15 @@
 	}
 }
 
-// run sends what waits. It sleeps while nothing does: most nodes of a large fleet keep no
-// replica, and have nothing to send.
+// run sends pending messages. It blocks while there are none, since most nodes of
+// a large fleet hold no replica.
 func (o *outbox) run() {
 	defer o.stopped.Done()
 	for {
 		select {
 		case <-o.urgent:
 		case <-o.lazy:
-			o.gather()
+			o.waitForBatch()
 		case <-o.stop:
 			o.flush()
 			return
@@ -80,9 +80,9 @@
 	}
 }
 
-// gather waits until lazyFlush has passed, or something urgent comes.
-func (o *outbox) gather() {
-	timer := time.NewTimer(lazyFlush)
+// waitForBatch waits for maxHeartbeatDelay or until an urgent message is pending.
+func (o *outbox) waitForBatch() {
+	timer := time.NewTimer(maxHeartbeatDelay)
 	defer timer.Stop()
 	select {
 	case <-o.urgent:
@@ -97,22 +97,22 @@
 	}
 }
 
-// take returns what waits, and leaves nothing.
+// take removes and returns all pending messages.
 func (o *outbox) take() map[transport.Address][][]byte {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	if len(o.waiting) == 0 {
+	if len(o.pending) == 0 {
 		return nil
 	}
-	waiting := o.waiting
-	o.waiting = make(map[transport.Address][][]byte, len(waiting))
+	waiting := o.pending
+	o.pending = make(map[transport.Address][][]byte, len(waiting))
 	return waiting
 }
 
 func (o *outbox) sendFrames(to transport.Address, messages [][]byte) {
 	start, size := 0, 0
 	for i, message := range messages {
-		if size+len(message) > frameBytes && i > start {
+		if size+len(message) > maxFrameBytes && i > start {
 			o.sender.Send(to, kindFrame, encode(fixedFrame{}, messages[start:i]...))
 			start, size = i, 0
 		}
--- a/internal/ledger/replica/peers.go
+++ b/internal/ledger/replica/peers.go
@@ -10,7 +10,7 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// findMember looks a node up by its name; members are ordered by name.
+// findMember returns the member with a name; view.Members is sorted by name.
 func findMember(view *membership.View, name string) (membership.Member, bool) {
 	at := sort.Search(len(view.Members), func(i int) bool { return view.Members[i].Name >= name })
 	if at == len(view.Members) || view.Members[at].Name != name {
@@ -19,7 +19,7 @@
 	return view.Members[at], true
 }
 
-// dataMembers lists the living nodes that keep replicas, this one included.
+// dataMembers returns the live nodes that can hold replicas, including this one.
 func dataMembers(view *membership.View, self membership.Member) []membership.Member {
 	var members []membership.Member
 	seen := false
@@ -37,12 +37,12 @@
 	return members
 }
 
-// addressOf finds where a replica's node is now: by membership, else where
-// the roster saw it last. The caller holds the mutex.
+// addressOf returns the address of a replica's node from membership, or else the
+// last one in the roster. The caller holds the mutex.
 func (s *Shard) addressOf(id replication.ReplicaID) (transport.Address, bool) {
 	entry, known := s.roster[id]
 	if !known {
-		address, heard := s.heard[id]
+		address, heard := s.learnedAddresses[id]
 		return address, heard
 	}
 	if member, found := findMember(s.service.options.Members.View(), entry.Node); found && member.Address != "" {
@@ -51,7 +51,7 @@
 	return entry.Address, entry.Address != ""
 }
 
-// describeMembers lists the members for an operator; the caller holds the mutex.
+// describeMembers formats the members for an operator; the caller holds the mutex.
 func (s *Shard) describeMembers() string {
 	configuration := s.core.Status().Configuration
 	parts := make([]string, 0, len(configuration.Members()))
--- a/internal/ledger/replica/placement.go
+++ b/internal/ledger/replica/placement.go
@@ -8,7 +8,7 @@
 	"chutelock.dev/chutelock/internal/ledger/replication"
 )
 
-// site is a node that can hold replicas.
+// site is a node that can hold replicas, with its zone.
 type site struct {
 	node string
 	zone string
@@ -22,32 +22,32 @@
 	return n - 1 + n%2
 }
 
-// aim is what replica sets are to bear.
-type aim struct {
+// placementPolicy is the size and fault tolerance wanted for replica sets.
+type placementPolicy struct {
 	copies int
-	// zoneLosses is how many zones may be lost at once, 0 or 1: no zone holds so many
-	// voters that the rest is no majority.
+	// zoneLosses is the number of simultaneous zone losses to tolerate, 0 or 1. With
+	// 1, no zone holds a majority of the voters.
 	zoneLosses int
 }
 
-// mostInZone is how many of so many replicas a zone may hold.
-func (a aim) mostInZone(replicas int) int {
-	if a.zoneLosses == 0 {
+// maxPerZone returns the maximum number of a set's replicas in one zone.
+func (p placementPolicy) maxPerZone(replicas int) int {
+	if p.zoneLosses == 0 {
 		return replicas
 	}
 	return (replicas - 1) / 2
 }
 
-// replicas is the largest odd number of replicas, copies at most, that the sites can
-// hold so that they bear what they are to. Fewer than three zones can't bear the loss
-// of one, whatever is placed where: then only disks count.
-func (a aim) replicas(sites []site) int {
-	most := min(a.copies, oddAtMost(len(sites)))
+// replicaCount returns the largest odd number of replicas, at most copies, that the
+// sites can hold within maxPerZone. If no such set of three or more exists, as with
+// fewer than three zones, it ignores zones.
+func (p placementPolicy) replicaCount(sites []site) int {
+	most := min(p.copies, oddAtMost(len(sites)))
 	zones := zoneCounts(sites)
 	for n := most; n >= 3; n -= 2 {
 		places := 0
 		for _, count := range zones {
-			places += min(count, a.mostInZone(n))
+			places += min(count, p.maxPerZone(n))
 		}
 		if places >= n {
 			return n
@@ -56,10 +56,10 @@
 	return most
 }
 
-// placeShards chooses the sites of each shard's first replicas: spread over
-// zones first, then over the nodes with the fewest replicas.
-func placeShards(shards int, sites []site, aim aim) [][]site {
-	copies := aim.replicas(sites)
+// placeShards chooses the sites of each shard's initial replicas, balancing zones
+// first and then the number of replicas per node.
+func placeShards(shards int, sites []site, policy placementPolicy) [][]site {
+	copies := policy.replicaCount(sites)
 	load := map[string]int{}
 	placed := make([][]site, shards)
 	for shard := range placed {
@@ -72,14 +72,14 @@
 	return placed
 }
 
-// bestSite picks, among the sites not taken, one in the zone with the fewest
-// taken, with the least load, and the first by name.
+// bestSite returns the free site in the zone with the fewest taken sites, then
+// with the least load, then first by name.
 func bestSite(sites, taken []site, load map[string]int) site {
-	crowd := zoneCounts(taken)
+	perZone := zoneCounts(taken)
 	free := slices.DeleteFunc(slices.Clone(sites), func(s site) bool { return slices.Contains(taken, s) })
 	return slices.MinFunc(free, func(a, b site) int {
-		if crowd[a.zone] != crowd[b.zone] {
-			return crowd[a.zone] - crowd[b.zone]
+		if perZone[a.zone] != perZone[b.zone] {
+			return perZone[a.zone] - perZone[b.zone]
 		}
 		if load[a.node] != load[b.node] {
 			return load[a.node] - load[b.node]
@@ -102,164 +102,166 @@
 	site    site
 	voter   bool
 	leader  bool
-	// superseded: the node has come back with another disk.
+	// superseded is set if the node came back with another disk.
 	superseded bool
-	// lost: silent for longer than the bound, or superseded.
+	// lost is set if the replica needs replacement: silent for ReplaceAfter,
+	// superseded, leaving or in the wrong region.
 	lost bool
-	// gone: lost, and not waited for; its zone may not come back.
-	gone bool
+	// presumedDead is set if the replica is lost and not expected to return.
+	presumedDead bool
 }
 
-// repairPlan is what a leader aims at.
+// repairPlan is the replica set that a leader works towards.
 type repairPlan struct {
-	// wanted are the present members that shall stay.
+	// wanted lists the current members to keep.
 	wanted []replication.ReplicaID
-	// join are the sites of which one shall get a new replica; empty when
+	// candidates lists the sites of which one gets a new replica; it is empty if
 	// none is needed or possible.
-	join []site
+	candidates []site
 }
 
-// outlivesAZone says whether a majority of the voters is there after the loss of any
-// zone.
-func outlivesAZone(voters []member) bool {
-	sound := slices.DeleteFunc(slices.Clone(voters), func(m member) bool { return m.lost })
-	for _, inZone := range zoneCounts(sitesOf(sound)) {
-		if len(sound)-inZone < len(voters)/2+1 {
+// survivesZoneLoss reports whether the healthy voters remain a majority after the
+// loss of any one zone.
+func survivesZoneLoss(voters []member) bool {
+	healthy := slices.DeleteFunc(slices.Clone(voters), func(m member) bool { return m.lost })
+	for _, inZone := range zoneCounts(sitesOf(healthy)) {
+		if len(healthy)-inZone < len(voters)/2+1 {
 			return false
 		}
 	}
-	return len(sound) > 0
+	return len(healthy) > 0
 }
 
-// planRepair decides which members stay and where a new one is needed. It
-// never gives up a lost voter before another can take its place, so that the
-// number of voters doesn't fall.
+// planRepair decides which members to keep and where to add one. It keeps a lost
+// voter until a replacement is available, so the number of voters doesn't drop.
 //
-// While a zone is away the others get no more replicas than they may hold: a lost
-// voter stays, which has its disk still if only the power is lost, and the set bears
-// the loss of a zone as soon as that is back. One that is gone for long is replaced
-// wherever there is room, as disks fail more often than second zones.
-func planRepair(members []member, sites []site, aim aim) repairPlan {
+// While a zone is unavailable, other zones don't exceed maxPerZone: the lost voters
+// stay, since their disks may be intact, and zone tolerance returns with the zone.
+// A voter that is presumed dead is replaced in any zone, because disk failures are
+// more likely than the loss of a second zone.
+func planRepair(members []member, sites []site, policy placementPolicy) repairPlan {
 	kept := slices.DeleteFunc(slices.Clone(members), func(m member) bool { return m.lost })
 	free := freeSites(members, sites)
-	// An even number of voters is a replacement under way, not a size to keep.
-	target := max(aim.replicas(append(sitesOf(kept), free...)), min(aim.copies, oddAtMost(countVoters(members))))
+	// An even number of voters means that a replacement is in progress.
+	target := max(policy.replicaCount(append(sitesOf(kept), free...)), min(policy.copies, oddAtMost(countVoters(members))))
 	lost := slices.ContainsFunc(members, func(m member) bool { return m.voter && m.lost })
 	if lost {
-		kept = withoutSpareLearners(kept, target)
+		kept = dropSurplusLearners(kept, target)
 	}
-	var join []site
+	var candidates []site
 	switch {
 	case len(kept) < target:
-		join = leastCrowded(free, sitesOf(kept))
-		if len(join) > 0 && zoneCounts(sitesOf(kept))[join[0].zone] >= aim.mostInZone(target) && mayWait(members, sites) {
-			join = nil
+		candidates = sitesInEmptiestZone(free, sitesOf(kept))
+		if len(candidates) > 0 && zoneCounts(sitesOf(kept))[candidates[0].zone] >= policy.maxPerZone(target) && zoneMayReturn(members, sites) {
+			candidates = nil
 		}
 	case len(kept) == target && !lost:
-		join = betterSpread(free, sitesOf(kept))
+		candidates = sitesImprovingSpread(free, sitesOf(kept))
 	}
 	for len(kept) > target {
-		at := mostDispensable(kept)
+		at := removalCandidate(kept)
 		kept = slices.Delete(kept, at, at+1)
 	}
-	wanted := append(replicasOf(kept), stillWanted(members, sites, target-len(kept))...)
+	wanted := append(replicasOf(kept), lostVotersToKeep(members, sites, target-len(kept))...)
 	slices.Sort(wanted)
-	return repairPlan{wanted: wanted, join: join}
+	return repairPlan{wanted: wanted, candidates: candidates}
 }
 
-// withoutSpareLearners leaves learners only in places that no sound voter has: while a
-// lost voter is there, a learner more would make a sound voter the one too many.
-func withoutSpareLearners(kept []member, target int) []member {
-	spare := len(kept) - max(target, countVoters(kept))
+// dropSurplusLearners drops the learners that exceed target. While a lost voter
+// remains, a surplus learner would cause a healthy voter to be removed.
+func dropSurplusLearners(kept []member, target int) []member {
+	surplus := len(kept) - max(target, countVoters(kept))
 	return slices.DeleteFunc(kept, func(m member) bool {
-		spares := !m.voter && spare > 0
-		if spares {
-			spare--
+		drop := !m.voter && surplus > 0
+		if drop {
+			surplus--
 		}
-		return spares
+		return drop
 	})
 }
 
-// mayWait says that a voter is lost with its whole zone, and none is gone.
-func mayWait(members []member, sites []site) bool {
-	zones, wait := zoneCounts(sites), false
+// zoneMayReturn reports whether a voter is lost together with its whole zone and
+// no voter is presumed dead.
+func zoneMayReturn(members []member, sites []site) bool {
+	zones, mayReturn := zoneCounts(sites), false
 	for _, m := range members {
-		if m.voter && m.gone {
+		if m.voter && m.presumedDead {
 			return false
 		}
-		wait = wait || (m.voter && m.lost && zones[m.site.zone] == 0)
+		mayReturn = mayReturn || (m.voter && m.lost && zones[m.site.zone] == 0)
 	}
-	return wait
+	return mayReturn
 }
 
-// stillWanted are so many lost voters that nobody replaces yet: first those that may
-// come back with their disks, and of zones that are away, for which room is kept so.
-func stillWanted(members []member, sites []site, count int) []replication.ReplicaID {
+// lostVotersToKeep returns up to count lost voters that have no replacement yet,
+// preferring those most likely to return and those of unavailable zones.
+func lostVotersToKeep(members []member, sites []site, count int) []replication.ReplicaID {
 	present := zoneCounts(sites)
 	lost := slices.DeleteFunc(slices.Clone(members), func(m member) bool { return !m.lost || !m.voter })
 	slices.SortStableFunc(lost, func(a, b member) int {
-		return cmp.Or(cmp.Compare(a.hopeless(), b.hopeless()), cmp.Compare(present[a.site.zone], present[b.site.zone]))
+		return cmp.Or(cmp.Compare(a.recoveryRank(), b.recoveryRank()), cmp.Compare(present[a.site.zone], present[b.site.zone]))
 	})
 	return replicasOf(lost[:max(0, min(count, len(lost)))])
 }
 
-// hopeless orders lost members by how little they may be expected to come back.
-func (m member) hopeless() int {
+// recoveryRank orders lost members; a higher rank is less likely to return.
+func (m member) recoveryRank() int {
 	switch {
 	case m.superseded:
 		return 2
-	case m.gone:
+	case m.presumedDead:
 		return 1
 	}
 	return 0
 }
 
-// freeSites are those without a member, or with one whose disk is gone.
+// freeSites returns the sites that hold no member other than a superseded one.
 func freeSites(members []member, sites []site) []site {
 	return slices.DeleteFunc(slices.Clone(sites), func(s site) bool {
 		return slices.ContainsFunc(members, func(m member) bool { return m.site.node == s.node && !m.superseded })
 	})
 }
 
-// leastCrowded returns the free sites in the zone with the fewest taken ones.
-func leastCrowded(free, taken []site) []site {
-	crowd := zoneCounts(taken)
+// sitesInEmptiestZone returns the free sites in the zones with the fewest taken
+// sites.
+func sitesInEmptiestZone(free, taken []site) []site {
+	perZone := zoneCounts(taken)
 	fewest := len(taken) + 1
 	for _, s := range free {
-		fewest = min(fewest, crowd[s.zone])
+		fewest = min(fewest, perZone[s.zone])
 	}
-	return slices.DeleteFunc(slices.Clone(free), func(s site) bool { return crowd[s.zone] > fewest })
+	return slices.DeleteFunc(slices.Clone(free), func(s site) bool { return perZone[s.zone] > fewest })
 }
 
-// betterSpread returns free sites in a zone with at least two replicas fewer
-// than the fullest.
-func betterSpread(free, taken []site) []site {
-	crowd := zoneCounts(taken)
+// sitesImprovingSpread returns free sites in zones that have at least two replicas
+// fewer than the fullest zone.
+func sitesImprovingSpread(free, taken []site) []site {
+	perZone := zoneCounts(taken)
 	most := 0
-	for _, count := range crowd {
+	for _, count := range perZone {
 		most = max(most, count)
 	}
-	candidates := leastCrowded(free, taken)
-	if len(candidates) == 0 || crowd[candidates[0].zone]+2 > most {
+	candidates := sitesInEmptiestZone(free, taken)
+	if len(candidates) == 0 || perZone[candidates[0].zone]+2 > most {
 		return nil
 	}
 	return candidates
 }
 
-// mostDispensable returns the member to give up first: in the fullest zone,
-// never the leader.
-func mostDispensable(kept []member) int {
-	crowd := zoneCounts(sitesOf(kept))
-	best := -1
+// removalCandidate returns the index of the member to remove first: one in the
+// fullest zone, never the leader.
+func removalCandidate(kept []member) int {
+	perZone := zoneCounts(sitesOf(kept))
+	candidate := -1
 	for i, m := range kept {
 		if m.leader {
 			continue
 		}
-		if best < 0 || crowd[m.site.zone] > crowd[kept[best].site.zone] {
-			best = i
+		if candidate < 0 || perZone[m.site.zone] > perZone[kept[candidate].site.zone] {
+			candidate = i
 		}
 	}
-	return best
+	return candidate
 }
 
 func sitesOf(members []member) []site {
--- a/internal/ledger/replica/process.go
+++ b/internal/ledger/replica/process.go
@@ -8,17 +8,17 @@
 	"chutelock.dev/chutelock/internal/ledger/replication"
 )
 
-// schedule gives the shard to a worker, unless one has it; the caller holds
-// the mutex.
+// schedule submits the shard to the worker pool unless it is already scheduled;
+// the caller holds the mutex.
 func (s *Shard) schedule() {
-	if s.scheduled || s.enter() != nil {
+	if s.scheduled || s.acquireDisk() != nil {
 		return
 	}
 	s.scheduled = true
 	s.service.workers.Submit(s.process)
 }
 
-// process works until there is nothing left to do.
+// process handles Readys until there are none left.
 func (s *Shard) process() {
 	defer s.users.Done()
 	for {
@@ -26,7 +26,7 @@
 		if !more {
 			return
 		}
-		s.finish(ready, s.perform(ready))
+		s.advance(ready, s.persist(ready))
 	}
 }
 
@@ -42,9 +42,9 @@
 	return ready, true
 }
 
-// perform does the disk's part of a Ready, but for applying, and sends what
-// promised it. It runs without the mutex.
-func (s *Shard) perform(ready replication.Ready) error {
+// persist writes a Ready to disk and then sends the messages that depend on the
+// write. The caller must not hold the mutex.
+func (s *Shard) persist(ready replication.Ready) error {
 	if ready.Snapshot != nil {
 		if !s.awaitIdle() {
 			return nil
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// install replaces the state by the staged snapshot; entries that follow it
-// may come with the same Ready.
+// install replaces the state with the staged snapshot and saves the entries that
+// follow it in the same Ready.
 func (s *Shard) install(ready replication.Ready) error {
 	s.mutex.Lock()
 	staged := s.staged
@@ -88,8 +88,8 @@
 	return s.reload()
 }
 
-// finish advances the protocol, and hands committed entries on to be applied.
-func (s *Shard) finish(ready replication.Ready, err error) {
+// advance advances the protocol and queues committed entries to be applied.
+func (s *Shard) advance(ready replication.Ready, err error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if err != nil {
@@ -97,14 +97,14 @@
 		return
 	}
 	if ready.Snapshot != nil {
-		s.answerSkipped(ready.Snapshot.Index)
+		s.failSkipped(ready.Snapshot.Index)
 	}
 	s.core.Advance()
 	s.queueApply(ready.CommittedEntries)
-	s.takeReadStates(ready.ReadStates)
+	s.handleReadStates(ready.ReadStates)
 	s.answerReads()
 	if ready.SoftState != nil {
-		s.takeSoftState(*ready.SoftState)
+		s.handleSoftState(*ready.SoftState)
 	}
 }
 
@@ -115,58 +115,59 @@
 	}
 	delete(s.waiters, applied.index)
 	if waiter.term != applied.term {
-		waiter.done <- outcome{err: s.notLeader()} // another entry took its place for good
+		waiter.done <- outcome{err: s.notLeader()} // overwritten by another leader's entry
 		return
 	}
 	waiter.done <- outcome{answer: applied.answer}
 }
 
-// answerSkipped answers proposals whose entries a snapshot may include.
-func (s *Shard) answerSkipped(index uint64) {
+// failSkipped fails proposals at or below a snapshot's index with
+// ErrUnknownOutcome, since the snapshot may include their entries.
+func (s *Shard) failSkipped(index uint64) {
 	for at, waiter := range s.waiters {
 		if at <= index {
 			delete(s.waiters, at)
-			waiter.done <- outcome{err: trace.Wrap(ledger.ErrUnknownOutcome, "shard %d was replaced by a snapshot", s.id)}
+			waiter.done <- outcome{err: trace.Wrap(ledger.ErrUnknownOutcome, "shard %d installed a snapshot", s.id)}
 		}
 	}
 }
 
-func (s *Shard) takeReadStates(states []replication.ReadState) {
+func (s *Shard) handleReadStates(states []replication.ReadState) {
 	for _, state := range states {
-		waiting, found := s.reads[state.Token]
+		waiting, found := s.unconfirmedReads[state.Token]
 		if !found {
 			continue
 		}
-		delete(s.reads, state.Token)
+		delete(s.unconfirmedReads, state.Token)
 		if state.Aborted {
 			waiting.done <- s.notLeader()
 			continue
 		}
 		waiting.index = state.Index
-		s.waiting = append(s.waiting, waiting)
+		s.confirmedReads = append(s.confirmedReads, waiting)
 	}
 }
 
-// answerReads releases the reads whose index is applied.
+// answerReads completes the reads whose index is applied.
 func (s *Shard) answerReads() {
-	if len(s.waiting) == 0 {
+	if len(s.confirmedReads) == 0 {
 		return
 	}
 	marker, _ := s.disk.Snapshot()
-	kept := s.waiting[:0]
-	for _, waiting := range s.waiting {
+	kept := s.confirmedReads[:0]
+	for _, waiting := range s.confirmedReads {
 		if waiting.index > marker.Index {
 			kept = append(kept, waiting)
 			continue
 		}
 		waiting.done <- nil
 	}
-	s.waiting = kept
+	s.confirmedReads = kept
 }
 
-func (s *Shard) takeSoftState(soft replication.SoftState) {
-	before := s.soft
-	s.soft = soft
+func (s *Shard) handleSoftState(soft replication.SoftState) {
+	before := s.softState
+	s.softState = soft
 	s.lastRound = 0
 	status := s.core.Status()
 	s.term = status.Term
@@ -178,7 +179,7 @@
 		s.service.announce(s.id, status.Term)
 	case led && !leads:
 		eventFollowing.Info("shard", s.id, "replica", s.replica, "term", status.Term)
-		s.orphanedAt = clock.Now()
+		s.leadershipLostAt = clock.Now()
 	}
 	if address, known := s.leaderAddress(); known {
 		s.service.directory.learn(s.id, status.Term, address)
@@ -188,8 +189,8 @@
 // sendAll queues messages for the peers; the caller holds the mutex.
 func (s *Shard) sendAll(messages []replication.Message) {
 	for _, message := range messages {
-		// Entries hold bodies: a node that came back in another region gets none of them
-		// until its replica is replaced.
+		// Entries contain request bodies, which must not reach a node that came back
+		// in another region.
 		if s.id.Regional() && s.misplaced(s.roster[message.To].Node) {
 			continue
 		}
@@ -199,20 +200,20 @@
 		}
 		encoded, err := message.Marshal()
 		if err != nil {
-			continue // a message too large for the wire is as good as lost
+			continue // too large for the wire; treated as lost
 		}
-		s.service.outbox.add(address, encoded, s.mayWait(message))
+		s.service.outbox.add(address, encoded, s.canDelay(message))
 	}
 }
 
-// mayWait says whether a message is a plain heartbeat or its answer, which
+// canDelay reports whether a message is a heartbeat or a heartbeat response that
 // carries no new read round.
-func (s *Shard) mayWait(message replication.Message) bool {
+func (s *Shard) canDelay(message replication.Message) bool {
 	switch message.Type {
 	case replication.MessageHeartbeat, replication.MessageHeartbeatResponse:
-		news := message.Round > s.lastRound
+		newRound := message.Round > s.lastRound
 		s.lastRound = max(s.lastRound, message.Round)
-		return !news
+		return !newRound
 	}
 	return false
 }
--- a/internal/ledger/replica/publish.go
+++ b/internal/ledger/replica/publish.go
@@ -13,32 +13,32 @@
 )
 
 const (
-	// publishInterval is the time between two looks for changes to publish.
+	// publishInterval is the time between checks for changes to publish.
 	publishInterval = 2 * time.Second
-	// publishPause is the time without a try after the store failed.
-	publishPause = 30 * time.Second
+	// publishRetryDelay is the time to the next attempt after the store failed.
+	publishRetryDelay = 30 * time.Second
 )
 
-// runPublish keeps the store's copy of the replica sets that this node leads
-// up to date, for operators. Nothing in the ledger depends on it.
+// runPublish updates the store's copy of the replica sets that this node leads. It
+// is for operators only; the ledger doesn't depend on it.
 func (s *Service) runPublish() {
 	if s.options.Store == nil {
 		return
 	}
 	wait := publishInterval
-	for s.pause(wait) {
+	for s.sleep(wait) {
 		wait = publishInterval
 		for _, shard := range s.allShards() {
 			if err := shard.publish(); err != nil && s.running.Err() == nil {
 				eventDirectoryFailed.Error(err, "step", "publish", "shard", shard.id)
-				wait = publishPause
+				wait = publishRetryDelay
 				break
 			}
 		}
 	}
 }
 
-// publish writes the replica set if this replica leads and it has changed.
+// publish writes the replica set if this replica leads and the set has changed.
 func (s *Shard) publish() error {
 	current, leads := s.publishable()
 	if !leads {
@@ -55,7 +55,7 @@
 		return trace.Wrap(err, "read the directory of shard %d", s.id)
 	}
 	if spec.Term > current.Term {
-		return nil // a later leader was faster
+		return nil // already published by a later leader
 	}
 	current.Initial, current.Region = spec.Initial, spec.Region
 	encoded, err := json.Marshal(current)
@@ -67,16 +67,16 @@
 		_, err = s.service.options.Store.Put(ctx, object)
 	}
 	if err == nil {
-		s.notePublished(current)
+		s.recordPublished(current)
 	}
 	return trace.Wrap(err, "write the directory of shard %d", s.id)
 }
 
-// publishable returns what is to be published, if anything.
+// publishable returns the current replica set and whether it must be published.
 func (s *Shard) publishable() (shardObject, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.stopped || s.halted != nil || s.soft.Leader != s.replica {
+	if s.stopped || s.halted != nil || s.softState.Leader != s.replica {
 		return shardObject{}, false
 	}
 	status := s.core.Status()
@@ -95,7 +95,7 @@
 	return current, changed
 }
 
-func (s *Shard) notePublished(object shardObject) {
+func (s *Shard) recordPublished(object shardObject) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.published = object
--- a/internal/ledger/replica/regions.go
+++ b/internal/ledger/replica/regions.go
@@ -14,10 +14,10 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// regionPrefix begins the names of the objects of regions' shards.
+// regionPrefix is the prefix of the object names of regional shards.
 const regionPrefix = "region-"
 
-func hasDoubles(regions []string) bool {
+func hasShardCollision(regions []string) bool {
 	seen := map[ledger.ShardID]bool{}
 	for _, region := range regions {
 		seen[ledger.RegionShard(region)] = true
@@ -33,11 +33,11 @@
 	return byShard
 }
 
-// Region returns the region in which all replicas of a shard lie; empty if they may
-// lie anywhere, or if the settings don't tell of the region.
+// Region returns the region that a shard's replicas are restricted to. It is empty
+// if there is no restriction or the settings don't list the region.
 func (s *Service) Region(id ledger.ShardID) string { return s.regions[id] }
 
-// exists says whether there may be such a shard.
+// exists reports whether id is a shard of the configured ledger.
 func (s *Service) exists(id ledger.ShardID) bool {
 	if id.Regional() {
 		return s.regions[id] != ""
@@ -45,13 +45,13 @@
 	return int(id) < s.options.Shards
 }
 
-// mayHold says whether a node of a region may hold a replica of a shard.
+// mayHold reports whether a node in a region may hold a replica of a shard.
 func (s *Service) mayHold(id ledger.ShardID, region string) bool {
 	return !id.Regional() || (s.regions[id] != "" && s.regions[id] == region)
 }
 
-// Need asks for the shards of regions. They are placed once there are enough data nodes
-// in the region, and stay when nobody needs them any more.
+// Need requests the shards of regions. Each is placed once its region has enough
+// data nodes, and is never removed.
 func (s *Service) Need(regions []string) {
 	s.mutex.Lock()
 	before := len(s.needed)
@@ -66,13 +66,13 @@
 		return
 	}
 	select {
-	case s.need <- struct{}{}:
+	case s.shardsNeeded <- struct{}{}:
 	default:
 	}
 }
 
-// Regional lists the shards of regions that this node knows of: those that are needed,
-// that it holds, or of which it has heard.
+// Regional returns the regional shards known to this node: those requested here,
+// held here, or known to have had a leader.
 func (s *Service) Regional() []ledger.ShardID {
 	known := map[ledger.ShardID]bool{}
 	for _, id := range s.directory.regional() {
@@ -89,8 +89,8 @@
 	return slices.Sorted(maps.Keys(known))
 }
 
-// wanted lists the shards that are to exist.
-func (s *Service) wanted() []ledger.ShardID {
+// requiredShards returns the shards that must exist.
+func (s *Service) requiredShards() []ledger.ShardID {
 	var ids []ledger.ShardID
 	for id := range ledger.ShardID(s.options.Shards) {
 		ids = append(ids, id)
@@ -100,54 +100,57 @@
 	return append(ids, slices.Sorted(maps.Keys(s.needed))...)
 }
 
-// objectName names a shard's object in the platform's store.
+// objectName returns the name of a shard's object in the platform's store.
 func (s *Service) objectName(id ledger.ShardID) string {
 	if id.Regional() {
 		return regionPrefix + s.regions[id]
 	}
-	return numberName(id)
+	return formatShardNumber(id)
 }
 
-// shardOf undoes objectName; false for a region of which the settings don't tell.
-func (s *Service) shardOf(name string) (ledger.ShardID, bool, error) {
+// parseObjectName is the inverse of objectName. It returns false for a region that
+// the settings don't list.
+func (s *Service) parseObjectName(name string) (ledger.ShardID, bool, error) {
 	if region, found := strings.CutPrefix(name, regionPrefix); found {
 		id := ledger.RegionShard(region)
 		return id, s.exists(id), nil
 	}
-	id, err := numberOf(name)
+	id, err := parseShardNumber(name)
 	if err != nil || !s.exists(id) {
 		return 0, false, trace.BadParameter("shard directory: unexpected object %q", name)
 	}
 	return id, true, nil
 }
 
-// within keeps the members that may hold a replica of a shard.
-func (s *Service) within(id ledger.ShardID, members []membership.Member) []membership.Member {
+// eligibleMembers returns the members that may hold a replica of a shard.
+func (s *Service) eligibleMembers(id ledger.ShardID, members []membership.Member) []membership.Member {
 	return slices.DeleteFunc(slices.Clone(members), func(m membership.Member) bool { return !s.mayHold(id, m.Region) })
 }
 
-// enough says whether data nodes suffice for a shard: a region's gets as many replicas as
-// the losses of disks take, also where no zone may hold most of them, or none.
-func (s *Service) enough(id ledger.ShardID, members []membership.Member) bool {
-	return !id.Regional() || s.options.aim().replicas(sitesFor(members)) >= s.options.LeastCopies
+// hasEnoughNodes reports whether the members can hold LeastCopies replicas of a
+// regional shard within the placement policy. It is true for other shards.
+func (s *Service) hasEnoughNodes(id ledger.ShardID, members []membership.Member) bool {
+	return !id.Regional() || s.options.placementPolicy().replicaCount(sitesFor(members)) >= s.options.LeastCopies
 }
 
-// misplaced says whether a node, as membership sees it, is in another region than its
-// replica has to be: a machine that came back elsewhere under its name.
+// misplaced reports whether membership has a node in a region that may not hold its
+// replica, for example after a machine rejoined elsewhere under the same name.
 func (s *Shard) misplaced(node string) bool {
 	m, found := findMember(s.service.options.Members.View(), node)
 	return found && s.service.Region(s.id) != "" && !s.service.mayHold(s.id, m.Region)
 }
 
-// Placed is where a shard lies, as its leader sees it.
+// Placed describes a shard's replicas with regard to one node, as its leader sees
+// them.
 type Placed struct {
-	// Holds says that a node has a replica, of whatever kind.
+	// Holds reports whether the node has a replica in any state.
 	Holds bool
-	// Sound is the number of voters that are there, that node's left out.
+	// Sound is the number of healthy voters on other nodes.
 	Sound int
 }
 
-// AskPlaced asks the leader of a shard about a node.
+// AskPlaced asks a shard's leader whether a node holds a replica and how many other
+// healthy voters there are.
 func (s *Service) AskPlaced(ctx context.Context, id ledger.ShardID, node string) (Placed, error) {
 	leader, known := s.Leader(id)
 	if !known {
@@ -155,21 +158,21 @@
 	}
 	encoded, err := s.options.Sender.Call(ctx, leader, kindPlaced, encode(placedRequest{Shard: id}, []byte(node)))
 	if err != nil {
-		return Placed{}, trace.Wrap(err, "ask peer %s where shard %s lies", leader, s.objectName(id))
+		return Placed{}, trace.Wrap(err, "query peer %s for the placement of shard %s", leader, s.objectName(id))
 	}
-	var answer placedAnswer
+	var answer placedResponse
 	if _, err := decode(encoded, &answer, 0); err != nil {
-		return Placed{}, trace.Wrap(err, "ask peer %s where shard %s lies", leader, s.objectName(id))
+		return Placed{}, trace.Wrap(err, "query peer %s for the placement of shard %s", leader, s.objectName(id))
 	}
-	return Placed{Holds: answer.Holds, Sound: int(answer.Sound)}, nil
+	return Placed{Holds: answer.Holds, Sound: int(answer.HealthyVoters)}, nil
 }
 
-// handlePlaced answers AskPlaced, after this replica confirmed that it leads.
+// handlePlaced serves AskPlaced after this replica confirmed its leadership.
 func (s *Service) handlePlaced(ctx context.Context, from transport.Address, payload []byte) ([]byte, error) {
 	var request placedRequest
 	fields, err := decode(payload, &request, 1)
 	if err != nil {
-		return nil, trace.Wrap(err, "question of peer %s", from)
+		return nil, trace.Wrap(err, "decode request of peer %s", from)
 	}
 	shard, found := s.local(request.Shard)
 	if !found {
@@ -178,33 +181,34 @@
 	if err := shard.Read(ctx, func(ledger.Reader) error { return nil }); err != nil {
 		return nil, err
 	}
-	var answer placedAnswer
-	for _, one := range s.shardStatus(request.Shard).Replicas {
+	var answer placedResponse
+	for _, r := range s.shardStatus(request.Shard).Replicas {
 		switch {
-		case one.Node == string(fields[0]):
+		case r.Node == string(fields[0]):
 			answer.Holds = true
-		case one.State == stateVoter:
-			answer.Sound++
+		case r.State == stateVoter:
+			answer.HealthyVoters++
 		}
 	}
 	return encode(answer), nil
 }
 
-// voters counts the voters of a shard that this replica leads; 0 elsewhere.
+// voters returns the number of voters if this replica leads, else 0.
 func (s *Shard) voters() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.stopped || s.halted != nil || s.soft.Role != replication.RoleLeader {
+	if s.stopped || s.halted != nil || s.softState.Role != replication.RoleLeader {
 		return 0
 	}
 	return len(s.core.Status().Configuration.Voters)
 }
 
-// Enough says whether there are data nodes enough for a region's shard.
+// Enough reports whether a region has enough data nodes for its shard.
 func (s *Service) Enough(id ledger.ShardID) bool {
 	members := dataMembers(s.options.Members.View(), s.self())
-	return s.exists(id) && s.enough(id, s.within(id, members))
+	return s.exists(id) && s.hasEnoughNodes(id, s.eligibleMembers(id, members))
 }
 
-// Led says whether a shard has had a leader, as far as known here.
+// Led reports whether this node knows of a leader, past or present, of a regional
+// shard.
 func (s *Service) Led(id ledger.ShardID) bool { return slices.Contains(s.directory.regional(), id) }
--- a/internal/ledger/replica/regions_test.go
+++ b/internal/ledger/replica/regions_test.go
@@ -19,16 +19,16 @@
 
 var north, south = ledger.RegionShard("north"), ledger.RegionShard("south")
 
-// regionalCluster has the data nodes n0, n1, ... in zones that are named by the first
-// letter of their region and a number.
-func regionalCluster(t *testing.T, options Options, zones ...string) *cluster {
+// newRegionalCluster starts data nodes n0, n1, ... in the zones, each named by the first
+// letter of its region and a number.
+func newRegionalCluster(t *testing.T, options Options, zones ...string) *cluster {
 	options.Regions, options.LeastCopies, options.ReplaceLeaving = []string{"north", "south"}, 3, true
 	c := newCluster(t, options)
 	c.addAll(zones...)
 	return c
 }
 
-func (c *cluster) need(regions ...string) {
+func (c *cluster) requestRegions(regions ...string) {
 	for _, n := range c.nodes {
 		if n.service != nil {
 			n.service.Need(regions)
@@ -36,8 +36,8 @@
 	}
 }
 
-// heldBy lists the nodes that hold a replica on their disk, living or not.
-func (c *cluster) heldBy(id ledger.ShardID) (zones []string) {
+// zonesHolding returns the zone of each running node that holds a replica.
+func (c *cluster) zonesHolding(id ledger.ShardID) (zones []string) {
 	for _, n := range c.nodes {
 		if n.service == nil {
 			continue
@@ -49,24 +49,24 @@
 	return zones
 }
 
-// A region's shard exists only once it is needed, and lies in its region alone; the
-// others lie anywhere, as before.
-func TestARegionsShardLiesInItsRegion(t *testing.T) {
-	c := regionalCluster(t, Options{}, "n1", "n1", "n2", "s1", "s1", "s2")
-	c.settled(0, 3)
-	c.g.Expect(c.heldBy(north)).To(gomega.BeEmpty())
+// Guards against regional shards that are created before they are requested or placed
+// outside their region.
+func TestRegionalShardPlacedInItsRegion(t *testing.T) {
+	c := newRegionalCluster(t, Options{}, "n1", "n1", "n2", "s1", "s1", "s2")
+	c.waitForReplicas(0, 3)
+	c.g.Expect(c.zonesHolding(north)).To(gomega.BeEmpty())
 	for _, n := range c.nodes {
 		c.g.Expect(n.service.Regional()).To(gomega.BeEmpty())
 		c.g.Expect(n.service.Status().Shards).To(gomega.HaveLen(1))
 	}
-	c.need("north")
-	c.regionSettled(north, 3)
-	c.g.Expect(c.heldBy(north)).To(gomega.ConsistOf("n1", "n1", "n2"))
-	c.g.Expect(c.heldBy(south)).To(gomega.BeEmpty())
+	c.requestRegions("north")
+	c.waitForRegionReplicas(north, 3)
+	c.g.Expect(c.zonesHolding(north)).To(gomega.ConsistOf("n1", "n1", "n2"))
+	c.g.Expect(c.zonesHolding(south)).To(gomega.BeEmpty())
 	c.proposeMany(north, "x", 20)
-	c.need("south")
-	c.regionSettled(south, 3)
-	c.g.Expect(c.heldBy(south)).To(gomega.ConsistOf("s1", "s1", "s2"))
+	c.requestRegions("south")
+	c.waitForRegionReplicas(south, 3)
+	c.g.Expect(c.zonesHolding(south)).To(gomega.ConsistOf("s1", "s1", "s2"))
 	front := c.add("front", "")
 	c.g.Eventually(func() bool {
 		leader, known := front.service.Leader(north)
@@ -75,106 +75,107 @@
 	c.expectEntries(north, "x", 20)
 }
 
-func (c *cluster) regionSettled(id ledger.ShardID, count int) {
+func (c *cluster) waitForRegionReplicas(id ledger.ShardID, count int) {
 	c.g.Eventually(func() int { return len(c.regionReplicas(id)) }).Should(gomega.Equal(count))
 }
 
-// regionReplicas lists the nodes of the voters that are there, as the leader sees them.
+// regionReplicas returns the nodes that run a healthy voter, as the leader sees them.
 func (c *cluster) regionReplicas(id ledger.ShardID) (nodes []string) {
 	leader := c.leaderNow(id)
 	if leader == nil {
 		return nil
 	}
-	for _, one := range leader.service.shardStatus(id).Replicas {
-		if one.State == stateVoter && c.holds(id, one) {
-			nodes = append(nodes, one.Node)
+	for _, r := range leader.service.shardStatus(id).Replicas {
+		if r.State == stateVoter && c.runsReplica(id, r) {
+			nodes = append(nodes, r.Node)
 		}
 	}
 	return nodes
 }
 
-// voters lists the nodes of all voters, also those that are gone, as the leader sees them.
+// voters returns the nodes that the leader reports as healthy voters, including nodes
+// that stopped without the leader having noticed.
 func (c *cluster) voters(id ledger.ShardID) (nodes []string) {
 	leader := c.leaderNow(id)
 	if leader == nil {
 		return nil
 	}
-	for _, one := range leader.service.shardStatus(id).Replicas {
-		if one.State == stateVoter {
-			nodes = append(nodes, one.Node)
+	for _, r := range leader.service.shardStatus(id).Replicas {
+		if r.State == stateVoter {
+			nodes = append(nodes, r.Node)
 		}
 	}
 	return nodes
 }
 
-// A region with too few data nodes gets no shard until there are enough.
-func TestARegionWithTooFewDataNodesGetsNoShard(t *testing.T) {
-	c := regionalCluster(t, Options{}, "n1", "n1", "s1", "s1", "s2")
-	c.settled(0, 3)
-	c.need("north", "south")
-	c.regionSettled(south, 3)
-	c.g.Consistently(func() []string { return c.heldBy(north) }, time.Second).Should(gomega.BeEmpty())
+// Guards against a regional shard with fewer than LeastCopies replicas.
+func TestRegionWithTooFewDataNodesGetsNoShard(t *testing.T) {
+	c := newRegionalCluster(t, Options{}, "n1", "n1", "s1", "s1", "s2")
+	c.waitForReplicas(0, 3)
+	c.requestRegions("north", "south")
+	c.waitForRegionReplicas(south, 3)
+	c.g.Consistently(func() []string { return c.zonesHolding(north) }, time.Second).Should(gomega.BeEmpty())
 	c.add("n9", "n2")
-	c.need("north")
-	c.regionSettled(north, 3)
+	c.requestRegions("north")
+	c.waitForRegionReplicas(north, 3)
 }
 
-// A lost replica is replaced within the region, though the free nodes elsewhere are in
-// zones that have none.
-func TestALostReplicaIsReplacedWithinItsRegion(t *testing.T) {
-	c := regionalCluster(t, Options{ReplaceAfter: 300 * time.Millisecond}, "n1", "n1", "n2", "n2", "s1", "s2", "s3")
-	c.settled(0, 3)
-	c.need("north")
-	c.regionSettled(north, 3)
+// Guards against replacing a lost replica outside its region, even if that would improve
+// the spread over zones.
+func TestLostReplicaReplacedWithinRegion(t *testing.T) {
+	c := newRegionalCluster(t, Options{ReplaceAfter: 300 * time.Millisecond}, "n1", "n1", "n2", "n2", "s1", "s2", "s3")
+	c.waitForReplicas(0, 3)
+	c.requestRegions("north")
+	c.waitForRegionReplicas(north, 3)
 	c.proposeMany(north, "x", 20)
 	lost := c.nodes[c.regionReplicas(north)[0]]
 	c.kill(lost)
 	c.g.Eventually(func() []string { return c.regionReplicas(north) }).
 		Should(gomega.And(gomega.HaveLen(3), gomega.Not(gomega.ContainElement(lost.name))))
-	c.g.Expect(c.heldBy(north)).To(gomega.HaveEach(gomega.HavePrefix("n")))
-	// Until the lost one is out, there are four voters, of which three are needed: one more
-	// loss is one too many for three copies then.
+	c.g.Expect(c.zonesHolding(north)).To(gomega.HaveEach(gomega.HavePrefix("n")))
+	// Until the lost voter is removed, three of four voters are needed for a majority, so
+	// another loss would be fatal.
 	c.g.Eventually(func() []string { return c.voters(north) }).
 		Should(gomega.And(gomega.HaveLen(3), gomega.Not(gomega.ContainElement(lost.name))))
 	second := c.nodes[c.regionReplicas(north)[0]]
-	c.kill(second) // nobody of the region is left to take its place
-	c.g.Consistently(func() []string { return c.heldBy(north) }, time.Second).Should(gomega.HaveEach(gomega.HavePrefix("n")))
+	c.kill(second) // the region has no free node left
+	c.g.Consistently(func() []string { return c.zonesHolding(north) }, time.Second).Should(gomega.HaveEach(gomega.HavePrefix("n")))
 	c.expectEntries(north, "x", 20)
 }
 
-// A data node that is to be emptied gives its replica to one of the region, and is told
-// to be empty only then.
-func TestARegionsReplicaMovesWithinItsRegion(t *testing.T) {
-	c := regionalCluster(t, Options{}, "n1", "n1", "n2", "n2", "s1", "s2", "s3")
-	c.settled(0, 3)
-	c.need("north")
-	c.regionSettled(north, 3)
-	emptied := c.nodes[c.regionReplicas(north)[0]]
-	asker := c.nodes["n4"]
-	// The asker hears of the region's leader a moment after the shard is settled.
+// Guards against moving a leaving node's replica outside its region, and against
+// reporting the node as empty too early.
+func TestLeavingNodeReplicaMovesWithinRegion(t *testing.T) {
+	c := newRegionalCluster(t, Options{}, "n1", "n1", "n2", "n2", "s1", "s2", "s3")
+	c.waitForReplicas(0, 3)
+	c.requestRegions("north")
+	c.waitForRegionReplicas(north, 3)
+	leaving := c.nodes[c.regionReplicas(north)[0]]
+	requester := c.nodes["n4"]
+	// The requester learns the region's leader shortly after the shard is ready.
 	c.g.Eventually(func() (Placed, error) {
-		return asker.service.AskPlaced(t.Context(), north, emptied.name)
+		return requester.service.AskPlaced(t.Context(), north, leaving.name)
 	}).Should(gomega.Equal(Placed{Holds: true, Sound: 2}))
-	m := memberSource{c.list, emptied.name}.Self()
+	m := memberSource{c.list, leaving.name}.Self()
 	m.State = membership.StateLeaving
 	c.list.set(m)
 	c.g.Eventually(func() Placed {
-		placed, _ := asker.service.AskPlaced(t.Context(), north, emptied.name)
+		placed, _ := requester.service.AskPlaced(t.Context(), north, leaving.name)
 		return placed
 	}).Should(gomega.Equal(Placed{Sound: 3}))
 	c.g.Eventually(func() []string { return c.regionReplicas(north) }).Should(gomega.HaveLen(3))
-	c.g.Expect(c.heldBy(north)).To(gomega.HaveEach(gomega.HavePrefix("n")))
+	c.g.Expect(c.zonesHolding(north)).To(gomega.HaveEach(gomega.HavePrefix("n")))
 }
 
-// A node refuses a replica that may not lie on it, whoever asks; one that comes back in
-// another region doesn't run its replica and is replaced.
-func TestANodeOfAnotherRegionHoldsNoReplica(t *testing.T) {
-	c := regionalCluster(t, Options{ReplaceAfter: 300 * time.Millisecond}, "n1", "n1", "n2", "n2", "s1", "s2", "s3")
-	c.settled(0, 3)
-	c.need("north")
-	c.regionSettled(north, 3)
-	asker, other := c.nodes["n0"], c.nodes["n4"]
-	_, err := asker.transport.Call(t.Context(), other.transport.Address(), kindJoin, encode(joinRequest{Shard: north}))
+// Guards against running a replica on a node of another region, whether by a join request
+// or because the node came back in that region.
+func TestNodeOfAnotherRegionRejectsReplica(t *testing.T) {
+	c := newRegionalCluster(t, Options{ReplaceAfter: 300 * time.Millisecond}, "n1", "n1", "n2", "n2", "s1", "s2", "s3")
+	c.waitForReplicas(0, 3)
+	c.requestRegions("north")
+	c.waitForRegionReplicas(north, 3)
+	requester, other := c.nodes["n0"], c.nodes["n4"]
+	_, err := requester.transport.Call(t.Context(), other.transport.Address(), kindJoin, encode(joinRequest{Shard: north}))
 	c.g.Expect(err).To(gomega.MatchError(gomega.ContainSubstring("may not lie")))
 	moved := c.nodes[c.regionReplicas(north)[0]]
 	c.kill(moved)
@@ -182,17 +183,17 @@
 	c.start(moved)
 	c.g.Eventually(func() []string { return c.regionReplicas(north) }).
 		Should(gomega.And(gomega.HaveLen(3), gomega.Not(gomega.ContainElement(moved.name))))
-	c.g.Expect(c.heldBy(north)).To(gomega.HaveEach(gomega.HavePrefix("n")))
-	c.g.Expect(c.heldBy(0)).NotTo(gomega.BeEmpty())
+	c.g.Expect(c.zonesHolding(north)).To(gomega.HaveEach(gomega.HavePrefix("n")))
+	c.g.Expect(c.zonesHolding(0)).NotTo(gomega.BeEmpty())
 }
 
-// What is proposed while a node is in another region doesn't reach it, also where its
-// voter can't be replaced.
-func TestEntriesDoNotReachANodeOfAnotherRegion(t *testing.T) {
-	c := regionalCluster(t, Options{ReplaceAfter: 300 * time.Millisecond}, "n1", "n1", "n2", "s1", "s2", "s3")
+// Guards against sending entries to a voter whose node came back in another region, even
+// if it can't be replaced.
+func TestEntriesNotSentToNodeOfAnotherRegion(t *testing.T) {
+	c := newRegionalCluster(t, Options{ReplaceAfter: 300 * time.Millisecond}, "n1", "n1", "n2", "s1", "s2", "s3")
 	const body = "only north may have this"
 	var outside, inside atomic.Int32
-	c.frames = func(n *node, payload []byte) {
+	c.onFrame = func(n *node, payload []byte) {
 		switch {
 		case !bytes.Contains(payload, []byte(body)):
 		case regionOfZone(n.zone) == "north":
@@ -201,14 +202,14 @@
 			outside.Add(1)
 		}
 	}
-	for _, n := range c.nodes { // again, with their frames watched
+	for _, n := range c.nodes { // restart them with the frame observer
 		c.kill(n)
 		c.start(n)
 	}
-	c.settled(0, 3)
-	c.need("north")
-	c.regionSettled(north, 3)
-	// A node of another region hears of the leader a moment after the shard is settled.
+	c.waitForReplicas(0, 3)
+	c.requestRegions("north")
+	c.waitForRegionReplicas(north, 3)
+	// A node of another region learns the leader shortly after the shard is ready.
 	var leader transport.Address
 	c.g.Eventually(func() (known bool) {
 		leader, known = c.nodes["n3"].service.Leader(north)
@@ -226,9 +227,9 @@
 	c.g.Expect(outside.Load()).To(gomega.BeZero())
 }
 
-// Whatever nodes come, leave and are lost: no plan puts a replica outside the region,
-// and none falls below what it had.
-func TestPlansKeepToTheRegion(t *testing.T) {
+// Guards against plans that put a replica outside the region or keep fewer than
+// LeastCopies replicas.
+func TestPlansStayWithinRegion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		least := rapid.SampledFrom([]int{3, 5}).Draw(t, "least")
 		s := &Service{options: Options{Copies: 5, LeastCopies: least, ZoneLosses: rapid.IntRange(0, 1).Draw(t, "zone losses"), Regions: []string{"north", "south"}}, regions: regionsByShard([]string{"north", "south"})}
@@ -246,11 +247,11 @@
 			}
 			return "none"
 		}
-		inRegion := s.within(north, members)
-		if !s.enough(north, inRegion) {
+		inRegion := s.eligibleMembers(north, members)
+		if !s.hasEnoughNodes(north, inRegion) {
 			return
 		}
-		chosen := placeShards(1, sitesFor(inRegion), s.options.aim())[0]
+		chosen := placeShards(1, sitesFor(inRegion), s.options.placementPolicy())[0]
 		if len(chosen) < s.options.LeastCopies {
 			t.Fatalf("%d replicas on %d nodes", len(chosen), len(inRegion))
 		}
@@ -262,23 +263,24 @@
 			lost := i > 0 && rapid.Bool().Draw(t, "lost")
 			held = append(held, member{replica: replication.ReplicaID(i + 1), site: at, voter: true, leader: i == 0, lost: lost})
 		}
-		plan := planRepair(held, sitesFor(inRegion), s.options.aim())
-		for _, at := range plan.join {
+		plan := planRepair(held, sitesFor(inRegion), s.options.placementPolicy())
+		for _, at := range plan.candidates {
 			if regionOf(at.node) != "north" {
-				t.Fatalf("joins %s of region %q", at.node, regionOf(at.node))
+				t.Fatalf("candidate %s of region %q", at.node, regionOf(at.node))
 			}
 		}
 		if len(plan.wanted) < s.options.LeastCopies {
-			t.Fatalf("%d of %d replicas are wanted", len(plan.wanted), len(held))
+			t.Fatalf("plan keeps %d of %d replicas", len(plan.wanted), len(held))
 		}
 	})
 }
 
-func TestTwoRegionsAreToldApart(t *testing.T) {
+// Guards against two regions sharing a shard ID.
+func TestRegionShardsAreDistinct(t *testing.T) {
 	g := gomega.NewWithT(t)
 	g.Expect(north).NotTo(gomega.Equal(south))
 	g.Expect(north.Regional()).To(gomega.BeTrue())
 	g.Expect(ledger.ShardID(0).Regional()).To(gomega.BeFalse())
-	g.Expect(hasDoubles([]string{"north", "south"})).To(gomega.BeFalse())
-	g.Expect(hasDoubles([]string{"north", "north"})).To(gomega.BeTrue())
+	g.Expect(hasShardCollision([]string{"north", "south"})).To(gomega.BeFalse())
+	g.Expect(hasShardCollision([]string{"north", "north"})).To(gomega.BeTrue())
 }
--- a/internal/ledger/replica/repair.go
+++ b/internal/ledger/replica/repair.go
@@ -17,35 +17,36 @@
 )
 
 const (
-	// joinChoices is how many nodes of a zone are asked for their load before
-	// one gets a replica.
-	joinChoices = 3
-	// changeTimeout bounds one step of a replacement.
+	// maxJoinCandidates limits the nodes that are asked for their load before one
+	// gets a replica.
+	maxJoinCandidates = 3
+	// changeTimeout limits one step of a replacement.
 	changeTimeout = 5 * time.Second
-	// goneAfter is how many times ReplaceAfter a voter is waited for whose place no
-	// other zone may take: most losses of power and cuts are over by then.
-	goneAfter = 10
-	// leaveTries bounds the tries to tell a removed replica.
-	leaveTries = 30
+	// presumedDeadFactor is the multiple of ReplaceAfter after which a silent voter
+	// is replaced in any zone; most power losses and partitions end before.
+	presumedDeadFactor = 10
+	// maxLeaveAttempts limits the retries to notify a removed replica.
+	maxLeaveAttempts = 30
 )
 
-// repairState is what a leader remembers for repair; it is new with each term.
+// repairState is a leader's state for repair; it is reset at each election.
 type repairState struct {
 	silentSince map[replication.ReplicaID]time.Time
 	superseded  map[replication.ReplicaID]bool
-	asked       map[replication.ReplicaID]bool // being asked; see lookForSuperseded
+	querying    map[replication.ReplicaID]bool // queries in progress; see detectSuperseded
 	removed     []removedReplica
-	// exposed: the loss of one zone would leave no majority.
+	// exposed is set if the loss of one zone would leave no majority.
 	exposed bool
 }
 
-// removedReplica is to be told that it left.
+// removedReplica is a removed replica that has yet to be notified.
 type removedReplica struct {
-	entry storage.RosterEntry
-	tries int
+	entry    storage.RosterEntry
+	attempts int
 }
 
-// runRepair looks after the replica sets of the shards that this node leads.
+// runRepair periodically repairs the replica sets of the shards that this node
+// leads.
 func (s *Service) runRepair() {
 	ticker := time.NewTicker(s.options.RepairInterval)
 	defer ticker.Stop()
@@ -55,10 +56,10 @@
 		case <-s.running.Done():
 			return
 		case <-ticker.C:
-		case <-s.changed:
+		case <-s.repairTrigger:
 		}
 		for _, shard := range s.allShards() {
-			s.metrics.noteRegional(shard)
+			s.metrics.updateRegionVoters(shard)
 			if err := shard.repairStep(clock.Now()); err != nil && s.running.Err() == nil {
 				eventRepairFailed.Error(err, "shard", shard.id)
 			}
@@ -66,48 +67,49 @@
 	}
 }
 
-// repairSoon asks for the next step without waiting for the interval.
-func (s *Service) repairSoon() {
+// triggerRepair starts the next repair step without waiting for the interval.
+func (s *Service) triggerRepair() {
 	select {
-	case s.changed <- struct{}{}:
+	case s.repairTrigger <- struct{}{}:
 	default:
 	}
 }
 
-// repairStep takes at most one step towards the planned replica set.
+// repairStep takes at most one step towards the planned replica set. A replica
+// without a leader checks whether it is still a member.
 func (s *Shard) repairStep(now time.Time) error {
 	s.mutex.Lock()
-	leads := s.soft.Role == replication.RoleLeader && !s.stopped && s.halted == nil
-	leaderless := s.soft.Leader == 0 && now.Sub(s.leaderlessSince) > s.service.options.NoQuorumAfter
+	leads := s.softState.Role == replication.RoleLeader && !s.stopped && s.halted == nil
+	leaderless := s.softState.Leader == 0 && now.Sub(s.leaderlessSince) > s.service.options.NoQuorumAfter
 	s.mutex.Unlock()
 	if !leads {
 		if leaderless {
-			s.askWhetherMember()
+			s.checkMembership()
 		}
 		return nil
 	}
-	s.tellRemoved()
-	s.lookForSuperseded(now)
+	s.notifyRemoved()
+	s.detectSuperseded(now)
 	members, configuration, pending := s.members(now)
-	s.noteZones(members)
+	s.updateZoneExposure(members)
 	if pending {
 		return nil
 	}
-	plan := planRepair(members, s.sites(), s.service.options.aim())
-	if len(plan.join) > 0 && !hasLearner(members) {
-		return trace.Wrap(s.addReplica(plan.join), "add a replica")
+	plan := planRepair(members, s.sites(), s.service.options.placementPolicy())
+	if len(plan.candidates) > 0 && !hasLearner(members) {
+		return trace.Wrap(s.addReplica(plan.candidates), "add a replica")
 	}
 	return trace.Wrap(s.changeTowards(configuration, plan.wanted), "change the replica set")
 }
 
-// noteZones tells when the loss of one zone begins or ceases to be more than the
-// shard can bear, counting who is there.
-func (s *Shard) noteZones(members []member) {
+// updateZoneExposure logs when the shard's healthy voters start or stop tolerating
+// the loss of one zone.
+func (s *Shard) updateZoneExposure(members []member) {
 	if s.service.options.ZoneLosses == 0 {
 		return
 	}
 	voters := slices.DeleteFunc(slices.Clone(members), func(m member) bool { return !m.voter })
-	exposed := !outlivesAZone(voters)
+	exposed := !survivesZoneLoss(voters)
 	s.mutex.Lock()
 	changed := exposed != s.repair.exposed
 	s.repair.exposed = exposed
@@ -116,7 +118,7 @@
 	case changed && exposed:
 		eventZoneExposed.Info("shard", s.id, "voters_by_zone", zoneCounts(sitesOf(voters)))
 	case changed:
-		eventZoneBorne.Info("shard", s.id, "voters_by_zone", zoneCounts(sitesOf(voters)))
+		eventZoneTolerated.Info("shard", s.id, "voters_by_zone", zoneCounts(sitesOf(voters)))
 	}
 }
 
@@ -129,38 +131,39 @@
 	return false
 }
 
-// members describes the shard's members and notes who is silent.
+// members returns the shard's members, its configuration and whether a change or
+// leadership transfer is pending. It updates the silence times.
 func (s *Shard) members(now time.Time) (members []member, configuration replication.Configuration, pending bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	status := s.core.Status()
-	s.noteSilent(status, now)
+	s.updateSilent(status, now)
 	for _, id := range status.Configuration.Members() {
 		silence := time.Duration(0)
 		if since, silent := s.repair.silentSince[id]; silent {
 			silence = now.Sub(since)
 		}
-		superseded, wait := s.repair.superseded[id], s.service.options.ReplaceAfter
-		leaves := s.service.options.ReplaceLeaving && s.leaving(id)
+		superseded, replaceAfter := s.repair.superseded[id], s.service.options.ReplaceAfter
+		leaving := s.service.options.ReplaceLeaving && s.leaving(id)
 		misplaced := s.misplaced(s.roster[id].Node)
 		members = append(members, member{
-			replica:    id,
-			site:       site{node: s.roster[id].Node, zone: s.roster[id].Zone},
-			voter:      status.Configuration.HasVoter(id),
-			leader:     id == s.replica,
-			superseded: superseded,
-			lost:       superseded || silence >= wait || leaves || misplaced,
-			gone:       silence >= goneAfter*wait || leaves || misplaced,
+			replica:      id,
+			site:         site{node: s.roster[id].Node, zone: s.roster[id].Zone},
+			voter:        status.Configuration.HasVoter(id),
+			leader:       id == s.replica,
+			superseded:   superseded,
+			lost:         superseded || silence >= replaceAfter || leaving || misplaced,
+			presumedDead: silence >= presumedDeadFactor*replaceAfter || leaving || misplaced,
 		})
 	}
 	return members, status.Configuration, status.ConfigurationPending || status.TransferringTo != 0
 }
 
-func (s *Shard) noteSilent(status replication.Status, now time.Time) {
+func (s *Shard) updateSilent(status replication.Status, now time.Time) {
 	if s.repair.silentSince == nil {
 		s.repair.silentSince = map[replication.ReplicaID]time.Time{}
 		s.repair.superseded = map[replication.ReplicaID]bool{}
-		s.repair.asked = map[replication.ReplicaID]bool{}
+		s.repair.querying = map[replication.ReplicaID]bool{}
 	}
 	for id, follower := range status.Followers {
 		_, silent := s.repair.silentSince[id]
@@ -172,11 +175,11 @@
 	}
 }
 
-// sites lists the living nodes that could hold a replica.
+// sites returns the live nodes that may hold a replica.
 func (s *Shard) sites() []site {
 	var sites []site
 	members := dataMembers(s.service.options.Members.View(), s.service.self())
-	for _, m := range s.service.within(s.id, members) {
+	for _, m := range s.service.eligibleMembers(s.id, members) {
 		if m.State == membership.StateAlive {
 			sites = append(sites, site{node: m.Name, zone: m.Zone})
 		}
@@ -184,45 +187,44 @@
 	return sites
 }
 
-// lookForSuperseded asks the nodes of silent replicas whether they came back
-// with another identity. It doesn't wait for them: a node that is gone for good
-// never answers, and must not hold its replacement up.
-func (s *Shard) lookForSuperseded(now time.Time) {
+// detectSuperseded asks the nodes of silent replicas for their current replica IDs.
+// It doesn't wait, so that an unreachable node doesn't delay its replacement.
+func (s *Shard) detectSuperseded(now time.Time) {
 	for id, entry := range s.silentMembers(now) {
 		m, found := findMember(s.service.options.Members.View(), entry.Node)
-		if !found || m.State > membership.StateSuspect || !s.beginAsking(id) {
+		if !found || m.State > membership.StateSuspect || !s.beginQuery(id) {
 			continue
 		}
-		s.service.run(func() { s.askWhetherSuperseded(id, m) })
+		s.service.run(func() { s.checkSuperseded(id, m) })
 	}
 }
 
-// beginAsking says that nobody else is asking about the replica.
-func (s *Shard) beginAsking(id replication.ReplicaID) bool {
+// beginQuery marks a replica as being queried; it returns false if it already is.
+func (s *Shard) beginQuery(id replication.ReplicaID) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.repair.asked[id] {
+	if s.repair.querying[id] {
 		return false
 	}
-	s.repair.asked[id] = true
+	s.repair.querying[id] = true
 	return true
 }
 
-func (s *Shard) askWhetherSuperseded(id replication.ReplicaID, m membership.Member) {
+func (s *Shard) checkSuperseded(id replication.ReplicaID, m membership.Member) {
 	answer, err := s.service.callDescribe(m, s.id)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	delete(s.repair.asked, id)
+	delete(s.repair.querying, id)
 	if err == nil && answer.Replica != id && s.repair.superseded != nil {
 		s.repair.superseded[id] = true
-		s.service.repairSoon()
+		s.service.triggerRepair()
 	}
 }
 
 func (s *Shard) silentMembers(now time.Time) map[replication.ReplicaID]storage.RosterEntry {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.noteSilent(s.core.Status(), now)
+	s.updateSilent(s.core.Status(), now)
 	silent := map[replication.ReplicaID]storage.RosterEntry{}
 	for id := range s.repair.silentSince {
 		if entry, known := s.roster[id]; known && !s.repair.superseded[id] {
@@ -232,7 +234,7 @@
 	return silent
 }
 
-// addReplica lets the least loaded of a few sites hold a learner.
+// addReplica adds a learner on the least loaded of a few sites.
 func (s *Shard) addReplica(sites []site) error {
 	ctx, cancel := context.WithTimeout(s.service.running, changeTimeout)
 	defer cancel()
@@ -242,24 +244,24 @@
 	}
 	encoded, err := s.service.options.Sender.Call(ctx, chosen.Address, kindJoin, encode(joinRequest{Shard: s.id}))
 	if err != nil {
-		return trace.Wrap(err, "let peer %s hold a replica", chosen.Name)
+		return trace.Wrap(err, "start a replica on peer %s", chosen.Name)
 	}
-	var answer describeAnswer
+	var answer describeResponse
 	if _, err := decode(encoded, &answer, 0); err != nil {
-		return trace.Wrap(err, "let peer %s hold a replica", chosen.Name)
+		return trace.Wrap(err, "start a replica on peer %s", chosen.Name)
 	}
 	entry := storage.RosterEntry{Replica: answer.Replica, Node: chosen.Name, Zone: chosen.Zone, Address: chosen.Address}
 	if _, err := s.propose(ctx, append([]byte{entryRoster}, entry.Marshal()...)); err != nil {
-		return trace.Wrap(err, "enter peer %s into the roster", chosen.Name)
+		return trace.Wrap(err, "add peer %s to the roster", chosen.Name)
 	}
 	return s.proposeChange(replication.Change{Type: replication.AddLearner, Replica: answer.Replica})
 }
 
-// choiceGrace is how long other candidates may answer after the first did.
-const choiceGrace = 200 * time.Millisecond
+// offerGracePeriod is how long to wait for better offers after the first one.
+const offerGracePeriod = 200 * time.Millisecond
 
-// chooseSite asks a few nodes at a time for their load; those that don't answer
-// hold nobody up.
+// chooseSite asks a few random nodes for their load in parallel and returns the
+// least loaded one.
 func (s *Shard) chooseSite(sites []site) (membership.Member, error) {
 	rand.Shuffle(len(sites), func(i, j int) { sites[i], sites[j] = sites[j], sites[i] })
 	candidates := s.knownMembers(sites)
@@ -276,7 +278,7 @@
 	return bestOffer(offers, len(candidates))
 }
 
-// offer is what a node answered.
+// offer is a candidate node's response.
 type offer struct {
 	member   membership.Member
 	replicas uint32
@@ -285,7 +287,7 @@
 
 func (s *Shard) knownMembers(sites []site) []membership.Member {
 	var known []membership.Member
-	for _, candidate := range sites[:min(len(sites), joinChoices)] {
+	for _, candidate := range sites[:min(len(sites), maxJoinCandidates)] {
 		if m, found := findMember(s.service.options.Members.View(), candidate.node); found {
 			known = append(known, m)
 		}
@@ -293,7 +295,8 @@
 	return known
 }
 
-// bestOffer waits for all offers, or for choiceGrace after the first good one.
+// bestOffer returns the least loaded member. It waits for all offers, or for
+// offerGracePeriod after the first successful one.
 func bestOffer(offers <-chan offer, count int) (membership.Member, error) {
 	var best offer
 	found := false
@@ -304,12 +307,12 @@
 		case one := <-offers:
 			switch {
 			case one.err != nil:
-				failure = trace.Wrap(one.err, "ask peer %s for its load", one.member.Name)
+				failure = trace.Wrap(one.err, "request the load of peer %s", one.member.Name)
 			case !found || one.replicas < best.replicas:
 				best, found = one, true
 			}
 			if found && grace == nil {
-				grace = time.After(choiceGrace)
+				grace = time.After(offerGracePeriod)
 			}
 		case <-grace:
 			return best.member, nil
@@ -321,10 +324,10 @@
 	return best.member, nil
 }
 
-func (s *Service) callDescribe(m membership.Member, id ledger.ShardID) (describeAnswer, error) {
+func (s *Service) callDescribe(m membership.Member, id ledger.ShardID) (describeResponse, error) {
 	ctx, cancel := context.WithTimeout(s.running, callTimeout)
 	defer cancel()
-	var answer describeAnswer
+	var answer describeResponse
 	encoded, err := s.options.Sender.Call(ctx, m.Address, kindDescribe, encode(describeRequest{Shard: id}))
 	if err != nil {
 		return answer, err
@@ -333,7 +336,7 @@
 	return answer, err
 }
 
-// changeTowards proposes the next step to the wanted voters.
+// changeTowards proposes the next change towards the wanted voters.
 func (s *Shard) changeTowards(configuration replication.Configuration, wanted []replication.ReplicaID) error {
 	s.mutex.Lock()
 	change, needed := replication.NextChange(configuration, s.replica, wanted, s.core.CaughtUp)
@@ -353,7 +356,7 @@
 	entry := s.roster[change.Replica]
 	_, _, err := s.core.ProposeConfig(change)
 	if errors.Is(err, replication.ErrChangePending) || errors.Is(err, replication.ErrNotLeader) {
-		return nil // another time
+		return nil // retried at the next step
 	}
 	if err != nil {
 		return trace.Wrap(err)
@@ -378,9 +381,9 @@
 	return "unknown"
 }
 
-// tellRemoved lets removed replicas know, so that they free their disk. Those
-// whose node has another disk, or is gone, need not know.
-func (s *Shard) tellRemoved() {
+// notifyRemoved notifies removed replicas in the background so that they delete
+// their data.
+func (s *Shard) notifyRemoved() {
 	s.mutex.Lock()
 	if s.core.Status().ConfigurationPending {
 		s.mutex.Unlock()
@@ -390,26 +393,26 @@
 	s.repair.removed = nil
 	s.mutex.Unlock()
 	for _, r := range removed {
-		s.service.run(func() { s.tellAgainLater(r) })
+		s.service.run(func() { s.notifyOrRequeue(r) })
 	}
 }
 
-// tellAgainLater tells one removed replica; if it can't be told, the next step
-// of repair tries again. Nothing waits for it.
-func (s *Shard) tellAgainLater(r removedReplica) {
-	if s.tellOne(r.entry) == nil || r.tries >= leaveTries {
+// notifyOrRequeue notifies a removed replica; on failure the next repair step
+// retries, up to maxLeaveAttempts.
+func (s *Shard) notifyOrRequeue(r removedReplica) {
+	if s.sendLeave(r.entry) == nil || r.attempts >= maxLeaveAttempts {
 		return
 	}
-	r.tries++
+	r.attempts++
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.repair.removed = append(s.repair.removed, r)
 }
 
-func (s *Shard) tellOne(entry storage.RosterEntry) error {
+func (s *Shard) sendLeave(entry storage.RosterEntry) error {
 	m, found := findMember(s.service.options.Members.View(), entry.Node)
 	if !found || m.State > membership.StateSuspect {
-		return trace.NotFound("node %s is not a living member", entry.Node)
+		return trace.NotFound("node %s is not a live member", entry.Node)
 	}
 	ctx, cancel := context.WithTimeout(s.service.running, callTimeout)
 	defer cancel()
@@ -418,9 +421,9 @@
 	return err
 }
 
-// askWhetherMember destroys this replica if the shard's leader says that it
-// was removed.
-func (s *Shard) askWhetherMember() {
+// checkMembership destroys this replica if the shard's leader reports that it was
+// removed.
+func (s *Shard) checkMembership() {
 	leader, known := s.service.Leader(s.id)
 	if !known || leader == s.service.self().Address {
 		return
@@ -435,15 +438,15 @@
 	if err != nil {
 		return
 	}
-	var answer memberAnswer
+	var answer memberResponse
 	if _, err := decode(encoded, &answer, 0); err != nil || answer.Member {
 		return
 	}
 	_ = s.service.destroy(s, replica, leader)
 }
 
-// resign hands the leadership to the voter that has most of the log. It
-// returns whether this replica still leads and another could.
+// resign transfers the leadership to the most up-to-date eligible voter. It reports
+// whether this replica still leads a shard with other voters.
 func (s *Shard) resign() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -473,7 +476,7 @@
 	return true
 }
 
-// leaving says whether a replica's node has announced its stop.
+// leaving reports whether a replica's node is leaving the membership or has left.
 func (s *Shard) leaving(id replication.ReplicaID) bool {
 	m, found := findMember(s.service.options.Members.View(), s.roster[id].Node)
 	return found && m.State >= membership.StateLeaving
--- a/internal/ledger/replica/replica_test.go
+++ b/internal/ledger/replica/replica_test.go
@@ -19,6 +19,7 @@
 	"chutelock.dev/chutelock/internal/platform"
 )
 
+// Guards against losing committed entries when all nodes lose power and the store is down.
 func TestEntriesSurvivePowerCutsOfAllNodes(t *testing.T) {
 	c := newCluster(t, Options{Shards: 2})
 	c.addAll("a", "b", "c")
@@ -36,7 +37,8 @@
 	c.propose(0, "next")
 }
 
-func TestLeaderLossLosesNothing(t *testing.T) {
+// Guards against losing committed entries when the leader loses power.
+func TestLeaderLossKeepsCommittedEntries(t *testing.T) {
 	for _, zones := range [][]string{{"a", "b", "c"}, {"a", "a", "b", "b", "c"}} {
 		t.Run(strings.Join(zones, ""), func(t *testing.T) {
 			c := newCluster(t, Options{Copies: len(zones), ReplaceAfter: time.Hour})
@@ -53,6 +55,7 @@
 	}
 }
 
+// Guards against a replica voting under its old ID after its disk was lost.
 func TestWipedReplicaIsReplacedUnderANewIdentity(t *testing.T) {
 	c := newCluster(t, Options{ReplaceAfter: time.Hour, RetainBytes: 1 << 10})
 	c.addAll("a", "b", "c")
@@ -64,15 +67,16 @@
 	c.start(wiped)
 	c.g.Eventually(func() string { return c.replicas(0)[wiped.name].Replica }).
 		ShouldNot(gomega.Or(gomega.Equal(old), gomega.BeEmpty()))
-	c.settled(0, 3)
+	c.waitForReplicas(0, 3)
 
-	// With the replacement in place, another disk may go.
+	// After the replacement, the shard tolerates the loss of another disk.
 	c.wipe(c.leader(0))
 	c.expectEntries(0, "before", 300)
 	c.expectEntries(0, "after", 300)
 }
 
-func TestTwoDisksLostTogetherOfFive(t *testing.T) {
+// Guards against losing committed entries with two of five disks.
+func TestFiveReplicasSurviveTwoDiskLosses(t *testing.T) {
 	c := newCluster(t, Options{Copies: 5, ReplaceAfter: 300 * time.Millisecond})
 	c.addAll("a", "a", "b", "b", "c", "c", "c")
 	c.proposeMany(0, "before", 200)
@@ -88,18 +92,19 @@
 	}
 	c.expectEntries(0, "before", 200)
 	c.proposeMany(0, "after", 200)
-	c.settled(0, 5, lost...)
+	c.waitForReplicas(0, 5, lost...)
 	c.expectEntries(0, "before", 200)
 	c.expectEntries(0, "after", 200)
 }
 
-func TestTooManyCopiesGoneIsSaidAndNotPaperedOver(t *testing.T) {
+// Guards against electing a leader or accepting entries after a majority of disks is lost.
+func TestQuorumLossReportedAndProposalsRefused(t *testing.T) {
 	c := newCluster(t, Options{NoQuorumAfter: 300 * time.Millisecond, ReplaceAfter: 100 * time.Millisecond})
 	c.addAll("a", "b", "c")
 	c.proposeMany(0, "kept", 20)
 	survivor := c.nodes["n2"]
-	// On a busy machine the first election takes longer than NoQuorumAfter, and
-	// the last copy to hear of the leader says so until then.
+	// The first election may take longer than NoQuorumAfter, so a replica may report
+	// no quorum until it learns the leader.
 	c.g.Eventually(func() bool { return survivor.service.Status().Shards[0].NoQuorum }).Should(gomega.BeFalse())
 	c.wipe(c.nodes["n0"])
 	c.wipe(c.nodes["n1"])
@@ -112,6 +117,7 @@
 	c.g.Expect(c.leaderNow(0)).To(gomega.BeNil())
 }
 
+// Guards against a drained node that still leads shards.
 func TestDrainHandsLeadershipOver(t *testing.T) {
 	c := newCluster(t, Options{Shards: 4})
 	c.addAll("a", "b", "c")
@@ -127,6 +133,7 @@
 	}
 }
 
+// Guards against stale leader lookups after a leader change, also on nodes without data.
 func TestAnyNodeFindsTheLeader(t *testing.T) {
 	c := newCluster(t, Options{Shards: 2})
 	c.addAll("a", "b", "c", "c")
@@ -138,7 +145,7 @@
 					address, _ := n.service.Leader(id)
 					leader := c.leaderNow(id)
 					return leader != nil && address == leader.transport.Address()
-				}).Should(gomega.BeTrue(), "%s looks for shard %d", n.name, id)
+				}).Should(gomega.BeTrue(), "leader lookup at %s for shard %d", n.name, id)
 			}
 		}
 		moved := c.leader(0)
@@ -148,7 +155,8 @@
 	}
 }
 
-func TestFollowersPointToTheLeader(t *testing.T) {
+// Guards against followers that accept proposals or reads, or name the wrong leader.
+func TestFollowerReturnsLeaderAddress(t *testing.T) {
 	c := newCluster(t, Options{})
 	c.addAll("a", "b", "c")
 	c.leader(0)
@@ -168,12 +176,13 @@
 	}
 }
 
-func TestCutLeaderNeitherCommitsNorReads(t *testing.T) {
+// Guards against commits and stale reads at a partitioned former leader.
+func TestPartitionedLeaderNeitherCommitsNorReads(t *testing.T) {
 	c := newCluster(t, Options{})
 	c.addAll("a", "b", "c")
 	c.proposeMany(0, "before", 20)
 	old := c.leader(0)
-	old.cut.Store(true)
+	old.partitioned.Store(true)
 	shard, _ := old.service.Local(0)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -182,11 +191,12 @@
 	c.g.Expect(shard.Read(ctx, func(ledger.Reader) error { return nil })).NotTo(gomega.Succeed())
 	c.g.Eventually(func() *node { return c.leaderNow(0) }).ShouldNot(gomega.Or(gomega.BeNil(), gomega.BeIdenticalTo(old)))
 	c.proposeMany(0, "after", 20)
-	old.cut.Store(false)
+	old.partitioned.Store(false)
 	c.expectEntries(0, "after", 20)
 	c.g.Eventually(func() uint64 { return c.replicas(0)[old.name].Lag }).Should(gomega.BeZero())
 }
 
+// Guards against a node that accepts proposals or leads while its disk is full.
 func TestFullDiskStopsAcceptanceAndLeadership(t *testing.T) {
 	c := newCluster(t, Options{Reserve: 1 << 20})
 	c.addAll("a", "b", "c")
@@ -202,24 +212,25 @@
 	c.g.Eventually(func() uint64 { return c.replicas(0)[full.name].Lag }).Should(gomega.BeZero())
 }
 
-func TestPlacementSurvivesLostAnswersAndAStoreOutage(t *testing.T) {
+// Guards against duplicate or missing placements if store writes have unknown outcomes.
+func TestBootstrapSurvivesLostResponsesAndStoreOutage(t *testing.T) {
 	c := newCluster(t, Options{Shards: 3})
-	c.store.loseAnswers.Store(2)
+	c.store.loseResponses.Store(2)
 	c.store.down.Store(true)
 	c.addAll("a", "b", "c")
 	time.AfterFunc(500*time.Millisecond, func() { c.store.down.Store(false) })
 	for id := range ledger.ShardID(3) {
 		c.proposeMany(id, "entry", 5)
-		c.settled(id, 3)
+		c.waitForReplicas(id, 3)
 	}
 }
 
-// Answers of the followers are lost: the entry is in their logs and will be
-// committed, but its proposer can't know.
-func TestUnknownFateIsSaidSo(t *testing.T) {
-	for name, patience := range map[string]time.Duration{
-		"the proposer's deadline passes": 50 * time.Millisecond,
-		"the leader steps down":          20 * time.Second,
+// Guards against reporting failure for an entry that may still commit because only the
+// followers' responses were lost.
+func TestUnacknowledgedProposalReturnsUnknownOutcome(t *testing.T) {
+	for name, timeout := range map[string]time.Duration{
+		"proposer deadline exceeded": 50 * time.Millisecond,
+		"leader steps down":          20 * time.Second,
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := newCluster(t, Options{})
@@ -228,22 +239,23 @@
 			leader := c.leader(0)
 			shard, _ := leader.service.Local(0)
 			for _, n := range c.nodes {
-				n.cut.Store(n != leader)
+				n.partitioned.Store(n != leader)
 			}
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			ctx, cancel := context.WithTimeout(context.Background(), timeout)
 			defer cancel()
 			_, err := shard.Propose(ctx, []byte("00000"))
 			c.g.Expect(err).To(gomega.MatchError(ledger.ErrUnknownOutcome))
-			c.g.Expect(ctx.Err() != nil).To(gomega.Equal(patience < time.Second), "a leader that stepped down answers at once")
+			c.g.Expect(ctx.Err() != nil).To(gomega.Equal(timeout < time.Second), "a leader that steps down must fail the proposal before its deadline")
 			for _, n := range c.nodes {
-				n.cut.Store(false)
+				n.partitioned.Store(false)
 			}
 			c.expectEntries(0, "", 1)
 		})
 	}
 }
 
-func TestReplacedEntryIsNotTakenForTheProposers(t *testing.T) {
+// Guards against acknowledging a proposal whose index has an entry of another term.
+func TestProposalFailsIfEntryOverwritten(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for applied, succeeds := range map[uint64]bool{2: true, 3: false} {
 		waiter := proposal{term: 2, done: make(chan outcome, 1)}
@@ -256,13 +268,14 @@
 	}
 }
 
-func TestHangingDiskLosesLeadershipAndReleasesItsProposers(t *testing.T) {
+// Guards against proposals that block until their deadline on a hanging disk.
+func TestHangingDiskMovesLeadershipAndFailsProposals(t *testing.T) {
 	c := newCluster(t, Options{})
 	var hanging atomic.Pointer[node]
 	release := make(chan struct{})
 	releaseOnce := sync.OnceFunc(func() { close(release) })
 	t.Cleanup(releaseOnce)
-	c.wrap = func(n *node) vfs.FS {
+	c.wrapFS = func(n *node) vfs.FS {
 		return errorfs.Wrap(n.fs, errorfs.InjectorFunc(func(op errorfs.Op) error {
 			if hanging.Load() == n && op.Kind.ReadOrWrite() == errorfs.OpIsWrite {
 				<-release
@@ -279,7 +292,7 @@
 	defer cancel()
 	_, err := shard.Propose(ctx, []byte("caught"))
 	c.g.Expect(err).To(gomega.MatchError(ledger.ErrUnknownOutcome))
-	c.g.Expect(ctx.Err()).NotTo(gomega.HaveOccurred(), "it must be told before its deadline")
+	c.g.Expect(ctx.Err()).NotTo(gomega.HaveOccurred(), "the proposal must fail before its deadline")
 	c.g.Eventually(func() error {
 		for _, n := range c.nodes {
 			other, _ := n.service.Local(0)
@@ -292,9 +305,10 @@
 	}).Should(gomega.Succeed())
 	hanging.Store(nil)
 	releaseOnce()
-	c.settled(0, 3)
+	c.waitForReplicas(0, 3)
 }
 
+// Guards against an outdated leader in the published replica set.
 func TestReplicaSetIsPublishedForOperators(t *testing.T) {
 	c := newCluster(t, Options{})
 	c.addAll("a", "b", "c")
@@ -316,14 +330,15 @@
 	}
 }
 
-func TestGrowsToMoreCopiesAndSpreadsThem(t *testing.T) {
+// Guards against replica sets that ignore new nodes and zones.
+func TestReplicaSetGrowsAndRebalancesZones(t *testing.T) {
 	c := newCluster(t, Options{Copies: 5, BootstrapWait: 100 * time.Millisecond})
 	c.addAll("a", "a", "a")
 	c.proposeMany(0, "entry", 50)
-	c.settled(0, 3)
+	c.waitForReplicas(0, 3)
 	c.add("n3", "b")
 	c.add("n4", "c")
-	c.settled(0, 5)
+	c.waitForReplicas(0, 5)
 	c.add("n5", "b")
 	c.g.Eventually(func() int {
 		inA := 0
@@ -333,11 +348,12 @@
 			}
 		}
 		return inA
-	}).Should(gomega.Equal(2), "one of the three in zone a must move to zone b")
-	c.settled(0, 5)
+	}).Should(gomega.Equal(2), "one of the three replicas in zone a must move to zone b")
+	c.waitForReplicas(0, 5)
 	c.expectEntries(0, "entry", 50)
 }
 
+// Guards against a corrupt disk that keeps its replica ID or loses the shard.
 func TestCorruptReplicaIsDiscardedAndFetchedFromItsPeers(t *testing.T) {
 	c := newCluster(t, Options{ReplaceAfter: time.Hour})
 	c.addAll("a", "b", "c")
@@ -361,14 +377,15 @@
 	c.start(damaged)
 	c.g.Eventually(func() string { return c.replicas(0)[damaged.name].Replica }).
 		ShouldNot(gomega.Or(gomega.Equal(old), gomega.BeEmpty()))
-	c.settled(0, 3)
+	c.waitForReplicas(0, 3)
 	c.expectEntries(0, "before", 100)
 }
 
+// Guards against a failed disk that keeps leading or accepting proposals.
 func TestFailedDiskHaltsTheReplicaAndMovesLeadership(t *testing.T) {
 	c := newCluster(t, Options{})
 	var failing atomic.Pointer[node]
-	c.wrap = func(n *node) vfs.FS {
+	c.wrapFS = func(n *node) vfs.FS {
 		return errorfs.Wrap(n.fs, errorfs.InjectorFunc(func(op errorfs.Op) error {
 			if failing.Load() == n && op.Kind.ReadOrWrite() == errorfs.OpIsWrite {
 				return syscall.EIO
--- a/internal/ledger/replica/service.go
+++ b/internal/ledger/replica/service.go
@@ -18,63 +18,63 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// workerCount bounds the shards that are worked on at a time. Most workers
-// wait for a shared sync.
+// workerCount limits the shards processed concurrently. Most workers wait for a
+// shared sync.
 const workerCount = 64
 
-// Service is a node's end of the ledger. On a node without a folder it only
-// finds leaders. It implements ledger.Directory.
+// Service runs a node's replicas and locates the leaders of all shards. On a node
+// without a folder it only locates leaders. It implements ledger.Directory.
 type Service struct {
 	options   Options
 	directory *directory
 	outbox    *outbox
 	snapshots *snapshots
-	workers   pond.Pool // of the protocol
-	appliers  pond.Pool // of the state machines
+	workers   pond.Pool // run the protocol
+	appliers  pond.Pool // apply committed entries
 	metrics   *metrics
 
-	running context.Context // ends with Close
-	cancel  context.CancelFunc
-	tasks   sync.WaitGroup
-	suspect chan struct{} // asks for an early look at the directory
-	failed  chan error    // of capacity 1: a replica was halted
-	changed chan struct{} // a replica set changed: the next step may be due
+	running          context.Context // canceled by Close
+	cancel           context.CancelFunc
+	tasks            sync.WaitGroup
+	refreshDirectory chan struct{} // capacity 1; requests an early directory fetch
+	failed           chan error    // capacity 1; the cause of a halted replica
+	repairTrigger    chan struct{} // capacity 1; a replica set changed
 
-	regions map[ledger.ShardID]string // of the shards that regions may get
-	need    chan struct{}             // of capacity 1: more of them are needed
+	regions      map[ledger.ShardID]string // of all regional shards that may exist
+	shardsNeeded chan struct{}             // capacity 1; more regional shards were requested
 
-	// mutex guards what is below.
+	// mutex guards the fields below.
 	mutex    sync.RWMutex
 	store    *storage.Store // nil without a folder
 	shards   map[ledger.ShardID]*Shard
-	needed   map[ledger.ShardID]bool // shards of regions
+	needed   map[ledger.ShardID]bool // requested regional shards
 	draining bool
 }
 
 var _ ledger.Directory = (*Service)(nil)
 
-// Open opens the disk, starts the replicas that it holds, and registers the
-// handlers; Start lets them run.
+// Open opens the disk, loads the replicas on it and registers the transport
+// handlers. Call Start to run them.
 func Open(options Options) (*Service, error) {
 	options = options.withDefaults()
 	if err := options.validate(); err != nil {
 		return nil, trace.Wrap(err)
 	}
 	s := &Service{
-		options:   options,
-		directory: newDirectory(options.Shards, slices.Collect(maps.Keys(regionsByShard(options.Regions)))...),
-		regions:   regionsByShard(options.Regions),
-		need:      make(chan struct{}, 1),
-		needed:    map[ledger.ShardID]bool{},
-		outbox:    newOutbox(options.Sender),
-		snapshots: newSnapshots(options.SnapshotBytesPerSecond),
-		workers:   pond.NewPool(workerCount),
-		appliers:  pond.NewPool(workerCount),
-		metrics:   newMetrics(options.Registry),
-		suspect:   make(chan struct{}, 1),
-		failed:    make(chan error, 1),
-		changed:   make(chan struct{}, 1),
-		shards:    map[ledger.ShardID]*Shard{},
+		options:          options,
+		directory:        newDirectory(options.Shards, slices.Collect(maps.Keys(regionsByShard(options.Regions)))...),
+		regions:          regionsByShard(options.Regions),
+		shardsNeeded:     make(chan struct{}, 1),
+		needed:           map[ledger.ShardID]bool{},
+		outbox:           newOutbox(options.Sender),
+		snapshots:        newSnapshots(options.SnapshotBytesPerSecond),
+		workers:          pond.NewPool(workerCount),
+		appliers:         pond.NewPool(workerCount),
+		metrics:          newMetrics(options.Registry),
+		refreshDirectory: make(chan struct{}, 1),
+		failed:           make(chan error, 1),
+		repairTrigger:    make(chan struct{}, 1),
+		shards:           map[ledger.ShardID]*Shard{},
 	}
 	s.running, s.cancel = context.WithCancel(context.Background())
 	if options.Folder != "" {
@@ -87,8 +87,8 @@
 	return s, nil
 }
 
-// openDisk opens the store, or a new one in place of a corrupt one, and the
-// replicas in it.
+// openDisk opens the store and its replicas. It discards a corrupt store and opens a
+// new one.
 func (s *Service) openDisk() error {
 	err := s.tryOpenDisk()
 	if !errors.Is(err, storage.ErrCorrupt) {
@@ -127,20 +127,20 @@
 	}
 	for _, id := range ids {
 		if !s.mayHold(id, s.self().Region) {
-			// Left as it is: it may be the settings that are wrong.
+			// Kept on disk, since the settings may be wrong.
 			eventMisplaced.Info("shard", id, "region", s.Region(id), "node_region", s.self().Region)
 			continue
 		}
-		if _, err := s.hold(id, nil); err != nil {
+		if _, err := s.openReplica(id, nil); err != nil {
 			return trace.Wrap(err)
 		}
 	}
 	return nil
 }
 
-// hold returns this node's replica of the shard. If there is none, it starts
-// one from what prepare, if not nil, leaves on its disk.
-func (s *Service) hold(id ledger.ShardID, prepare func(*storage.Shard) error) (*Shard, error) {
+// openReplica returns this node's replica of the shard. If there is none, it opens
+// one after calling prepare, if not nil, on its disk.
+func (s *Service) openReplica(id ledger.ShardID, prepare func(*storage.Shard) error) (*Shard, error) {
 	if shard, found := s.local(id); found {
 		return shard, nil
 	}
@@ -160,7 +160,7 @@
 	return shard, nil
 }
 
-// Start runs the replicas and keeps the directory fresh.
+// Start starts the replicas and the background tasks.
 func (s *Service) Start() {
 	s.outbox.start()
 	s.run(s.runDirectory)
@@ -182,7 +182,7 @@
 	}()
 }
 
-// Close stops the replicas without handing anything over; call Drain before.
+// Close stops the replicas without transferring leadership; call Drain first.
 func (s *Service) Close() error {
 	s.cancel()
 	s.tasks.Wait()
@@ -211,12 +211,12 @@
 // Shards implements ledger.Directory.
 func (s *Service) Shards() int { return s.options.Shards }
 
-// Leader implements ledger.Directory. A miss makes the service look for the
-// leader; ask again a moment later.
+// Leader implements ledger.Directory. A miss triggers a directory fetch; the caller
+// may retry shortly afterwards.
 func (s *Service) Leader(shard ledger.ShardID) (transport.Address, bool) {
 	leader, known := s.directory.leader(shard)
 	if !known {
-		s.lookSoon()
+		s.requestRefresh()
 	}
 	return leader, known
 }
@@ -230,16 +230,16 @@
 	return shard, true
 }
 
-// Suspect says that the shard's leader could not be reached or did not lead:
-// it is forgotten until another node confirms it or names another.
+// Suspect reports that the shard's leader was unreachable or not leading. The hint is
+// cleared until another node confirms it or reports a new leader.
 func (s *Service) Suspect(shard ledger.ShardID, leader transport.Address) {
 	s.directory.suspect(shard, leader)
-	s.lookSoon()
+	s.requestRefresh()
 }
 
-func (s *Service) lookSoon() {
+func (s *Service) requestRefresh() {
 	select {
-	case s.suspect <- struct{}{}:
+	case s.refreshDirectory <- struct{}{}:
 	default:
 	}
 }
@@ -273,34 +273,35 @@
 	return s.store
 }
 
-// accepting says whether new entries may be written to this node's disk.
+// accepting reports whether new entries may be written to this node's disk.
 func (s *Service) accepting() bool {
 	store := s.disk()
 	return store != nil && !store.Full() && store.Failure() == nil
 }
 
-// Scarce says that this node's disk is so full that nothing new should be begun.
+// Scarce reports whether free disk space is so low that no new work should start.
 func (s *Service) Scarce() bool {
 	store := s.disk()
 	return store != nil && store.Scarce()
 }
 
-// idleFactor is how many times less often a node looks after its replicas that has none: in
-// a large fleet most data nodes keep none.
+// idleFactor lengthens the intervals of background tasks on nodes without replicas,
+// which are most data nodes of a large fleet.
 const idleFactor = 5
 
-// interval is a time between two looks at this node's replicas, longer while there are none.
-func (s *Service) interval(usual time.Duration) time.Duration {
+// interval returns the interval of a background task, multiplied by idleFactor while
+// this node holds no replicas.
+func (s *Service) interval(base time.Duration) time.Duration {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
 	if len(s.shards) == 0 {
-		return idleFactor * usual
+		return idleFactor * base
 	}
-	return usual
+	return base
 }
 
 func (s *Service) runTicks() {
-	for s.pause(s.interval(s.options.TickInterval)) {
+	for s.sleep(s.interval(s.options.TickInterval)) {
 		s.tickAll()
 	}
 }
@@ -311,7 +312,7 @@
 	for _, shard := range shards {
 		shard.tick(clock.Now())
 		shard.mutex.Lock()
-		if shard.soft.Leader == shard.replica {
+		if shard.softState.Leader == shard.replica {
 			leading++
 			if shard.repair.exposed {
 				exposed++
@@ -322,14 +323,14 @@
 		}
 		shard.mutex.Unlock()
 	}
-	s.snapshots.expire(clock.Now(), sessionIdle, nil)
+	s.snapshots.expire(clock.Now(), sessionIdleTimeout, nil)
 	s.metrics.leading.Set(float64(leading))
 	s.metrics.noQuorum.Set(float64(noQuorum))
 	s.metrics.zoneExposed.Set(float64(exposed))
 	s.metrics.replicas.Set(float64(len(shards)))
 }
 
-// replicaHalted is told of a replica that can't go on.
+// replicaHalted notifies watchDisk of a halted replica.
 func (s *Service) replicaHalted(cause error) {
 	select {
 	case s.failed <- cause:
@@ -337,8 +338,8 @@
 	}
 }
 
-// watchDisk discards a folder that turns out to be corrupt, resigns from
-// leading while the disk is full, and stops the replicas of a failed one.
+// watchDisk restarts with an empty disk after corruption, halts the replicas of a
+// failed disk, and resigns leadership while the disk is full or the node drains.
 func (s *Service) watchDisk() {
 	ticker := time.NewTicker(s.options.RepairInterval)
 	defer ticker.Stop()
@@ -353,26 +354,26 @@
 			return
 		case cause := <-s.failed:
 			if errors.Is(cause, storage.ErrCorrupt) {
-				s.restartEmpty(cause)
+				s.restartWithEmptyDisk(cause)
 			}
 		case <-store.Failed():
 			if !errors.Is(store.Failure(), storage.ErrCorrupt) {
 				s.haltAll(store.Failure())
 				return
 			}
-			s.restartEmpty(store.Failure())
+			s.restartWithEmptyDisk(store.Failure())
 		case <-ticker.C:
 			s.metrics.diskBytes.Set(float64(store.DiskBytes()))
 			if store.Full() || s.isDraining() || s.evacuating() {
-				s.resignAll() // also if it was elected again
+				s.resignAll() // repeated in case of a re-election
 			}
 		}
 	}
 }
 
-// restartEmpty gives up a corrupt folder and continues with a new one, whose
-// replicas have other identities.
-func (s *Service) restartEmpty(cause error) {
+// restartWithEmptyDisk discards a corrupt folder and opens a new one, whose replicas
+// get new IDs.
+func (s *Service) restartWithEmptyDisk(cause error) {
 	eventRejoining.Error(cause, "folder", s.options.Folder)
 	_ = s.closeDisk()
 	if err := storage.Discard(s.diskOptions(), cause); err != nil {
@@ -398,12 +399,13 @@
 	return s.draining
 }
 
-// evacuating says that this node's replicas are being moved off it.
+// evacuating reports whether this node's replicas are being moved to other nodes.
 func (s *Service) evacuating() bool {
 	return s.options.ReplaceLeaving && s.self().State >= membership.StateLeaving
 }
 
-// resignAll hands the leadership of all shards over where that is possible.
+// resignAll calls resign on all shards and returns the number still led here that
+// have other voters.
 func (s *Service) resignAll() int {
 	leading := 0
 	for _, shard := range s.allShards() {
@@ -414,11 +416,11 @@
 	return leading
 }
 
-// drainInterval is the time between two tries to hand leadership over.
+// drainInterval is the time between attempts to transfer leadership.
 const drainInterval = 20 * time.Millisecond
 
-// Drain hands over the leadership of all shards, and returns once this node
-// leads none or ctx ends. Its replicas go on following until Close.
+// Drain transfers the leadership of all shards. It returns once this node leads none
+// that has other voters, or ctx is done. Replicas keep following until Close.
 func (s *Service) Drain(ctx context.Context) error {
 	s.mutex.Lock()
 	s.draining = true
@@ -428,7 +430,7 @@
 	for s.resignAll() > 0 {
 		select {
 		case <-ctx.Done():
-			return trace.Wrap(ctx.Err(), "hand over leadership")
+			return trace.Wrap(ctx.Err(), "transfer leadership")
 		case <-ticker.C:
 		}
 	}
--- a/internal/ledger/replica/shard.go
+++ b/internal/ledger/replica/shard.go
@@ -15,7 +15,7 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// Shard is this node's replica of one shard.
+// Shard is this node's replica of a shard.
 type Shard struct {
 	service *Service
 	id      ledger.ShardID
@@ -23,67 +23,68 @@
 
 	// users counts proposers, readers, workers and transfers that use the disk.
 	users sync.WaitGroup
-	// rounds are the questions of a follower to its leader.
-	rounds rounds
+	// readIndexes batches a follower's read index requests to its leader.
+	readIndexes readIndexBatcher
 
-	// mutex guards what is below.
+	// mutex guards the fields below.
 	mutex     sync.Mutex
 	disk      *storage.Shard
 	core      *replication.Replica
 	replica   replication.ReplicaID
-	scheduled bool  // a worker is at work, or will be
-	stopped   bool  // no new use
-	halted    error // why the replica can't go on
-
-	soft       replication.SoftState
-	term       uint64 // at which soft was reported
-	queue      applyQueue
-	progressed *sync.Cond          // with mutex: the queue was worked on, or the shard ended
-	waiters    map[uint64]proposal // by index
-	reads      map[uint64]*read    // by token
-	waiting    []*read             // confirmed, until their index is applied
-	nextToken  uint64
-	orphanedAt time.Time // when leadership was lost with proposals unanswered
-	lastRound  uint64    // newest read round seen, to tell plain heartbeats
-	roster     map[replication.ReplicaID]storage.RosterEntry
-	heard      map[replication.ReplicaID]transport.Address // of peers that the roster lacks
-	staged     *storage.Staging                            // complete, not installed yet
-	fetching   bool
+	scheduled bool  // submitted to the worker pool
+	stopped   bool  // refuses new uses
+	halted    error // the cause, if the replica halted
+
+	softState        replication.SoftState
+	term             uint64 // term of softState
+	queue            applyQueue
+	progressed       *sync.Cond          // uses mutex; the queue advanced, or the shard stopped
+	waiters          map[uint64]proposal // by index
+	unconfirmedReads map[uint64]*read    // by token
+	confirmedReads   []*read             // waiting for their index to be applied
+	nextToken        uint64
+	leadershipLostAt time.Time // when leadership was lost; zero after failStaleProposals
+	lastRound        uint64    // newest read round seen; see canDelay
+	roster           map[replication.ReplicaID]storage.RosterEntry
+	learnedAddresses map[replication.ReplicaID]transport.Address // of peers not in the roster
+	staged           *storage.Staging                            // complete snapshot, not yet installed
+	fetching         bool
 
 	leaderlessSince time.Time
 	quorumLost      bool
 	repair          repairState
-	published       shardObject // what the store holds, as far as this leader knows
+	published       shardObject // last published replica set
 }
 
 var _ ledger.Shard = (*Shard)(nil)
 
-// applyBytes bounds the entries applied at a time, since heartbeats wait
-// meanwhile.
-const applyBytes = 512 << 10
+// maxApplyBytes limits the committed entries of one Ready, which are applied in one
+// transaction.
+const maxApplyBytes = 512 << 10
 
-// heardLimit bounds the peers remembered beside the roster.
-const heardLimit = 64
+// maxLearnedAddresses limits the addresses kept for peers not in the roster.
+const maxLearnedAddresses = 64
 
-// proposal waits for its entry to be applied.
+// proposal is a proposer waiting for its entry to be applied.
 type proposal struct {
 	term uint64
-	done chan outcome // of capacity 1
+	done chan outcome // capacity 1
 }
 
-// outcome answers a proposal or a read.
+// outcome is the result of a proposal.
 type outcome struct {
 	answer []byte
 	err    error
 }
 
-// read waits for its ReadState, then for the applied index.
+// read is a reader that waits for its ReadState and then for its index to be applied.
 type read struct {
 	index uint64
-	done  chan error // of capacity 1
+	done  chan error // capacity 1
 }
 
-// newShard opens the replica's disk and continues from it.
+// newShard opens the replica's disk, calls prepare on it if not nil, and restores
+// the replica from it.
 func newShard(service *Service, id ledger.ShardID, prepare func(*storage.Shard) error) (*Shard, error) {
 	disk, err := service.store.OpenShard(id)
 	if err != nil {
@@ -95,19 +96,19 @@
 		}
 	}
 	s := &Shard{
-		service: service,
-		id:      id,
-		machine: service.options.NewMachine(id),
-		disk:    disk,
-		waiters: map[uint64]proposal{},
-		reads:   map[uint64]*read{},
-		heard:   map[replication.ReplicaID]transport.Address{},
+		service:          service,
+		id:               id,
+		machine:          service.options.NewMachine(id),
+		disk:             disk,
+		waiters:          map[uint64]proposal{},
+		unconfirmedReads: map[uint64]*read{},
+		learnedAddresses: map[replication.ReplicaID]transport.Address{},
 	}
 	s.progressed = sync.NewCond(&s.mutex)
 	return s, s.startCore()
 }
 
-// startCore makes the protocol continue from the disk.
+// startCore starts the protocol from the state on disk.
 func (s *Shard) startCore() error {
 	if err := s.reload(); err != nil {
 		return err
@@ -120,19 +121,19 @@
 		Seed:              uint64(s.replica) ^ uint64(s.id),
 		ElectionTimeout:   s.service.options.ElectionTimeout,
 		HeartbeatInterval: s.service.options.HeartbeatInterval,
-		MaxApplyBytes:     applyBytes,
+		MaxApplyBytes:     maxApplyBytes,
 	})
 	if err != nil {
 		return trace.Wrap(err, "start replica %s of shard %d", s.replica, s.id)
 	}
 	s.core = core
-	s.soft = replication.SoftState{}
+	s.softState = replication.SoftState{}
 	s.leaderlessSince = clock.Now()
 	core.Tick(clock.Now())
 	return nil
 }
 
-// reload rebuilds the machine's caches and the roster from the disk.
+// reload rebuilds the state machine's caches and the roster from disk.
 func (s *Shard) reload() error {
 	view, err := s.disk.NewView()
 	if err != nil {
@@ -150,9 +151,9 @@
 	return trace.Wrap(s.machine.Reload(view), "reload the state machine of shard %d", s.id)
 }
 
-// enter registers a use of the disk; the caller holds the mutex, and calls
-// users.Done afterwards.
-func (s *Shard) enter() error {
+// acquireDisk registers a use of the disk; the caller holds the mutex and must call
+// users.Done when finished.
+func (s *Shard) acquireDisk() error {
 	if s.stopped || s.halted != nil {
 		return ledger.ErrUnavailable
 	}
@@ -183,7 +184,7 @@
 	}
 }
 
-// submit hands data to the protocol, and returns where the outcome arrives.
+// submit proposes data and returns the channel that receives the outcome.
 func (s *Shard) submit(data []byte) (<-chan outcome, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -200,7 +201,7 @@
 	return waiter.done, nil
 }
 
-// refusal translates an error of the protocol that says that nothing was taken.
+// refusal converts a protocol error of a rejected proposal to a ledger error.
 func (s *Shard) refusal(err error) error {
 	switch {
 	case errors.Is(err, replication.ErrNotLeader):
@@ -212,7 +213,8 @@
 	}
 }
 
-// notLeader points to the leader, or says that there is none.
+// notLeader returns a NotLeaderError with the leader's address, or ErrUnavailable if
+// no leader is known.
 func (s *Shard) notLeader() error {
 	leader, known := s.leaderAddress()
 	if !known {
@@ -222,10 +224,10 @@
 }
 
 func (s *Shard) leaderAddress() (transport.Address, bool) {
-	if s.soft.Leader == 0 || s.soft.Leader == s.replica {
+	if s.softState.Leader == 0 || s.softState.Leader == s.replica {
 		return "", false
 	}
-	return s.addressOf(s.soft.Leader)
+	return s.addressOf(s.softState.Leader)
 }
 
 // Read implements ledger.Shard.
@@ -237,7 +239,7 @@
 	return s.readOnce(ctx, confirmed, query)
 }
 
-// readOnce runs a query once the read is confirmed, and ends its use.
+// readOnce runs a query once the read is confirmed, and releases the use of the disk.
 func (s *Shard) readOnce(ctx context.Context, confirmed <-chan error, query func(ledger.Reader) error) error {
 	defer s.users.Done()
 	select {
@@ -256,11 +258,12 @@
 	return query(view)
 }
 
-// submitRead starts a read; if it succeeds, the caller must call users.Done.
+// submitRead starts a linearizable read; if it succeeds, the caller must call
+// users.Done.
 func (s *Shard) submitRead() (<-chan error, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if err := s.enter(); err != nil {
+	if err := s.acquireDisk(); err != nil {
 		return nil, trace.Wrap(err, "read shard %d", s.id)
 	}
 	s.nextToken++
@@ -269,8 +272,8 @@
 		return nil, s.refusal(err)
 	}
 	waiting := &read{done: make(chan error, 1)}
-	s.reads[s.nextToken] = waiting
-	s.proceed()
+	s.unconfirmedReads[s.nextToken] = waiting
+	s.sendOrSchedule()
 	return waiting.done, nil
 }
 
@@ -281,18 +284,18 @@
 	if s.stopped || s.halted != nil {
 		return false, 0
 	}
-	return s.soft.Role == replication.RoleLeader, s.term
+	return s.softState.Role == replication.RoleLeader, s.term
 }
 
-// step takes a message from another replica.
+// step handles a message from another replica.
 func (s *Shard) step(message replication.Message, from transport.Address) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.stopped || s.halted != nil || message.To != s.replica {
 		return
 	}
-	if _, known := s.roster[message.From]; !known && len(s.heard) < heardLimit {
-		s.heard[message.From] = from
+	if _, known := s.roster[message.From]; !known && len(s.learnedAddresses) < maxLearnedAddresses {
+		s.learnedAddresses[message.From] = from
 	}
 	switch message.Type {
 	case replication.MessageSnapshot:
@@ -301,24 +304,24 @@
 		}
 	case replication.MessageAppend:
 		if len(message.Entries) > 0 && !s.service.accepting() {
-			return // a full disk confirms nothing
+			return // never acknowledge what can't be written
 		}
 	}
 	s.stepCore(message)
 }
 
 func (s *Shard) stepCore(message replication.Message) {
-	_ = s.core.Step(message) // an error says that the message had no effect
+	_ = s.core.Step(message) // on error the message was ignored
 	if err := s.core.Err(); err != nil {
 		s.halt(err)
 		return
 	}
-	s.proceed()
+	s.sendOrSchedule()
 }
 
-// proceed sends what need not wait for the disk, or gives the shard to a
-// worker; the caller holds the mutex.
-func (s *Shard) proceed() {
+// sendOrSchedule sends the messages that don't depend on the disk if a worker has
+// the shard, or else schedules it; the caller holds the mutex.
+func (s *Shard) sendOrSchedule() {
 	if s.scheduled {
 		s.sendAll(s.core.Immediate())
 		return
@@ -328,7 +331,7 @@
 	}
 }
 
-// tick passes the time on.
+// tick advances the protocol's clock and checks timeouts.
 func (s *Shard) tick(now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -340,23 +343,23 @@
 		s.halt(err)
 		return
 	}
-	s.watchLeader(now)
-	s.releaseOrphans(now)
-	s.proceed()
+	s.detectQuorumLoss(now)
+	s.failStaleProposals(now)
+	s.sendOrSchedule()
 }
 
-// releaseOrphans answers proposals that were made as a leader and are not
-// resolved soon after leadership was lost.
-func (s *Shard) releaseOrphans(now time.Time) {
-	if s.orphanedAt.IsZero() && len(s.waiters) > 0 && s.core.Status().Role != replication.RoleLeader {
-		s.orphanedAt = now // not reported yet: a worker may hang in the disk
+// failStaleProposals fails with ErrUnknownOutcome the proposals of a former leader
+// that are still unresolved an election timeout after it lost leadership.
+func (s *Shard) failStaleProposals(now time.Time) {
+	if s.leadershipLostAt.IsZero() && len(s.waiters) > 0 && s.core.Status().Role != replication.RoleLeader {
+		s.leadershipLostAt = now // SoftState may be delayed by a hanging disk write
 	}
-	if s.orphanedAt.IsZero() || now.Sub(s.orphanedAt) < s.service.options.ElectionTimeout {
+	if s.leadershipLostAt.IsZero() || now.Sub(s.leadershipLostAt) < s.service.options.ElectionTimeout {
 		return
 	}
-	s.orphanedAt = time.Time{}
+	s.leadershipLostAt = time.Time{}
 	term := s.core.Status().Term
-	leads := s.soft.Role == replication.RoleLeader
+	leads := s.softState.Role == replication.RoleLeader
 	for index, waiter := range s.waiters {
 		if leads && waiter.term == term {
 			continue
@@ -366,13 +369,14 @@
 	}
 }
 
-// watchLeader raises an event when the shard has no leader for long.
-func (s *Shard) watchLeader(now time.Time) {
-	if s.soft.Leader != 0 {
+// detectQuorumLoss logs when the shard has had no leader for NoQuorumAfter, and when
+// it has one again.
+func (s *Shard) detectQuorumLoss(now time.Time) {
+	if s.softState.Leader != 0 {
 		s.leaderlessSince = now
 		if s.quorumLost {
 			s.quorumLost = false
-			eventQuorumBack.Info("shard", s.id, "leader", s.soft.Leader)
+			eventQuorumBack.Info("shard", s.id, "leader", s.softState.Leader)
 		}
 		return
 	}
@@ -384,8 +388,7 @@
 	eventNoQuorum.Error(ledger.ErrUnavailable, "shard", s.id, "replica", s.replica, "members", s.describeMembers())
 }
 
-// halt ends the replica's work until the process restarts; the caller holds
-// the mutex.
+// halt stops the replica until the process restarts; the caller holds the mutex.
 func (s *Shard) halt(cause error) {
 	if s.halted != nil {
 		return
@@ -397,23 +400,23 @@
 	s.service.replicaHalted(cause)
 }
 
-// failAll answers everyone who waits; the caller holds the mutex.
+// failAll fails all waiting proposals and reads; the caller holds the mutex.
 func (s *Shard) failAll() {
 	for index, waiter := range s.waiters {
 		delete(s.waiters, index)
-		waiter.done <- outcome{err: trace.Wrap(ledger.ErrUnknownOutcome, "shard %d stopped here", s.id)}
+		waiter.done <- outcome{err: trace.Wrap(ledger.ErrUnknownOutcome, "replica of shard %d stopped", s.id)}
 	}
-	for token, waiting := range s.reads {
-		delete(s.reads, token)
-		waiting.done <- trace.Wrap(ledger.ErrUnavailable, "shard %d stopped here", s.id)
+	for token, waiting := range s.unconfirmedReads {
+		delete(s.unconfirmedReads, token)
+		waiting.done <- trace.Wrap(ledger.ErrUnavailable, "replica of shard %d stopped", s.id)
 	}
-	for _, waiting := range s.waiting {
-		waiting.done <- trace.Wrap(ledger.ErrUnavailable, "shard %d stopped here", s.id)
+	for _, waiting := range s.confirmedReads {
+		waiting.done <- trace.Wrap(ledger.ErrUnavailable, "replica of shard %d stopped", s.id)
 	}
-	s.waiting = nil
+	s.confirmedReads = nil
 }
 
-// stop refuses new uses and waits for those that run.
+// stop refuses new uses of the disk and waits for the current ones.
 func (s *Shard) stop() {
 	s.mutex.Lock()
 	s.stopped = true
--- a/internal/ledger/replica/status.go
+++ b/internal/ledger/replica/status.go
@@ -16,14 +16,14 @@
 	Shards      []ShardStatus `json:"shards"`
 }
 
-// ShardStatus is a shard as a node sees it. Replicas are known where a
-// replica is, and their lag at the leader.
+// ShardStatus is a node's view of a shard. Replicas is set on nodes that hold a
+// replica; Lag is set only at the leader.
 type ShardStatus struct {
 	Shard    ledger.ShardID    `json:"shard"`
-	Region   string            `json:"region,omitempty"` // in which all replicas lie
+	Region   string            `json:"region,omitempty"` // region that the replicas are restricted to
 	Leader   transport.Address `json:"leader,omitempty"`
 	Term     uint64            `json:"term,omitempty"`
-	Local    string            `json:"local,omitempty"` // this node's role, if it has a replica
+	Local    string            `json:"local,omitempty"` // role of this node's replica, if any
 	Commit   uint64            `json:"commit,omitempty"`
 	Applied  uint64            `json:"applied,omitempty"`
 	NoQuorum bool              `json:"noQuorum,omitempty"`
@@ -31,21 +31,21 @@
 	Replicas []ReplicaStatus   `json:"replicas,omitempty"`
 }
 
-// ReplicaStatus is one replica of a shard.
+// ReplicaStatus is the state of one replica of a shard.
 type ReplicaStatus struct {
 	Replica string `json:"replica"`
 	Node    string `json:"node"`
 	Zone    string `json:"zone"`
 	// State is voter, learner, silent, snapshot or lost-disk.
 	State string `json:"state"`
-	// Lag is the number of entries that the replica lacks, at the leader.
+	// Lag is the number of entries by which the replica trails the leader's log.
 	Lag uint64 `json:"lag"`
 }
 
-// stateVoter is the state of a voter that is there.
+// stateVoter is the State of a healthy voter.
 const stateVoter = "voter"
 
-// Status describes this node's view of the ledger.
+// Status returns this node's view of the ledger.
 func (s *Service) Status() Status {
 	var status Status
 	if store := s.disk(); store != nil {
--- a/internal/ledger/replica/transfer.go
+++ b/internal/ledger/replica/transfer.go
@@ -18,22 +18,23 @@
 )
 
 const (
-	// chunkBytes is the size of a snapshot chunk.
+	// chunkBytes is the target size of a snapshot chunk.
 	chunkBytes = 256 << 10
-	// sessionIdle is when a snapshot that is no longer fetched is closed.
-	sessionIdle = 30 * time.Second
-	// chunkTimeout bounds one call of a transfer.
+	// sessionIdleTimeout is the idle time after which a session is closed.
+	sessionIdleTimeout = 30 * time.Second
+	// chunkTimeout limits one call of a transfer.
 	chunkTimeout = 20 * time.Second
-	// chunkTries bounds the tries for one chunk.
-	chunkTries = 5
+	// maxChunkAttempts limits the attempts to fetch one chunk.
+	maxChunkAttempts = 5
 )
 
 var (
-	errNoSession = errors.New("replica: the snapshot session is over")
-	errGivenUp   = errors.New("replica: the snapshot transfer was given up")
+	errNoSession       = errors.New("replica: snapshot session not found or expired")
+	errTransferAborted = errors.New("replica: snapshot transfer aborted")
 )
 
-// snapshots are the states that this node is sending, each a consistent view.
+// snapshots holds the sessions in which this node sends snapshots, and limits their
+// rate. Each session has a consistent view of a shard's state.
 type snapshots struct {
 	limiter *rate.Limiter
 
@@ -55,10 +56,10 @@
 	}
 }
 
-// open starts a session. The view counts as a use of the shard's disk.
+// open starts a session. It is a use of the shard's disk until it is closed.
 func (n *snapshots) open(shard *Shard, now time.Time) (uint64, replication.SnapshotMarker, error) {
 	shard.mutex.Lock()
-	err := shard.enter()
+	err := shard.acquireDisk()
 	shard.mutex.Unlock()
 	if err != nil {
 		return 0, replication.SnapshotMarker{}, err
@@ -107,8 +108,8 @@
 	session.used = clock.Now()
 }
 
-// expire closes the sessions that have been idle for so long; of one shard
-// only, if it is not nil. It returns how many of them are still in use.
+// expire closes the sessions that have been idle for at least idle, restricted to one
+// shard if it is not nil. It returns the number of sessions still in use.
 func (n *snapshots) expire(now time.Time, idle time.Duration, shard *Shard) int {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -131,15 +132,16 @@
 	return inUse
 }
 
-// closeAll ends the sessions of a shard.
+// closeAll closes the sessions of a shard, waiting for those in use.
 func (n *snapshots) closeAll(shard *Shard) {
 	for n.expire(clock.Now(), 0, shard) > 0 {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// neededFrom is the lowest index that a receiver will need after its snapshot.
-func (n *snapshots) neededFrom(shard ledger.ShardID) uint64 {
+// minNeededIndex returns the lowest snapshot index of a shard's sessions. Their
+// receivers need the log from there.
+func (n *snapshots) minNeededIndex(shard ledger.ShardID) uint64 {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	lowest := ^uint64(0)
@@ -151,31 +153,32 @@
 	return lowest
 }
 
-// prepareSnapshot lets a snapshot message through once its data is staged,
-// with the staged marker; else it starts to fetch. The caller holds the mutex.
+// prepareSnapshot reports whether a snapshot message can be stepped. If its data is
+// staged, it sets the message's marker to the staged one; otherwise it starts a
+// fetch. The caller holds the mutex.
 func (s *Shard) prepareSnapshot(message *replication.Message, from transport.Address) bool {
 	status := s.core.Status()
 	if status.Installing {
-		return false // its data lies where another snapshot would be staged
+		return false // the staging area is in use
 	}
 	if s.staged != nil && s.staged.Marker().Index <= status.Commit {
-		s.staged = nil // the log has overtaken it
+		s.staged = nil // older than the committed log
 	}
 	if s.staged != nil {
 		message.Snapshot = s.staged.Marker()
 		return true
 	}
 	if message.Snapshot.Index <= status.Commit {
-		return true // nothing to fetch; the protocol will say so
+		return true // obsolete; the protocol rejects it
 	}
-	if !s.fetching && message.Term >= status.Term && s.enter() == nil {
+	if !s.fetching && message.Term >= status.Term && s.acquireDisk() == nil {
 		s.fetching = true
 		go s.fetch(*message, from)
 	}
 	return false
 }
 
-// fetch receives the leader's state and then steps its message.
+// fetch receives and stages the leader's state, and then steps its message.
 func (s *Shard) fetch(message replication.Message, from transport.Address) {
 	defer s.users.Done()
 	staging, err := s.receive(from)
@@ -202,7 +205,7 @@
 	if err != nil {
 		return nil, trace.Wrap(err, "open a snapshot at peer %s", from)
 	}
-	var answer snapshotOpenAnswer
+	var answer snapshotOpenResponse
 	fields, err := decode(encoded, &answer, 1)
 	if err != nil {
 		return nil, trace.Wrap(err, "open a snapshot at peer %s", from)
@@ -223,15 +226,14 @@
 	return staging, nil
 }
 
-// receiveChunk fetches and stages the next chunk; lost and damaged ones are
-// asked for again.
+// receiveChunk fetches and stages the next chunk, retrying lost and damaged ones.
 func (s *Shard) receiveChunk(from transport.Address, session uint64, staging *storage.Staging) error {
 	var failure error
-	for range chunkTries {
+	for range maxChunkAttempts {
 		chunk, err := s.callChunk(from, session, staging.After())
 		var remote *transport.RemoteError
 		if errors.As(err, &remote) || s.service.running.Err() != nil || !s.service.accepting() {
-			return trace.Wrap(errors.Join(err, errGivenUp), "fetch a snapshot chunk from peer %s", from)
+			return trace.Wrap(errors.Join(err, errTransferAborted), "fetch a snapshot chunk from peer %s", from)
 		}
 		if err == nil {
 			err = staging.Add(chunk)
--- a/internal/ledger/replica/transfer_test.go
+++ b/internal/ledger/replica/transfer_test.go
@@ -11,18 +11,19 @@
 	"chutelock.dev/chutelock/internal/ledger/storage"
 )
 
-// A stopped shard fetches nothing, so that what prepareSnapshot decides shows.
-func TestSnapshotsThatWereStagedAreUsedOnlyWhileTheyFit(t *testing.T) {
+// Guards against installing an outdated staged snapshot. The shard is stopped so that
+// prepareSnapshot starts no fetch.
+func TestPrepareSnapshotUsesOnlyCurrentStaging(t *testing.T) {
 	for name, test := range map[string]struct {
 		committed, staged, offered uint64
 		installing                 bool
 		passes                     bool
 		keeps                      bool
 	}{
-		"ahead of the log":       {committed: 1, staged: 5, offered: 9, passes: true, keeps: true},
-		"overtaken by the log":   {committed: 7, staged: 5, offered: 9},
-		"nothing left to fetch":  {committed: 9, staged: 5, offered: 9, passes: true},
-		"while one is installed": {committed: 1, staged: 5, offered: 9, installing: true, keeps: true},
+		"staged newer than commit": {committed: 1, staged: 5, offered: 9, passes: true, keeps: true},
+		"staged older than commit": {committed: 7, staged: 5, offered: 9},
+		"offer already committed":  {committed: 9, staged: 5, offered: 9, passes: true},
+		"installation in progress": {committed: 1, staged: 5, offered: 9, installing: true, keeps: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
