--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -17,22 +17,23 @@
 const (
 	dialTimeout      = time.Second
 	handshakeTimeout = 2 * time.Second
-	// writeTimeout closes a connection whose peer takes nothing any more.
+	// writeTimeout bounds a write to a peer that has stopped reading.
 	writeTimeout = 5 * time.Second
-	// keepAlive finds a peer machine that vanished without closing.
+	// keepAlive detects a peer machine that failed without closing its connections.
 	keepAlive = 5 * time.Second
-	// bufferSize is that of each direction of a connection: most frames fit it, and longer
-	// ones go past it. A node of a large fleet has some 100 connections.
-	bufferSize  = 4 << 10
+	// bufferSize is the size of a connection's read and write buffers, in bytes. Larger
+	// frames bypass them.
+	bufferSize = 4 << 10
+	// queueLength is the capacity of a peer's send queue, in frames.
 	queueLength = 4096
-	// answerQueue is the number of answers that wait for one connection; a
-	// handler whose answer finds no place waits.
-	answerQueue = 256
-	// defaultIdleTimeout closes a connection on which nothing is sent or awaited,
-	// so that a node's memory doesn't grow with all peers it ever called.
+	// answerQueueLength is the capacity of an inbound connection's answer queue; a
+	// handler blocks while it is full.
+	answerQueueLength = 256
+	// defaultIdleTimeout closes unused connections, so that memory doesn't grow with the
+	// number of peers ever called.
 	defaultIdleTimeout = 30 * time.Second
-	reconnectWait      = 20 * time.Millisecond
-	reconnectMost      = 500 * time.Millisecond
+	minReconnectDelay  = 20 * time.Millisecond
+	maxReconnectDelay  = 500 * time.Millisecond
 )
 
 // connection is an established, authenticated TCP connection.
@@ -43,13 +44,13 @@
 	input  *session
 	output *session
 	peer   Address
-	// written counts the frames written, and readAt is when the last one came.
-	written atomic.Uint64
-	readAt  atomic.Pointer[time.Time]
+	// lastRead is when the last frame was read; nil before the first.
+	framesWritten atomic.Uint64
+	lastRead      atomic.Pointer[time.Time]
 }
 
-// handshake exchanges nonces in the clear, then proves the key and tells the
-// peers' addresses in the first authenticated frame of each direction.
+// handshake exchanges nonces in the clear. The first frame of each direction then
+// proves knowledge of the key and carries the sender's address.
 func handshake(conn net.Conn, keys *Keyring, self Address) (*connection, error) {
 	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return nil, trace.Wrap(err)
@@ -96,15 +97,15 @@
 		case <-done:
 			return nil
 		case f := <-queue:
-			if err := c.writeAll(f, queue); err != nil {
+			if err := c.writeQueued(f, queue); err != nil {
 				return err
 			}
 		}
 	}
 }
 
-// writeUntilIdle is writeLoop that also ends, with true, when nothing was
-// queued for the idle time-out and idle agrees. A frame queued meanwhile stays
+// writeUntilIdle is like writeLoop, but also returns, with true, when nothing was
+// queued for the timeout and idle reports true. A frame queued after that stays
 // queued, and its call pending.
 func (c *connection) writeUntilIdle(
 	queue <-chan *frame, done <-chan struct{}, timeout time.Duration, idle func() bool,
@@ -121,14 +122,16 @@
 			}
 		case f := <-queue:
 			ticker.Reset(timeout)
-			if err := c.writeAll(f, queue); err != nil {
+			if err := c.writeQueued(f, queue); err != nil {
 				return false
 			}
 		}
 	}
 }
 
-func (c *connection) writeAll(f *frame, queue <-chan *frame) error {
+// writeQueued writes f and the frames already queued, then flushes. The write timeout
+// covers all of them.
+func (c *connection) writeQueued(f *frame, queue <-chan *frame) error {
 	if err := c.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
 	}
@@ -136,7 +139,7 @@
 		if err := c.output.write(c.writer, *f); err != nil {
 			return err
 		}
-		c.written.Add(1)
+		c.framesWritten.Add(1)
 		select {
 		case f = <-queue:
 		default:
@@ -145,29 +148,29 @@
 	}
 }
 
-// lane separates calls, which may carry bulk, from one-way messages, which
-// carry heartbeats: each has its own connection to a peer.
-type lane uint8
+// trafficClass separates calls, whose payloads may be large, from one-way messages,
+// which carry heartbeats. Each class has its own connection to a peer.
+type trafficClass uint8
 
 const (
-	laneCall lane = iota
-	laneMessage
+	classCall trafficClass = iota
+	classMessage
 )
 
 type peerKey struct {
 	address Address
-	lane    lane
+	class   trafficClass
 }
 
-// outgoing is this node's side towards one peer and lane. Its goroutine keeps
-// a connection while there is something to send.
-type outgoing struct {
+// peerClient sends the frames of one traffic class to one peer. Its goroutine connects
+// when there is a frame to send.
+type peerClient struct {
 	key   peerKey
 	node  *Node
 	queue chan *frame
 
-	// users counts the senders that have the value; guarded by the node's mutex.
-	users int
+	// refs counts the senders using the client; guarded by Node.mutex.
+	refs int
 
 	// mutex guards pending; it is taken after Node.mutex, never before.
 	mutex   sync.Mutex
@@ -175,60 +178,61 @@
 }
 
 type pendingCall struct {
-	answer chan frame // buffered by one
+	answer chan frame // capacity 1
 }
 
-// run connects when there is work and reconnects with backoff. Frames that
-// wait while the peer can't be reached are failed or dropped. It ends when nothing was
-// sent for the idle time-out.
-func (o *outgoing) run(stop <-chan struct{}) {
-	wait := backoff.NewExponentialBackOff()
-	wait.InitialInterval = reconnectWait
-	wait.MaxInterval = reconnectMost
-	idle := time.NewTimer(o.node.options.IdleTimeout)
+// run connects when a frame is queued and reconnects with backoff. While the peer is
+// unreachable, queued calls fail and queued messages are dropped. It returns when the
+// client was unused for the idle timeout.
+func (c *peerClient) run(stop <-chan struct{}) {
+	delays := backoff.NewExponentialBackOff()
+	delays.InitialInterval = minReconnectDelay
+	delays.MaxInterval = maxReconnectDelay
+	idle := time.NewTimer(c.node.options.IdleTimeout)
 	defer idle.Stop()
 	for {
 		var first *frame
-		idle.Reset(o.node.options.IdleTimeout)
+		idle.Reset(c.node.options.IdleTimeout)
 		select {
 		case <-stop:
-			o.failPending()
+			c.failPending()
 			return
-		case first = <-o.queue:
+		case first = <-c.queue:
 		case <-idle.C:
-			if o.node.retire(o) {
+			if c.node.removeUnused(c) {
 				return
 			}
 			continue
 		}
-		conn, err := o.dial()
+		conn, err := c.dial()
 		if err != nil {
-			EventPeerUnreachable.Verbose(1, err, "peer", o.key.address)
-			o.failUnsent(first)
-			o.pause(stop, wait.NextBackOff())
+			EventPeerUnreachable.Verbose(1, err, "peer", c.key.address)
+			c.failUnsent(first)
+			c.waitBackoff(stop, delays.NextBackOff())
 			continue
 		}
-		wait.Reset()
-		o.serve(conn, first, stop)
+		delays.Reset()
+		c.serve(conn, first, stop)
 	}
 }
 
-func (o *outgoing) dial() (*connection, error) {
+func (c *peerClient) dial() (*connection, error) {
 	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: keepAlive}
-	conn, err := dialer.Dial("tcp", string(o.key.address))
+	conn, err := dialer.Dial("tcp", string(c.key.address))
 	if err != nil {
-		return nil, trace.Wrap(err, "dialling peer %s", o.key.address)
+		return nil, trace.Wrap(err, "dialling peer %s", c.key.address)
 	}
-	established, err := handshake(conn, o.node.options.Keys, o.node.Address())
+	established, err := handshake(conn, c.node.options.Keys, c.node.Address())
 	if err != nil {
 		conn.Close()
-		return nil, trace.Wrap(err, "greeting peer %s", o.key.address)
+		return nil, trace.Wrap(err, "handshake with peer %s", c.key.address)
 	}
 	return established, nil
 }
 
-func (o *outgoing) pause(stop <-chan struct{}, wait time.Duration) {
-	timer := time.NewTimer(wait)
+// waitBackoff waits for the delay and fails the frames queued meanwhile.
+func (c *peerClient) waitBackoff(stop <-chan struct{}, delay time.Duration) {
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	for {
 		select {
@@ -236,42 +240,45 @@
 			return
 		case <-timer.C:
 			return
-		case f := <-o.queue:
-			o.failUnsent(f)
+		case f := <-c.queue:
+			c.failUnsent(f)
 		}
 	}
 }
 
-// failUnsent fails a call that never left this process.
-func (o *outgoing) failUnsent(f *frame) {
+// failUnsent fails the call of a frame that was never sent, if it is one. A frameHello
+// as the answer stands for ErrNotSent.
+func (c *peerClient) failUnsent(f *frame) {
 	if f.header.Type != frameCall {
 		return
 	}
-	o.mutex.Lock()
-	call, ok := o.pending[f.header.ID]
-	delete(o.pending, f.header.ID)
-	o.mutex.Unlock()
+	c.mutex.Lock()
+	call, ok := c.pending[f.header.ID]
+	delete(c.pending, f.header.ID)
+	c.mutex.Unlock()
 	if ok {
 		call.answer <- frame{header: frameHeader{Type: frameHello}}
 	}
 }
 
-// failPending fails all calls whose fate is open.
-func (o *outgoing) failPending() {
-	o.mutex.Lock()
-	pending := o.pending
-	o.pending = map[uint64]pendingCall{}
-	o.mutex.Unlock()
+// failPending fails all pending calls with ErrBroken.
+func (c *peerClient) failPending() {
+	c.mutex.Lock()
+	pending := c.pending
+	c.pending = map[uint64]pendingCall{}
+	c.mutex.Unlock()
 	for _, call := range pending {
 		close(call.answer)
 	}
 }
 
-func (o *outgoing) serve(conn *connection, first *frame, stop <-chan struct{}) {
+// serve sends first and the queued frames over conn until it breaks, falls idle or stop
+// closes.
+func (c *peerClient) serve(conn *connection, first *frame, stop <-chan struct{}) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		o.readLoop(conn)
+		c.readLoop(conn)
 	}()
 	go func() {
 		select {
@@ -280,68 +287,68 @@
 		}
 		conn.Close()
 	}()
-	var watch sync.WaitGroup
-	watch.Go(func() { o.watch(conn, done) })
-	defer watch.Wait()
+	var monitoring sync.WaitGroup
+	monitoring.Go(func() { c.monitor(conn, done) })
+	defer monitoring.Wait()
 	idle := false
-	if err := conn.writeAll(first, o.queue); err == nil {
-		idle = conn.writeUntilIdle(o.queue, done, o.node.options.IdleTimeout, o.nothingPending)
+	if err := conn.writeQueued(first, c.queue); err == nil {
+		idle = conn.writeUntilIdle(c.queue, done, c.node.options.IdleTimeout, c.nothingPending)
 	}
 	conn.Close()
 	<-done
 	if !idle {
-		o.failPending()
+		c.failPending()
 	}
 }
 
-func (o *outgoing) nothingPending() bool {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	return len(o.pending) == 0
+func (c *peerClient) nothingPending() bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return len(c.pending) == 0
 }
 
-func (o *outgoing) readLoop(conn *connection) {
+func (c *peerClient) readLoop(conn *connection) {
 	for {
 		f, err := conn.input.read(conn.reader)
 		if err != nil {
 			return
 		}
 		now := time.Now()
-		conn.readAt.Store(&now)
-		o.mutex.Lock()
-		call, ok := o.pending[f.header.ID]
-		delete(o.pending, f.header.ID)
-		o.mutex.Unlock()
+		conn.lastRead.Store(&now)
+		c.mutex.Lock()
+		call, ok := c.pending[f.header.ID]
+		delete(c.pending, f.header.ID)
+		c.mutex.Unlock()
 		if ok {
 			call.answer <- f
 		}
 	}
 }
 
-func (o *outgoing) call(ctx context.Context, id uint64, f frame) (frame, error) {
+func (c *peerClient) call(ctx context.Context, id uint64, f frame) (frame, error) {
 	answer := make(chan frame, 1)
-	o.mutex.Lock()
-	o.pending[id] = pendingCall{answer: answer}
-	o.mutex.Unlock()
+	c.mutex.Lock()
+	c.pending[id] = pendingCall{answer: answer}
+	c.mutex.Unlock()
 	defer func() {
-		o.mutex.Lock()
-		delete(o.pending, id)
-		o.mutex.Unlock()
+		c.mutex.Lock()
+		delete(c.pending, id)
+		c.mutex.Unlock()
 	}()
 	select {
-	case o.queue <- &f:
+	case c.queue <- &f:
 	case <-ctx.Done():
-		return frame{}, trace.Wrap(ErrNotSent, "queue to peer %s is full: %v", o.key.address, ctx.Err())
+		return frame{}, trace.Wrap(ErrNotSent, "queue to peer %s is full: %v", c.key.address, ctx.Err())
 	}
 	select {
 	case <-ctx.Done():
-		return frame{}, trace.Wrap(ctx.Err(), "waiting for peer %s", o.key.address)
+		return frame{}, trace.Wrap(ctx.Err(), "waiting for peer %s", c.key.address)
 	case answered, ok := <-answer:
 		if !ok {
-			return frame{}, trace.Wrap(ErrBroken, "calling peer %s", o.key.address)
+			return frame{}, trace.Wrap(ErrBroken, "calling peer %s", c.key.address)
 		}
 		if answered.header.Type == frameHello {
-			return frame{}, trace.Wrap(ErrNotSent, "peer %s can't be reached", o.key.address)
+			return frame{}, trace.Wrap(ErrNotSent, "peer %s is unreachable", c.key.address)
 		}
 		return answered, nil
 	}
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -9,8 +9,8 @@
 	"chutelock.dev/chutelock/internal/wire"
 )
 
-// protocolVersion is sent in every frame and datagram; another version is
-// refused.
+// protocolVersion is sent in every frame and datagram; other versions are
+// rejected.
 const protocolVersion = 1
 
 type frameType uint8
@@ -29,20 +29,20 @@
 	Type      frameType
 	Kind      Kind
 	Code      uint16 // of a frameFailure
-	TimeoutMS uint32 // of a frameCall: how long the caller will wait
-	ID        uint64 // pairs a call with its answer
-	Length    uint32 // of the payload
+	TimeoutMS uint32 // of a frameCall: the caller's timeout, in ms
+	ID        uint64 // matches an answer to its call
+	Length    uint32 // of the payload, in bytes
 }
 
 const headerSize = 1 + 1 + 2 + 2 + 4 + 8 + 4
 
-// maxPayload bounds what a peer may make this process allocate, in bytes.
+// maxPayload bounds the allocation for a received frame, in bytes.
 const maxPayload = wire.MaxField + 4096
 
 var (
-	errFrameTooLong = errors.New("transport: frame longer than the limit")
-	errFrameVersion = errors.New("transport: peer speaks another protocol version")
-	errFrameMAC     = errors.New("transport: frame is not authentic (is the key file the same?)")
+	errFrameTooLong = errors.New("transport: frame exceeds the maximum size")
+	errFrameVersion = errors.New("transport: peer uses another protocol version")
+	errFrameMAC     = errors.New("transport: frame authentication failed (do the key files differ?)")
 )
 
 type frame struct {
@@ -50,16 +50,17 @@
 	payload []byte
 }
 
-// session is one direction of a connection: its MACs cover a nonce of the
-// receiver and a running number, so that a frame can't be replayed, dropped
-// or moved unnoticed.
+// session is the state of one direction of a connection. Its MACs cover the receiver's
+// nonce and a sequence number, so that replayed, dropped and reordered frames are
+// detected.
 type session struct {
 	keys     *Keyring
 	nonce    [16]byte
 	sequence uint64
 }
 
-func (s *session) prefix() []byte {
+// nextMACPrefix returns the nonce and sequence number of the next frame.
+func (s *session) nextMACPrefix() []byte {
 	prefix := make([]byte, 0, len(s.nonce)+8)
 	prefix = append(prefix, s.nonce[:]...)
 	prefix = binary.BigEndian.AppendUint64(prefix, s.sequence)
@@ -74,7 +75,7 @@
 	if _, err := binary.Encode(buffer[:], binary.BigEndian, &f.header); err != nil {
 		return err
 	}
-	sum := s.keys.Sign(s.prefix(), buffer[:], f.payload)
+	sum := s.keys.Sign(s.nextMACPrefix(), buffer[:], f.payload)
 	for _, part := range [][]byte{buffer[:], f.payload, sum} {
 		if _, err := writer.Write(part); err != nil {
 			return err
@@ -106,7 +107,7 @@
 	if _, err := io.ReadFull(reader, sum[:]); err != nil {
 		return frame{}, err
 	}
-	if !s.keys.Verify(sum[:], s.prefix(), buffer[:], f.payload) {
+	if !s.keys.Verify(sum[:], s.nextMACPrefix(), buffer[:], f.payload) {
 		return frame{}, errFrameMAC
 	}
 	return f, nil
--- a/internal/transport/keyring.go
+++ b/internal/transport/keyring.go
@@ -20,23 +20,24 @@
 	minKeySize = 16
 )
 
-// Keyring holds the shared keys that authenticate peers. The first key signs;
-// all verify, so that a key is replaced without a gap: add the new key as the
-// second line everywhere, move it to the first line, then remove the old one.
-// It may be used concurrently.
+// Keyring holds the shared keys that authenticate peers. The first key signs and
+// all keys verify. To rotate without downtime, add the new key as the second line on
+// all machines, then move it to the first line, then remove the old one.
+// It is safe for concurrent use.
 type Keyring struct {
 	path    string
 	keys    atomic.Pointer[[][]byte]
 	content atomic.Pointer[[]byte]
 }
 
-// NewKeyring makes a ring of fixed keys.
+// NewKeyring returns a keyring of fixed keys.
 func NewKeyring(keys ...[]byte) (*Keyring, error) {
 	ring := &Keyring{}
 	return ring, ring.set(keys)
 }
 
-// OpenKeyring reads keys from a file, one hexadecimal key a line.
+// OpenKeyring reads a keyring from a file with one hexadecimal key per line. Blank
+// lines and lines that begin with # are ignored.
 func OpenKeyring(path string) (*Keyring, error) {
 	ring := &Keyring{path: path}
 	if _, err := ring.Reload(); err != nil {
@@ -45,8 +46,8 @@
 	return ring, nil
 }
 
-// Reload reads the file again and says whether the keys changed. On an error
-// the former keys stay in use.
+// Reload reads the file again and reports whether it changed. On an error
+// the previous keys stay in use.
 func (k *Keyring) Reload() (bool, error) {
 	if k.path == "" {
 		return false, nil
@@ -55,7 +56,7 @@
 	if err != nil {
 		return false, trace.ConvertSystemError(err)
 	}
-	if former := k.content.Load(); former != nil && bytes.Equal(*former, content) {
+	if previous := k.content.Load(); previous != nil && bytes.Equal(*previous, content) {
 		return false, nil
 	}
 	var keys [][]byte
@@ -77,7 +78,7 @@
 	return true, nil
 }
 
-// Follow reloads the file each interval until stop closes; report is told of
+// Follow reloads the file each interval until stop closes and calls report after
 // each change or failure.
 func (k *Keyring) Follow(stop <-chan struct{}, interval time.Duration, report func(changed bool, err error)) {
 	ticker := time.NewTicker(interval)
@@ -96,11 +97,11 @@
 
 func (k *Keyring) set(keys [][]byte) error {
 	if len(keys) == 0 {
-		return trace.BadParameter("no key in the ring")
+		return trace.BadParameter("keyring has no keys")
 	}
 	for _, key := range keys {
 		if len(key) < minKeySize {
-			return trace.BadParameter("a key has %d bytes, at least %d are needed", len(key), minKeySize)
+			return trace.BadParameter("key has %d bytes, need at least %d", len(key), minKeySize)
 		}
 	}
 	k.keys.Store(&keys)
@@ -112,7 +113,7 @@
 	return mac((*k.keys.Load())[0], parts)
 }
 
-// Verify says whether sum is the MAC of the parts under any key of the ring.
+// Verify reports whether sum is the MAC of the parts under any key.
 func (k *Keyring) Verify(sum []byte, parts ...[]byte) bool {
 	for _, key := range *k.keys.Load() {
 		if hmac.Equal(sum, mac(key, parts)) {
--- a/internal/transport/metrics.go
+++ b/internal/transport/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// metrics counts control traffic; the capacity page is measured from it.
+// metrics counts the traffic sent to peers by message type and component.
 type metrics struct {
 	bytes   *prometheus.CounterVec
 	sent    *prometheus.CounterVec
@@ -32,16 +32,16 @@
 	return m
 }
 
-var concernNames = map[Kind]string{
+var componentNames = map[Kind]string{
 	KindLedger: "ledger", KindJobs: "jobs", KindSettings: "settings",
 	KindMembership: "membership", KindFleet: "fleet", KindNode: "node",
 }
 
 func (m *metrics) count(messageType string, kind Kind, size int) {
-	concern, ok := concernNames[kind&0xff00]
+	component, ok := componentNames[kind&0xff00]
 	if !ok {
-		concern = fmt.Sprintf("%#x", uint16(kind&0xff00))
+		component = fmt.Sprintf("%#x", uint16(kind&0xff00))
 	}
-	m.bytes.WithLabelValues(messageType, concern).Add(float64(size))
-	m.sent.WithLabelValues(messageType, concern).Inc()
+	m.bytes.WithLabelValues(messageType, component).Add(float64(size))
+	m.sent.WithLabelValues(messageType, component).Inc()
 }
--- a/internal/transport/node.go
+++ b/internal/transport/node.go
@@ -13,12 +13,12 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Errors of Call beside *RemoteError and the end of ctx.
+// Errors of Call other than *RemoteError and those of ctx.
 var (
-	// ErrNotSent says that the request certainly did not reach the peer.
+	// ErrNotSent means that the request did not reach the peer.
 	ErrNotSent = errors.New("transport: not sent")
-	// ErrBroken says that the connection broke before the answer: the peer
-	// may or may not have acted.
+	// ErrBroken means that the connection broke before the answer: the peer
+	// may have handled the request.
 	ErrBroken = errors.New("transport: connection broke before the answer")
 )
 
@@ -28,31 +28,31 @@
 	defaultCallTimeout = 30 * time.Second
 )
 
-// CodeNoHandler is the code of a RemoteError of a call that the peer has no handler for.
+// CodeNoHandler is the RemoteError code of a call whose kind has no handler at the peer.
 const CodeNoHandler = 0xffff
 
 // Options configure a Node.
 type Options struct {
-	// Listen is "ip:port" for TCP and UDP; port 0 takes a free one.
+	// Listen is the "ip:port" for TCP and UDP; port 0 selects a free port.
 	Listen string
 	// Advertise is the "ip:port" at which peers reach this node; empty means
-	// where it listens.
+	// the listening address.
 	Advertise string
 	// Keys authenticates peers; required.
 	Keys *Keyring
-	// Workers bounds the calls that are answered at a time; 0 means 512.
+	// Workers bounds the calls handled concurrently; 0 means 512.
 	Workers int
-	// IdleTimeout closes a connection on which nothing is sent or awaited; 0
-	// means 30 s.
+	// IdleTimeout is the time after which an outbound connection with no queued frames
+	// and no pending calls is closed; 0 means 30 s.
 	IdleTimeout time.Duration
-	// Registry takes the metrics; nil means none.
+	// Registry is where metrics are registered, if not nil.
 	Registry prometheus.Registerer
-	// Allow, when set, is asked before anything is sent to a peer; tests cut
-	// links with it.
+	// Allow, if not nil, reports whether sending to a peer is permitted; tests
+	// simulate partitions with it.
 	Allow func(to Address) bool
 }
 
-// Node is this process's end of the transport. It implements Sender and
+// Node sends and receives this process's messages. It implements Sender and
 // Receiver.
 type Node struct {
 	options  Options
@@ -67,19 +67,19 @@
 	messages  map[Kind]MessageHandler
 	datagrams map[Kind]MessageHandler
 
-	// mutex guards the fields below; it is taken before outgoing.mutex.
+	// mutex guards the fields below; it is taken before peerClient.mutex.
 	mutex   sync.Mutex
-	peers   map[peerKey]*outgoing
+	peers   map[peerKey]*peerClient
 	inbound map[net.Conn]struct{}
 	stopped bool
 	stop    chan struct{}
 	tasks   sync.WaitGroup
 }
 
-// Listen opens the sockets. Handlers are registered next, then Serve starts.
+// Listen opens the sockets. Register the handlers before calling Serve.
 func Listen(options Options) (*Node, error) {
 	if options.Keys == nil {
-		return nil, trace.BadParameter("transport needs a keyring")
+		return nil, trace.BadParameter("transport requires a keyring")
 	}
 	if options.Workers == 0 {
 		options.Workers = defaultWorkers
@@ -87,7 +87,7 @@
 	if options.IdleTimeout == 0 {
 		options.IdleTimeout = defaultIdleTimeout
 	}
-	listener, packets, err := listenBoth(options.Listen)
+	listener, packets, err := listenTCPAndUDP(options.Listen)
 	if err != nil {
 		return nil, err
 	}
@@ -105,18 +105,17 @@
 		calls:     map[Kind]CallHandler{},
 		messages:  map[Kind]MessageHandler{},
 		datagrams: map[Kind]MessageHandler{},
-		peers:     map[peerKey]*outgoing{},
+		peers:     map[peerKey]*peerClient{},
 		inbound:   map[net.Conn]struct{}{},
 		stop:      make(chan struct{}),
 	}, nil
 }
 
-// listenAttempts bounds the search for a port that is free for both TCP and
-// UDP when the port is 0.
+// listenAttempts bounds the attempts to find a port free for both TCP and UDP.
 const listenAttempts = 20
 
-func listenBoth(listen string) (net.Listener, *net.UDPConn, error) {
-	var failure error
+func listenTCPAndUDP(listen string) (net.Listener, *net.UDPConn, error) {
+	var lastErr error
 	for attempt := 0; attempt < listenAttempts; attempt++ {
 		listener, err := net.Listen("tcp", listen)
 		if err != nil {
@@ -128,12 +127,12 @@
 			return listener, packets, nil
 		}
 		listener.Close()
-		failure = err
+		lastErr = err
 	}
-	return nil, nil, trace.Wrap(failure, "listening on UDP %s", listen)
+	return nil, nil, trace.Wrap(lastErr, "listening on UDP %s", listen)
 }
 
-// Address is where peers reach this node.
+// Address returns the address at which peers reach this node.
 func (n *Node) Address() Address { return n.address }
 
 // HandleCall implements Receiver.
@@ -145,7 +144,7 @@
 // HandleDatagram implements Receiver.
 func (n *Node) HandleDatagram(kind Kind, handler MessageHandler) { n.datagrams[kind] = handler }
 
-// Serve starts answering; it returns at once.
+// Serve starts the receiving goroutines and returns.
 func (n *Node) Serve() {
 	n.tasks.Add(2)
 	go n.acceptLoop()
@@ -177,9 +176,9 @@
 	defer cancel()
 	if !n.allowed(to) {
 		<-ctx.Done()
-		return nil, trace.Wrap(ErrNotSent, "peer %s is cut off", to)
+		return nil, trace.Wrap(ErrNotSent, "sending to peer %s is not allowed", to)
 	}
-	peer, err := n.peer(peerKey{to, laneCall})
+	peer, err := n.peer(peerKey{to, classCall})
 	if err != nil {
 		return nil, err
 	}
@@ -208,7 +207,7 @@
 	if !n.allowed(to) {
 		return
 	}
-	peer, err := n.peer(peerKey{to, laneMessage})
+	peer, err := n.peer(peerKey{to, classMessage})
 	if err != nil {
 		return
 	}
@@ -224,7 +223,7 @@
 // Datagram implements Sender.
 func (n *Node) Datagram(to Address, kind Kind, payload []byte) error {
 	if len(payload) > MaxDatagram {
-		return trace.LimitExceeded("datagram of %d bytes, at most %d", len(payload), MaxDatagram)
+		return trace.LimitExceeded("datagram of %d bytes exceeds the maximum of %d", len(payload), MaxDatagram)
 	}
 	if !n.allowed(to) {
 		return nil
@@ -242,23 +241,24 @@
 	return n.options.Allow == nil || n.options.Allow(to)
 }
 
-// peer returns this node's side towards a peer; the caller releases it.
-func (n *Node) peer(key peerKey) (*outgoing, error) {
+// peer returns the client for a peer and traffic class, creating it if needed. The
+// caller must release it.
+func (n *Node) peer(key peerKey) (*peerClient, error) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if n.stopped {
-		return nil, trace.Wrap(ErrNotSent, "this node is stopped")
+		return nil, trace.Wrap(ErrNotSent, "node is stopped")
 	}
 	if peer, ok := n.peers[key]; ok {
-		peer.users++
+		peer.refs++
 		return peer, nil
 	}
-	peer := &outgoing{
+	peer := &peerClient{
 		key:     key,
 		node:    n,
 		queue:   make(chan *frame, queueLength),
 		pending: map[uint64]pendingCall{},
-		users:   1,
+		refs:    1,
 	}
 	n.peers[key] = peer
 	n.tasks.Add(1)
@@ -269,19 +269,20 @@
 	return peer, nil
 }
 
-// release says that a sender needs its side towards a peer no more.
-func (n *Node) release(peer *outgoing) {
+// release drops the reference that peer returned.
+func (n *Node) release(peer *peerClient) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	peer.users--
+	peer.refs--
 }
 
-// retire forgets a side towards a peer that nobody needs: a node would keep a queue and a
-// task for each peer that it ever called. False if somebody came to need it.
-func (n *Node) retire(peer *outgoing) bool {
+// removeUnused removes the client unless it is referenced or has queued frames, and
+// reports whether it did. Otherwise each peer ever called would keep a queue and a
+// goroutine.
+func (n *Node) removeUnused(peer *peerClient) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if peer.users > 0 || len(peer.queue) > 0 {
+	if peer.refs > 0 || len(peer.queue) > 0 {
 		return false
 	}
 	delete(n.peers, peer.key)
@@ -324,7 +325,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	answers := make(chan *frame, answerQueue)
+	answers := make(chan *frame, answerQueueLength)
 	go func() {
 		_ = established.writeLoop(answers, ctx.Done())
 		conn.Close()
@@ -346,7 +347,7 @@
 		}
 	case frameCall:
 		if f.header.Kind == kindPing {
-			pong(f, answers)
+			answerPing(f, answers)
 			return
 		}
 		n.pool.Submit(func() { n.answer(ctx, from, f, answers) })
--- a/internal/transport/node_test.go
+++ b/internal/transport/node_test.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	testKind = KindNode + 1
-	patience = 10 * time.Second
+	testKind    = KindNode + 1
+	testTimeout = 10 * time.Second
 )
 
 type codedError struct{}
@@ -63,11 +63,12 @@
 	return payload, nil
 }
 
-func TestCallsAreAnsweredEachWithItsOwn(t *testing.T) {
+// Guards against answers to the wrong call and error codes that don't reach the caller.
+func TestConcurrentCallsReceiveTheirOwnAnswers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	server := newNode(t, testKeys(t, oldKey), func(n *Node) { n.HandleCall(testKind, echo) })
 	client := newNode(t, testKeys(t, oldKey), nil)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	var wait sync.WaitGroup
 	for i := 0; i < 200; i++ {
@@ -90,7 +91,8 @@
 	g.Expect(remote.Code).To(gomega.BeEquivalentTo(CodeNoHandler))
 }
 
-func TestOneWayMessagesKeepTheirOrder(t *testing.T) {
+// Guards against lost or reordered messages on a healthy connection.
+func TestOneWayMessagesAreDeliveredInOrder(t *testing.T) {
 	g := gomega.NewWithT(t)
 	received := make(chan string, 1000)
 	server := newNode(t, testKeys(t, oldKey), func(n *Node) {
@@ -102,15 +104,16 @@
 		client.Send(server.Address(), testKind, []byte(fmt.Sprint(i)))
 	}
 	for i := 0; i < 500; i++ {
-		g.Eventually(received, patience).Should(gomega.Receive(gomega.Equal(fmt.Sprint(i))))
+		g.Eventually(received, testTimeout).Should(gomega.Receive(gomega.Equal(fmt.Sprint(i))))
 	}
 	g.Expect(client.Datagram(server.Address(), testKind, []byte("!"))).To(gomega.Succeed())
-	g.Eventually(received, patience).Should(gomega.Receive(gomega.Equal(string(client.Address()) + "!")))
+	g.Eventually(received, testTimeout).Should(gomega.Receive(gomega.Equal(string(client.Address()) + "!")))
 	g.Expect(client.Datagram(server.Address(), testKind, make([]byte, MaxDatagram+1))).NotTo(gomega.Succeed())
 }
 
-func TestForeignKeysAreRefusedAndKeysRotateWithoutAGap(t *testing.T) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// Guards against accepting unknown keys and against refused connections during rotation.
+func TestHandshakeRequiresSharedKey(t *testing.T) {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for _, tc := range []struct {
 		name   string
@@ -118,10 +121,10 @@
 		client *Keyring
 		works  bool
 	}{
-		{"other key", testKeys(t, oldKey), testKeys(t, newKey), false},
-		{"server knows the new key too", testKeys(t, oldKey, newKey), testKeys(t, oldKey), true},
+		{"unknown key", testKeys(t, oldKey), testKeys(t, newKey), false},
+		{"server verifies both keys", testKeys(t, oldKey, newKey), testKeys(t, oldKey), true},
 		{"client signs with the new key", testKeys(t, oldKey, newKey), testKeys(t, newKey, oldKey), true},
-		{"old key is removed", testKeys(t, newKey), testKeys(t, newKey, oldKey), true},
+		{"server removed the old key", testKeys(t, newKey), testKeys(t, newKey, oldKey), true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
@@ -137,7 +140,8 @@
 	}
 }
 
-func TestKeyringFileIsReloadedAndChecked(t *testing.T) {
+// Guards against an invalid key file that replaces the keys in use.
+func TestKeyringReloadKeepsKeysOnInvalidFile(t *testing.T) {
 	g := gomega.NewWithT(t)
 	path := filepath.Join(t.TempDir(), "keys")
 	g.Expect(os.WriteFile(path, []byte("# peers\n00112233445566778899aabbccddeeff\n"), 0o600)).To(gomega.Succeed())
@@ -152,11 +156,12 @@
 		g.Expect(os.WriteFile(path, []byte(broken), 0o600)).To(gomega.Succeed())
 		_, err := ring.Reload()
 		g.Expect(err).To(gomega.HaveOccurred())
-		g.Expect(ring.Verify(sum, []byte("x"))).To(gomega.BeTrue(), "former keys stay")
+		g.Expect(ring.Verify(sum, []byte("x"))).To(gomega.BeTrue(), "previous keys stay in use")
 	}
 }
 
-func TestABrokenConnectionLeavesTheOutcomeOpen(t *testing.T) {
+// Guards against reporting a call that the peer received as not sent, and the reverse.
+func TestCallReturnsErrBrokenWhenServerCloses(t *testing.T) {
 	g := gomega.NewWithT(t)
 	entered := make(chan struct{})
 	release := make(chan struct{})
@@ -173,17 +178,18 @@
 		_, err := client.Call(context.Background(), server.Address(), testKind, nil)
 		result <- err
 	}()
-	g.Eventually(entered, patience).Should(gomega.BeClosed())
+	g.Eventually(entered, testTimeout).Should(gomega.BeClosed())
 	go server.Close()
-	g.Eventually(result, patience).Should(gomega.Receive(gomega.MatchError(ErrBroken)))
+	g.Eventually(result, testTimeout).Should(gomega.Receive(gomega.MatchError(ErrBroken)))
 	close(release)
 	g.Eventually(func() error {
 		_, err := client.Call(context.Background(), server.Address(), testKind, nil)
 		return err
-	}, patience).Should(gomega.MatchError(ErrNotSent))
+	}, testTimeout).Should(gomega.MatchError(ErrNotSent))
 }
 
-func TestGarbageOnTheSocketsIsRefused(t *testing.T) {
+// Guards against malformed input that crashes or blocks a server.
+func TestServerAnswersCallsAfterGarbageInput(t *testing.T) {
 	g := gomega.NewWithT(t)
 	server := newNode(t, testKeys(t, oldKey), func(n *Node) { n.HandleCall(testKind, echo) })
 	conn, err := net.Dial("tcp", string(server.Address()))
@@ -212,7 +218,7 @@
 	f.Fuzz(func(t *testing.T, packet []byte) {
 		kind, payload, err := decodeDatagram(ring, packet)
 		if err == nil && string(encodeDatagram(ring, kind, payload)) != string(packet) {
-			t.Fatal("decoded packet does not encode to itself")
+			t.Fatal("re-encoded datagram differs from the input")
 		}
 	})
 }
--- a/internal/transport/silence.go
+++ b/internal/transport/silence.go
@@ -6,72 +6,72 @@
 	"chutelock.dev/chutelock/internal/telemetry"
 )
 
-var eventPeerSilent = telemetry.Define(4310, "peer-connection-silent", "A connection to a peer answered nothing for too long and is closed; the next message opens another.")
+var eventPeerSilent = telemetry.Define(4310, "peer-connection-silent", "A connection to a peer was closed because the peer did not answer a ping in time; the next message opens a new one.")
 
 const (
-	// kindPing is a call that every node answers at once.
+	// kindPing is a call that every node answers without a handler.
 	kindPing Kind = 0x0001
-	// pingInterval is the time between two pings of a connection in use, and
-	// silenceMost how long it may leave one unanswered. A connection may go silent for
-	// good without a reset, while new ones work; messages that want no answer would be
-	// lost on it until the kernel gives up, after minutes.
+	// pingInterval is the time between pings of a connection in use, and maxSilence the
+	// time without any frame after a ping until the connection is closed. A failed path
+	// may drop packets without a reset while new connections work; one-way messages would
+	// be lost until TCP times out, after minutes.
 	pingInterval = 800 * time.Millisecond
-	silenceMost  = 2 * time.Second
+	maxSilence   = 2 * time.Second
 )
 
-// watch closes a connection that has gone silent: it pings while something is sent, and
-// any frame that comes counts as the answer. done closes with the connection.
-func (o *outgoing) watch(conn *connection, done <-chan struct{}) {
+// monitor pings the peer while frames are sent and closes a silent connection. Any
+// received frame counts as an answer. done closes with the connection.
+func (c *peerClient) monitor(conn *connection, done <-chan struct{}) {
 	ticker := time.NewTicker(pingInterval)
 	defer ticker.Stop()
-	var pinged time.Time // the first ping since the last frame; zero if there is none
-	written := uint64(0)
+	var pingedAt time.Time // first ping since the last received frame, or zero
+	lastWritten := uint64(0)
 	for {
 		select {
 		case <-done:
 			return
 		case now := <-ticker.C:
-			if readAt := conn.readAt.Load(); !pinged.IsZero() && readAt != nil && readAt.After(pinged) {
-				pinged = time.Time{}
+			if lastRead := conn.lastRead.Load(); !pingedAt.IsZero() && lastRead != nil && lastRead.After(pingedAt) {
+				pingedAt = time.Time{}
 			}
-			if !pinged.IsZero() && now.Sub(pinged) >= silenceMost {
-				eventPeerSilent.Info("peer", o.key.address, "silent", now.Sub(pinged))
+			if !pingedAt.IsZero() && now.Sub(pingedAt) >= maxSilence {
+				eventPeerSilent.Info("peer", c.key.address, "silent", now.Sub(pingedAt))
 				conn.Close()
 				return
 			}
-			sent := conn.written.Load()
-			if sent == written || conn.readSince(now.Add(-pingInterval)) {
-				continue // nothing is sent, or the peer is heard
+			written := conn.framesWritten.Load()
+			if written == lastWritten || conn.readSince(now.Add(-pingInterval)) {
+				continue // nothing was sent, or a frame was received
 			}
-			written = sent + 1 // and the ping
-			if pinged.IsZero() {
-				pinged = now
+			lastWritten = written + 1 // counts the ping queued below
+			if pingedAt.IsZero() {
+				pingedAt = now
 			}
-			o.ping()
+			c.ping()
 		}
 	}
 }
 
-// readSince says whether a frame came after a time.
-func (c *connection) readSince(at time.Time) bool {
-	readAt := c.readAt.Load()
-	return readAt != nil && readAt.After(at)
+// readSince reports whether a frame was read after the given time.
+func (c *connection) readSince(since time.Time) bool {
+	lastRead := c.lastRead.Load()
+	return lastRead != nil && lastRead.After(since)
 }
 
-// ping queues a ping, if there is room: a full queue is as good.
-func (o *outgoing) ping() {
-	header := frameHeader{Type: frameCall, Kind: kindPing, ID: o.node.nextID.Add(1), TimeoutMS: uint32(silenceMost.Milliseconds())}
+// ping queues a ping unless the queue is full.
+func (c *peerClient) ping() {
+	header := frameHeader{Type: frameCall, Kind: kindPing, ID: c.node.nextID.Add(1), TimeoutMS: uint32(maxSilence.Milliseconds())}
 	select {
-	case o.queue <- &frame{header: header}:
+	case c.queue <- &frame{header: header}:
 	default:
 	}
 }
 
-// pong answers a ping without waiting for a worker.
-func pong(f frame, answers chan<- *frame) {
+// answerPing answers a ping without a worker, so that a busy pool doesn't delay it.
+func answerPing(f frame, answers chan<- *frame) {
 	answer := frame{header: frameHeader{Type: frameAnswer, Kind: kindPing, ID: f.header.ID}}
 	select {
 	case answers <- &answer:
-	default: // answers wait already
+	default: // any queued answer shows that the connection works
 	}
 }
--- a/internal/transport/silence_test.go
+++ b/internal/transport/silence_test.go
@@ -12,47 +12,47 @@
 	"github.com/onsi/gomega"
 )
 
-// hushing passes connections on to a target until they are hushed: then they swallow
-// what comes, either way, and close nothing. New ones pass.
-type hushing struct {
+// silencingProxy forwards connections to a target. silence makes the current ones
+// discard all data in both directions without closing; new ones work.
+type silencingProxy struct {
 	listener net.Listener
 	target   string
 	mutex    sync.Mutex
-	flags    []*atomic.Bool
+	silenced []*atomic.Bool
 }
 
-func newHushing(t *testing.T, target Address) *hushing {
+func newSilencingProxy(t *testing.T, target Address) *silencingProxy {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &hushing{listener: listener, target: string(target)}
-	go h.accept()
+	proxy := &silencingProxy{listener: listener, target: string(target)}
+	go proxy.accept()
 	t.Cleanup(func() { listener.Close() })
-	return h
+	return proxy
 }
 
-func (h *hushing) accept() {
+func (p *silencingProxy) accept() {
 	for {
-		near, err := h.listener.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp", h.target)
+		server, err := net.Dial("tcp", p.target)
 		if err != nil {
-			near.Close()
+			client.Close()
 			continue
 		}
 		silent := &atomic.Bool{}
-		h.mutex.Lock()
-		h.flags = append(h.flags, silent)
-		h.mutex.Unlock()
-		go pass(near, far, silent)
-		go pass(far, near, silent)
+		p.mutex.Lock()
+		p.silenced = append(p.silenced, silent)
+		p.mutex.Unlock()
+		go relay(client, server, silent)
+		go relay(server, client, silent)
 	}
 }
 
-func pass(from, to net.Conn, silent *atomic.Bool) {
+func relay(from, to net.Conn, silent *atomic.Bool) {
 	defer to.Close()
 	buffer := make([]byte, 4096)
 	for {
@@ -70,19 +70,18 @@
 	}
 }
 
-func (h *hushing) hush() {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	for _, silent := range h.flags {
+func (p *silencingProxy) silence() {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	for _, silent := range p.silenced {
 		silent.Store(true)
 	}
 }
 
-func (h *hushing) address() Address { return Address(h.listener.Addr().String()) }
+func (p *silencingProxy) address() Address { return Address(p.listener.Addr().String()) }
 
-// A connection that goes silent for good is left for a new one, by calls and by messages
-// that nobody answers.
-func TestAConnectionThatFallsSilentIsReplaced(t *testing.T) {
+// Guards against calls and one-way messages that stay on a connection that drops all data.
+func TestSilentConnectionIsReplaced(t *testing.T) {
 	g := gomega.NewWithT(t)
 	keys := testKeys(t, oldKey)
 	var messages atomic.Int32
@@ -91,7 +90,7 @@
 		n.HandleMessage(testKind, func(Address, []byte) { messages.Add(1) })
 	})
 	client := newNode(t, keys, nil)
-	proxy := newHushing(t, server.Address())
+	proxy := newSilencingProxy(t, server.Address())
 	call := func() error {
 		ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 		defer cancel()
@@ -100,28 +99,28 @@
 	}
 	g.Expect(call()).To(gomega.Succeed())
 	client.Send(proxy.address(), testKind, nil)
-	g.Eventually(messages.Load, patience).Should(gomega.BeEquivalentTo(1))
-	proxy.hush()
+	g.Eventually(messages.Load, testTimeout).Should(gomega.BeEquivalentTo(1))
+	proxy.silence()
 	g.Expect(call()).NotTo(gomega.Succeed())
-	g.Eventually(call, 2*patience).Should(gomega.Succeed())
+	g.Eventually(call, 2*testTimeout).Should(gomega.Succeed())
 	g.Eventually(func() int32 {
 		client.Send(proxy.address(), testKind, nil)
 		return messages.Load()
-	}, 2*patience, 100*time.Millisecond).Should(gomega.BeNumerically(">", 1))
+	}, 2*testTimeout, 100*time.Millisecond).Should(gomega.BeNumerically(">", 1))
 }
 
-// A peer that holds a call for long is not taken for silent.
-func TestACallThatIsHeldKeepsItsConnection(t *testing.T) {
+// Guards against closing the connection of a call that takes longer than maxSilence.
+func TestSlowCallKeepsItsConnection(t *testing.T) {
 	g := gomega.NewWithT(t)
 	keys := testKeys(t, oldKey)
 	server := newNode(t, keys, func(n *Node) {
 		n.HandleCall(testKind, func(context.Context, Address, []byte) ([]byte, error) {
-			time.Sleep(silenceMost + 2*pingInterval)
+			time.Sleep(maxSilence + 2*pingInterval)
 			return []byte("late"), nil
 		})
 	})
 	client := newNode(t, keys, nil)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	answer, err := client.Call(ctx, server.Address(), testKind, nil)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,10 +1,9 @@
-// Package transport carries messages between chutelock's own processes over
+// Package transport carries messages between chutelock processes over
 // TCP (calls and ordered one-way messages) and UDP (datagrams).
 //
-// The payloads belong to the concerns that send them; transport only frames,
-// authenticates and delivers. A call is answered at most once. A one-way
-// message or datagram may be lost; one-way messages to one peer keep their
-// order while the connection lasts.
+// It frames, authenticates and delivers payloads without interpreting them. A call
+// is answered at most once. One-way messages and datagrams may be lost; one-way
+// messages to a peer keep their order while the connection lasts.
 package transport
 
 import (
@@ -16,10 +15,10 @@
 // Address is a peer's "ip:port". TCP and UDP use the same port.
 type Address string
 
-// Kind names a message type. Each concern owns a range of 256.
+// Kind identifies a message type. Each component has a range of 256 kinds.
 type Kind uint16
 
-// The ranges of message kinds, one for each concern.
+// First kinds of the components' ranges.
 const (
 	KindLedger     Kind = 0x0100
 	KindJobs       Kind = 0x0200
@@ -39,35 +38,34 @@
 // An error reaches the caller as a *RemoteError.
 type CallHandler func(ctx context.Context, from Address, payload []byte) ([]byte, error)
 
-// MessageHandler takes a one-way message or datagram. It must not block.
-// The payload is the handler's to keep.
+// MessageHandler handles a one-way message or datagram. It must not block.
+// It may retain the payload.
 type MessageHandler func(from Address, payload []byte)
 
-// Sender sends to peers. All methods may be called concurrently.
+// Sender sends to peers. Its methods are safe for concurrent use.
 type Sender interface {
-	// Call sends a request and waits for its answer or the end of ctx. An
-	// error that is not a *RemoteError leaves open whether the peer acted.
+	// Call sends a request and waits for its answer or the end of ctx. After an
+	// error other than ErrNotSent and *RemoteError, the peer may have handled it.
 	Call(ctx context.Context, to Address, kind Kind, payload []byte) ([]byte, error)
-	// Send queues an ordered one-way message; it never blocks and drops the
-	// message when the peer's queue is full or the peer can't be reached.
+	// Send queues an ordered one-way message. It never blocks; the message is dropped
+	// if the peer's queue is full or the peer is unreachable.
 	Send(to Address, kind Kind, payload []byte)
 	// Datagram sends one UDP packet of at most MaxDatagram bytes of payload.
 	Datagram(to Address, kind Kind, payload []byte) error
 }
 
-// Receiver registers handlers; all must be registered before Serve.
+// Receiver registers handlers. All must be registered before Node.Serve is called.
 type Receiver interface {
 	HandleCall(kind Kind, handler CallHandler)
 	HandleMessage(kind Kind, handler MessageHandler)
 	HandleDatagram(kind Kind, handler MessageHandler)
 }
 
-// MaxDatagram is the largest datagram payload, in bytes: what fits an
-// Ethernet frame after IP, UDP and this package's own headers.
+// MaxDatagram is the largest datagram payload, in bytes. With the IP, UDP and
+// transport headers it fits an Ethernet frame.
 const MaxDatagram = 1380
 
-// RemoteError is an error that the peer's handler returned: the call did
-// reach the peer and was answered.
+// RemoteError is an error with which the peer answered a call.
 type RemoteError struct {
 	Peer    Address
 	Code    uint16
@@ -79,15 +77,15 @@
 	return fmt.Sprintf("peer %s answered code %d: %s", e.Peer, e.Code, e.Message)
 }
 
-// Unhandled says that an error of a call means that the peer has no handler for calls of
-// its kind, as a node of an earlier version.
+// Unhandled reports whether a call failed because the peer, for example a node of an
+// earlier version, has no handler for its kind.
 func Unhandled(err error) bool {
 	var remote *RemoteError
 	return errors.As(err, &remote) && remote.Code == CodeNoHandler
 }
 
-// CodedError is implemented by a handler's error that wants its code carried
-// to the caller in RemoteError.Code; other errors travel as code 0.
+// CodedError is an error of a handler whose code reaches the caller as
+// RemoteError.Code; other errors have code 0.
 type CodedError interface {
 	error
 	RemoteCode() uint16
