--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,10 +1,9 @@
-// Package wire encodes the messages that chutelock's own processes exchange.
+// Package wire encodes the messages that chutelock processes exchange.
 //
 // A message is a version byte, a fixed-size struct in big-endian
-// encoding/binary form, and any number of variable fields, each preceded by
-// its length in a uint32. Decoders check the version, every length and that
-// nothing is left over, so that a truncated, oversized or foreign message is
-// an error and never a panic.
+// encoding/binary form, and any number of variable-length fields, each preceded
+// by its length as a uint32. Decoders check the version, all lengths and that no
+// bytes remain, so that malformed messages cause errors and never panics.
 package wire
 
 import (
@@ -13,23 +12,24 @@
 	"fmt"
 )
 
-// MaxField is the largest variable field that a decoder accepts, in bytes.
+// MaxField is the maximum length of a decoded variable-length field, in bytes.
 const MaxField = 32 << 20
 
 // Errors that Unmarshal returns, wrapped with details.
 var (
-	// ErrVersion says that the message has another version than expected.
+	// ErrVersion means that the message has an unexpected version.
 	ErrVersion = errors.New("wire: unexpected message version")
-	// ErrLength says that the message is shorter or longer than its lengths say.
+	// ErrLength means that the message is truncated, has trailing bytes, exceeds MaxField
+	// or has an unexpected number of fields.
 	ErrLength = errors.New("wire: message length does not match its content")
 )
 
-// Marshal encodes version, the fixed struct and the variable fields.
+// Marshal encodes the version, the fixed struct and the variable-length fields.
 // Fixed must be a struct, or a pointer to one, of fixed-size fields only.
 func Marshal(version uint8, fixed any, fields ...[]byte) ([]byte, error) {
 	size := binary.Size(fixed)
 	if size < 0 {
-		return nil, fmt.Errorf("wire: %T is not of fixed size", fixed)
+		return nil, fmt.Errorf("wire: %T has fields of variable size", fixed)
 	}
 	total := 1 + size
 	for _, field := range fields {
@@ -49,16 +49,16 @@
 }
 
 // Unmarshal decodes a message into the struct that fixed points to and
-// returns its variable fields, which alias message. It fails with ErrVersion
-// or ErrLength, and when the number of fields differs from wanted; a negative
-// wanted accepts any number.
-func Unmarshal(message []byte, version uint8, fixed any, wanted int) ([][]byte, error) {
+// returns its variable-length fields, which alias message. It returns ErrVersion
+// or ErrLength for an invalid message. The number of fields must be wantFields,
+// unless that is negative.
+func Unmarshal(message []byte, version uint8, fixed any, wantFields int) ([][]byte, error) {
 	size := binary.Size(fixed)
 	if size < 0 {
-		return nil, fmt.Errorf("wire: %T is not of fixed size", fixed)
+		return nil, fmt.Errorf("wire: %T has fields of variable size", fixed)
 	}
 	if len(message) < 1+size {
-		return nil, fmt.Errorf("%w: %T of %d bytes", ErrLength, fixed, len(message))
+		return nil, fmt.Errorf("%w: %T has %d bytes", ErrLength, fixed, len(message))
 	}
 	if message[0] != version {
 		return nil, fmt.Errorf("%w: %T has %d, want %d", ErrVersion, fixed, message[0], version)
@@ -70,8 +70,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("%T: %w", fixed, err)
 	}
-	if wanted >= 0 && len(fields) != wanted {
-		return nil, fmt.Errorf("%w: %T has %d fields, want %d", ErrLength, fixed, len(fields), wanted)
+	if wantFields >= 0 && len(fields) != wantFields {
+		return nil, fmt.Errorf("%w: %T has %d fields, want %d", ErrLength, fixed, len(fields), wantFields)
 	}
 	return fields, nil
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -11,9 +11,10 @@
 	B [4]byte
 }
 
+// Guards against panics and accepted messages that don't re-encode to the same bytes.
 func FuzzUnmarshal(f *testing.F) {
-	good, _ := Marshal(1, sample{A: 7}, []byte("x"), nil)
-	f.Add(good)
+	valid, _ := Marshal(1, sample{A: 7}, []byte("x"), nil)
+	f.Add(valid)
 	f.Add([]byte{1, 0})
 	f.Fuzz(func(t *testing.T, message []byte) {
 		var decoded sample
@@ -21,29 +22,30 @@
 		if err != nil {
 			return
 		}
-		again, err := Marshal(1, decoded, fields...)
+		encoded, err := Marshal(1, decoded, fields...)
 		g := gomega.NewWithT(t)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		g.Expect(again).To(gomega.Equal(message))
+		g.Expect(encoded).To(gomega.Equal(message))
 	})
 }
 
-func TestUnmarshalRefuses(t *testing.T) {
+// Guards against accepting truncated, oversized or mismatched messages.
+func TestUnmarshalRejectsMalformedMessages(t *testing.T) {
 	g := gomega.NewWithT(t)
-	good, err := Marshal(1, sample{A: 7}, []byte("field"))
+	valid, err := Marshal(1, sample{A: 7}, []byte("field"))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	var decoded sample
-	for name, broken := range map[string][]byte{
-		"truncated":     good[:len(good)-1],
-		"empty":         {},
-		"with a tail":   append(append([]byte{}, good...), 0),
-		"field too big": append(append([]byte{}, good[:9]...), 0xff, 0xff, 0xff, 0xff),
+	for name, invalid := range map[string][]byte{
+		"truncated":       valid[:len(valid)-1],
+		"empty":           {},
+		"trailing byte":   append(append([]byte{}, valid...), 0),
+		"oversized field": append(append([]byte{}, valid[:9]...), 0xff, 0xff, 0xff, 0xff),
 	} {
-		_, err := Unmarshal(broken, 1, &decoded, 1)
+		_, err := Unmarshal(invalid, 1, &decoded, 1)
 		g.Expect(err).To(gomega.MatchError(ErrLength), name)
 	}
-	_, err = Unmarshal(good, 2, &decoded, 1)
+	_, err = Unmarshal(valid, 2, &decoded, 1)
 	g.Expect(err).To(gomega.MatchError(ErrVersion))
-	_, err = Unmarshal(good, 1, &decoded, 2)
+	_, err = Unmarshal(valid, 1, &decoded, 2)
 	g.Expect(err).To(gomega.MatchError(ErrLength))
 }
