--- a/internal/apikey/apikey.go
+++ b/internal/apikey/apikey.go
@@ -1,5 +1,5 @@
-// Package apikey reads callers' keys. A key itself is never kept, logged or passed
-// on: all that goes beyond this package is its Hash.
+// Package apikey reads the API keys of requests. Keys are never stored, logged or
+// returned; callers only receive their Hash.
 package apikey
 
 import (
@@ -8,34 +8,35 @@
 	"strings"
 )
 
-// Hash is the SHA-256 of a key. Whoever looks a hash up learns nothing of other
-// keys from the time that it takes: near hashes don't come of near keys.
+// Hash is the SHA-256 hash of a key. The time of a lookup by hash reveals nothing about
+// other keys, since similar keys don't have similar hashes.
 type Hash [sha256.Size]byte
 
-// Of hashes a key.
+// Of returns the hash of a key.
 func Of(key string) Hash { return sha256.Sum256([]byte(key)) }
 
-// Presence says whether a request carries a key.
+// Presence tells whether a request carries a well-formed key.
 type Presence uint8
 
-// Presences of a key.
+// Values of Presence.
 const (
-	// Absent: the request names no key.
+	// Absent means that the request has no Authorization header.
 	Absent Presence = iota
-	// Malformed: what stands in its place can be nobody's key.
+	// Malformed means that the request does not carry exactly one well-formed bearer key.
 	Malformed
-	// Given: the request has one well-formed key.
+	// Given means that the request carries one well-formed key.
 	Given
 )
 
 const (
 	headerName = "Authorization"
 	scheme     = "Bearer "
-	// lengthMost bounds a key, in bytes; the longest in use have some 200.
-	lengthMost = 4096
+	// maxKeyLength is the maximum length of a key, in bytes.
+	maxKeyLength = 4096
 )
 
-// Read returns the hash of the key that a request's header carries.
+// Read returns the hash of the key in a request's header. The hash is zero unless the
+// key is Given.
 func Read(header http.Header) (Hash, Presence) {
 	values := header.Values(headerName)
 	if len(values) == 0 {
@@ -45,15 +46,15 @@
 		return Hash{}, Malformed
 	}
 	key := strings.Trim(values[0][len(scheme):], " ")
-	if key == "" || len(key) > lengthMost || strings.ContainsFunc(key, notInKeys) {
+	if key == "" || len(key) > maxKeyLength || strings.ContainsFunc(key, isInvalidKeyRune) {
 		return Hash{}, Malformed
 	}
 	return Of(key), Given
 }
 
-// Remove takes the key out of a header.
+// Remove deletes the key from a header.
 func Remove(header http.Header) { header.Del(headerName) }
 
-// notInKeys says that a character is in no key: a control character, a blank, or
-// none of ASCII.
-func notInKeys(char rune) bool { return char <= ' ' || char > '~' }
+// isInvalidKeyRune reports whether r may not occur in a key. Only printable ASCII
+// other than space may.
+func isInvalidKeyRune(r rune) bool { return r <= ' ' || r > '~' }
--- a/internal/apikey/apikey_test.go
+++ b/internal/apikey/apikey_test.go
@@ -8,11 +8,12 @@
 	"github.com/onsi/gomega"
 )
 
-func TestOnlyOneWellFormedKeyIsRead(t *testing.T) {
+// Guards against ambiguous or malformed credentials that are taken for a key.
+func TestReadAcceptsOnlyOneWellFormedKey(t *testing.T) {
 	g := gomega.NewWithT(t)
-	for _, one := range []struct {
+	for _, tc := range []struct {
 		values []string
-		wanted Presence
+		want   Presence
 	}{
 		{nil, Absent},
 		{[]string{"Bearer k1"}, Given},
@@ -31,23 +32,24 @@
 		{[]string{"Bearer schlüssel"}, Malformed},
 		{[]string{"Bearer " + strings.Repeat("k", 64<<10)}, Malformed},
 	} {
-		hash, presence := Read(http.Header{headerName: one.values})
-		g.Expect(presence).To(gomega.Equal(one.wanted), "%.40q", one.values)
-		if one.wanted == Given {
-			g.Expect(hash).To(gomega.Equal(Of("k1")), "%q", one.values)
+		hash, presence := Read(http.Header{headerName: tc.values})
+		g.Expect(presence).To(gomega.Equal(tc.want), "%.40q", tc.values)
+		if tc.want == Given {
+			g.Expect(hash).To(gomega.Equal(Of("k1")), "%q", tc.values)
 		} else {
 			g.Expect(hash).To(gomega.Equal(Hash{}))
 		}
 	}
 }
 
+// Guards against a hash without a key and a key without a hash.
 func FuzzRead(f *testing.F) {
 	f.Add("Bearer k1")
 	f.Add("bearer \t")
 	f.Fuzz(func(t *testing.T, value string) {
 		hash, presence := Read(http.Header{headerName: {value}})
 		if (presence == Given) != (hash != Hash{}) || presence == Absent {
-			t.Fatalf("%q: presence %d, hash %x", value, presence, hash)
+			t.Fatalf("Read(%q): presence %d, hash %x", value, presence, hash)
 		}
 	})
 }
