--- a/internal/commandline/commandline.go
+++ b/internal/commandline/commandline.go
@@ -1,5 +1,5 @@
-// Package commandline runs programs that consist of verbs, each with flags of
-// its own.
+// Package commandline dispatches to the verbs (subcommands) of a program, each of
+// which parses its own flags.
 package commandline
 
 import (
@@ -7,10 +7,10 @@
 	"io"
 )
 
-// ExitUsage is the exit code for a wrong command line.
+// ExitUsage is the exit code for an invalid command line.
 const ExitUsage = 2
 
-// Verb is one verb of a program; Run takes the arguments behind it and returns
+// Verb is a subcommand. Run takes the arguments that follow its name and returns
 // the exit code.
 type Verb struct {
 	Name    string
@@ -18,8 +18,8 @@
 	Run     func(arguments []string) int
 }
 
-// Dispatch runs the verb that the first argument names and returns its exit
-// code. Without a known verb it lists them all to help and returns ExitUsage.
+// Dispatch runs the verb named by the first argument and returns its exit code.
+// If there is none, it writes the usage and all verbs to help and returns ExitUsage.
 func Dispatch(program string, verbs []Verb, arguments []string, help io.Writer) int {
 	if len(arguments) > 0 {
 		for _, verb := range verbs {
@@ -28,7 +28,7 @@
 			}
 		}
 	}
-	fmt.Fprintf(help, "usage: %s VERB [flags]; -h after a verb explains it\n", program)
+	fmt.Fprintf(help, "usage: %s VERB [flags]; -h after a verb lists its flags\n", program)
 	for _, verb := range verbs {
 		fmt.Fprintf(help, "  %-10s %s\n", verb.Name, verb.Summary)
 	}
--- a/internal/commandline/commandline_test.go
+++ b/internal/commandline/commandline_test.go
@@ -7,16 +7,17 @@
 	"github.com/onsi/gomega"
 )
 
-func TestDispatchRunsTheNamedVerbOrListsAll(t *testing.T) {
+// Guards against wrong arguments, a lost exit code and an incomplete usage message.
+func TestDispatchRunsVerbOrPrintsUsage(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var given []string
+	var received []string
 	verbs := []Verb{
-		{"other", "not asked for", func([]string) int { return 9 }},
-		{"run", "runs", func(arguments []string) int { given = arguments; return 7 }},
+		{"other", "not selected", func([]string) int { return 9 }},
+		{"run", "runs", func(arguments []string) int { received = arguments; return 7 }},
 	}
 	var help bytes.Buffer
 	g.Expect(Dispatch("p", verbs, []string{"run", "-x", "y"}, &help)).To(gomega.Equal(7))
-	g.Expect(given).To(gomega.Equal([]string{"-x", "y"}))
+	g.Expect(received).To(gomega.Equal([]string{"-x", "y"}))
 	g.Expect(help.String()).To(gomega.BeEmpty())
 	for _, arguments := range [][]string{nil, {"unknown"}} {
 		help.Reset()
