--- a/internal/platform/objecthttp/client.go
+++ b/internal/platform/objecthttp/client.go
@@ -21,24 +21,24 @@
 	apiVersion  = "chutelock.dev/v1"
 )
 
-// DefaultTimeout bounds each call but watches.
+// DefaultTimeout is the timeout of each call except watches.
 const DefaultTimeout = 5 * time.Second
 
-// Options tune a Client.
+// Options configure a Client.
 type Options struct {
-	// Timeout bounds each call but watches.
+	// Timeout bounds each call except watches; 0 means DefaultTimeout.
 	Timeout time.Duration
-	// Silence is how long a watch may bring nothing, not even a bookmark,
-	// before it counts as broken; 0 means that it never does.
-	Silence time.Duration
+	// MaxSilence is the time without events and bookmarks after which a watch fails
+	// with ErrWatchSilent; 0 means no limit.
+	MaxSilence time.Duration
 }
 
-// Client speaks to the platform.
+// Client is a client of the platform's HTTP API.
 type Client struct {
-	base    string
-	calls   *resty.Client
-	watches *http.Client
-	silence time.Duration
+	base        string
+	callClient  *resty.Client
+	watchClient *http.Client
+	maxSilence  time.Duration
 }
 
 var (
@@ -47,21 +47,21 @@
 	_ platform.Machines = (*Client)(nil)
 )
 
-// New returns a client of the platform at address, an IP number with a port.
+// New returns a client of the platform at address, an "ip:port".
 func New(address string, options Options) *Client {
 	if options.Timeout <= 0 {
 		options.Timeout = DefaultTimeout
 	}
 	base := "http://" + address
 	return &Client{
-		base:    base,
-		calls:   resty.New().SetBaseURL(base).SetTimeout(options.Timeout),
-		watches: &http.Client{},
-		silence: options.Silence,
+		base:        base,
+		callClient:  resty.New().SetBaseURL(base).SetTimeout(options.Timeout),
+		watchClient: &http.Client{},
+		maxSilence:  options.MaxSilence,
 	}
 }
 
-// objectBody is an object as it is spoken.
+// objectBody is the JSON form of an object.
 type objectBody struct {
 	APIVersion string          `json:"apiVersion,omitempty"`
 	Kind       string          `json:"kind,omitempty"`
@@ -84,9 +84,9 @@
 	return platform.Object{Kind: kind, Name: b.Metadata.Name, Revision: revision, Spec: b.Spec}, err
 }
 
-func parseRevision(text string) (uint64, error) {
-	revision, err := strconv.ParseUint(text, 10, 64)
-	return revision, trace.Wrap(err, "resourceVersion %q", text)
+func parseRevision(s string) (uint64, error) {
+	revision, err := strconv.ParseUint(s, 10, 64)
+	return revision, trace.Wrap(err, "resourceVersion %q", s)
 }
 
 func formatRevision(revision uint64) string {
@@ -96,7 +96,7 @@
 	return strconv.FormatUint(revision, 10)
 }
 
-// objectPath escapes each part of a name, whose slashes stay.
+// objectPath returns the path of an object. Slashes in its name are not escaped.
 func objectPath(kind, name string) string {
 	parts := strings.Split(name, "/")
 	for i, part := range parts {
@@ -105,7 +105,7 @@
 	return objectsRoot + url.PathEscape(kind) + "/" + strings.Join(parts, "/")
 }
 
-// check turns a failed call into an error with its step and peer.
+// check returns an error that names the platform and the step if a call failed.
 func (c *Client) check(step string, response *resty.Response, err error) error {
 	if err == nil && response.IsSuccess() {
 		return nil
@@ -127,11 +127,11 @@
 	case http.StatusTooManyRequests:
 		return platform.ErrBudget
 	}
-	return trace.BadParameter("answered %s", status)
+	return trace.BadParameter("unexpected status %s", status)
 }
 
-// decodeObject reads a whole answer. One that is cut off is an error like any
-// other: the call may have taken effect.
+// decodeObject decodes the object in an answer. After an error, the call may have taken
+// effect.
 func (c *Client) decodeObject(step, kind string, response *resty.Response) (platform.Object, error) {
 	var body objectBody
 	if err := json.Unmarshal(response.Body(), &body); err != nil {
@@ -143,7 +143,7 @@
 // Get implements platform.Store.
 func (c *Client) Get(ctx context.Context, kind, name string) (platform.Object, error) {
 	step := "get " + kind + "/" + name
-	response, err := c.calls.R().SetContext(ctx).Get(objectPath(kind, name))
+	response, err := c.callClient.R().SetContext(ctx).Get(objectPath(kind, name))
 	if err := c.check(step, response, err); err != nil {
 		return platform.Object{}, err
 	}
@@ -153,7 +153,7 @@
 // List implements platform.Store.
 func (c *Client) List(ctx context.Context, kind string) ([]platform.Object, uint64, error) {
 	step := "list " + kind
-	response, err := c.calls.R().SetContext(ctx).Get(objectsRoot + url.PathEscape(kind))
+	response, err := c.callClient.R().SetContext(ctx).Get(objectsRoot + url.PathEscape(kind))
 	if err := c.check(step, response, err); err != nil {
 		return nil, 0, err
 	}
@@ -185,16 +185,16 @@
 		Metadata:   metadata{Name: object.Name, ResourceVersion: formatRevision(object.Revision)},
 		Spec:       object.Spec,
 	}
-	response, err := c.calls.R().SetContext(ctx).SetBody(body).Put(objectPath(object.Kind, object.Name))
+	response, err := c.callClient.R().SetContext(ctx).SetBody(body).Put(objectPath(object.Kind, object.Name))
 	if err := c.check(step, response, err); err != nil {
 		return platform.Object{}, err
 	}
 	return c.decodeObject(step, object.Kind, response)
 }
 
-// Delete implements platform.Store; revision 0 deletes whatever is there.
+// Delete implements platform.Store; revision 0 deletes any revision.
 func (c *Client) Delete(ctx context.Context, kind, name string, revision uint64) error {
-	call := c.calls.R().SetContext(ctx)
+	call := c.callClient.R().SetContext(ctx)
 	if revision != 0 {
 		call.SetQueryParam("resourceVersion", formatRevision(revision))
 	}
@@ -202,7 +202,7 @@
 	return c.check("delete "+kind+"/"+name, response, err)
 }
 
-// leaseBody is a lease as it is spoken; TTL is written like "5s".
+// leaseBody is the JSON form of a lease; TTL has the format of time.ParseDuration.
 type leaseBody struct {
 	Name    string    `json:"name,omitempty"`
 	Holder  string    `json:"holder"`
@@ -222,10 +222,10 @@
 // Acquire implements platform.Leases.
 func (c *Client) Acquire(ctx context.Context, name, holder string, ttl time.Duration) (platform.Lease, error) {
 	step := "acquire lease " + name
-	response, err := c.calls.R().SetContext(ctx).SetBody(leaseBody{Holder: holder, TTL: ttl.String()}).Post(leasePath(name))
-	failure := c.check(step, response, err)
-	if failure != nil && !errors.Is(failure, platform.ErrConflict) {
-		return platform.Lease{}, failure
+	response, err := c.callClient.R().SetContext(ctx).SetBody(leaseBody{Holder: holder, TTL: ttl.String()}).Post(leasePath(name))
+	acquireErr := c.check(step, response, err)
+	if acquireErr != nil && !errors.Is(acquireErr, platform.ErrConflict) {
+		return platform.Lease{}, acquireErr
 	}
 	var body leaseBody
 	if err := json.Unmarshal(response.Body(), &body); err != nil {
@@ -235,12 +235,12 @@
 	if err != nil {
 		return platform.Lease{}, trace.Wrap(err, "platform %s: %s", c.base, step)
 	}
-	return platform.Lease{Name: body.Name, Holder: body.Holder, Epoch: body.Epoch, TTL: granted, Renewed: body.Renewed}, failure
+	return platform.Lease{Name: body.Name, Holder: body.Holder, Epoch: body.Epoch, TTL: granted, Renewed: body.Renewed}, acquireErr
 }
 
 // Release implements platform.Leases.
 func (c *Client) Release(ctx context.Context, name, holder string, epoch uint64) error {
-	response, err := c.calls.R().SetContext(ctx).
+	response, err := c.callClient.R().SetContext(ctx).
 		SetQueryParam("holder", holder).
 		SetQueryParam("epoch", strconv.FormatUint(epoch, 10)).
 		Delete(leasePath(name))
@@ -249,7 +249,7 @@
 
 // Machines implements platform.Machines.
 func (c *Client) Machines(ctx context.Context) ([]platform.Machine, error) {
-	response, err := c.calls.R().SetContext(ctx).Get("/machines")
+	response, err := c.callClient.R().SetContext(ctx).Get("/machines")
 	if err := c.check("list machines", response, err); err != nil {
 		return nil, err
 	}
@@ -262,15 +262,15 @@
 	return body.Items, nil
 }
 
-// Register lists a machine, or renews or changes it; the machines' side of the
-// list, which nodes use for themselves.
+// Register adds a machine to the list, or renews or updates its entry. Nodes register
+// themselves.
 func (c *Client) Register(ctx context.Context, machine platform.Machine) error {
-	response, err := c.calls.R().SetContext(ctx).SetBody(machine).Post("/machines")
+	response, err := c.callClient.R().SetContext(ctx).SetBody(machine).Post("/machines")
 	return c.check("register "+machine.Name, response, err)
 }
 
-// Deregister takes a machine off the list.
+// Deregister removes a machine from the list.
 func (c *Client) Deregister(ctx context.Context, name string) error {
-	response, err := c.calls.R().SetContext(ctx).Delete("/machines/" + url.PathEscape(name))
+	response, err := c.callClient.R().SetContext(ctx).Delete("/machines/" + url.PathEscape(name))
 	return c.check("deregister "+name, response, err)
 }
--- a/internal/platform/objecthttp/client_test.go
+++ b/internal/platform/objecthttp/client_test.go
@@ -19,7 +19,7 @@
 	"chutelock.dev/chutelock/internal/standin/standintest"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
 func spec(value int) json.RawMessage { return json.RawMessage(fmt.Sprint(value)) }
 
@@ -27,7 +27,8 @@
 	return platform.Object{Kind: platform.KindSetting, Name: name, Revision: revision, Spec: spec(value)}
 }
 
-func TestObjects(t *testing.T) {
+// Guards against lost updates and wrongly escaped object names.
+func TestPutAndDeleteCheckRevision(t *testing.T) {
 	g := gomega.NewWithT(t)
 	ctx := t.Context()
 	client := objecthttp.New(standintest.Platform(t, nil).Address, objecthttp.Options{})
@@ -53,24 +54,24 @@
 	g.Expect(client.Delete(ctx, platform.KindSetting, name, 0)).To(gomega.MatchError(platform.ErrNotFound))
 }
 
-// TestConcurrentWriters: no increment by compare-and-swap is lost, and a watch
-// sees each of them once, in order.
-func TestConcurrentWriters(t *testing.T) {
+// Guards against lost compare-and-swap updates and against watch events that are missing,
+// repeated or out of order.
+func TestWatchDeliversConcurrentWritesInOrder(t *testing.T) {
 	const writers, increments = 4, 25
 	g := gomega.NewWithT(t)
 	client := objecthttp.New(standintest.Platform(t, nil).Address, objecthttp.Options{})
 	_, err := client.Put(t.Context(), setting("counter", 0, 0))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 
-	var tasks sync.WaitGroup
+	var writing sync.WaitGroup
 	for range writers {
-		tasks.Go(func() {
+		writing.Go(func() {
 			for range increments {
 				increment(t, client)
 			}
 		})
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	next := 0
 	errDone := errors.New("done")
@@ -79,7 +80,7 @@
 			return nil
 		}
 		if string(event.Object.Spec) != fmt.Sprint(next) {
-			return fmt.Errorf("saw %s, want %d", event.Object.Spec, next)
+			return fmt.Errorf("watch delivered %s, want %d", event.Object.Spec, next)
 		}
 		next++
 		if next > writers*increments {
@@ -88,7 +89,7 @@
 		return nil
 	})
 	g.Expect(err).To(gomega.MatchError(errDone))
-	tasks.Wait()
+	writing.Wait()
 }
 
 func increment(t *testing.T, client *objecthttp.Client) {
@@ -111,12 +112,12 @@
 	}
 }
 
-// firstEvent watches until an event satisfies wanted.
-func firstEvent(ctx context.Context, client *objecthttp.Client, after uint64, wanted func(platform.Event) bool) (platform.Event, error) {
+// firstEvent watches until an event matches and returns it.
+func firstEvent(ctx context.Context, client *objecthttp.Client, after uint64, matches func(platform.Event) bool) (platform.Event, error) {
 	var found platform.Event
 	errFound := errors.New("found")
 	err := client.Watch(ctx, platform.KindSetting, after, func(event platform.Event) error {
-		if !wanted(event) {
+		if !matches(event) {
 			return nil
 		}
 		found = event
@@ -130,38 +131,40 @@
 
 func isBookmark(event platform.Event) bool { return event.Type == platform.EventBookmark }
 
-func TestWatchBookmarksAndCompaction(t *testing.T) {
+// Guards against missed revisions of other kinds and undetected compaction.
+func TestWatchReportsBookmarksAndCompaction(t *testing.T) {
 	g := gomega.NewWithT(t)
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	running := standintest.Platform(t, nil)
-	client := objecthttp.New(running.Address, objecthttp.Options{})
+	server := standintest.Platform(t, nil)
+	client := objecthttp.New(server.Address, objecthttp.Options{})
 	_, err := client.Put(ctx, setting("a", 0, 1))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	// Another kind moves the revision, which only a bookmark tells.
+	// A write of another kind raises the revision, which only a bookmark reports.
 	other, err := client.Put(ctx, platform.Object{Kind: platform.KindShard, Name: "s", Spec: spec(1)})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	bookmark, err := firstEvent(ctx, client, 0, isBookmark)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(bookmark.Object.Revision).To(gomega.Equal(other.Revision))
 
-	running.Post("/control/compact", nil)
+	server.Post("/control/compact", nil)
 	_, err = firstEvent(ctx, client, other.Revision-1, isBookmark)
 	g.Expect(err).To(gomega.MatchError(platform.ErrCompacted))
 	_, err = firstEvent(ctx, client, other.Revision, isBookmark)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 }
 
-func TestBudget(t *testing.T) {
+// Guards against exceeded watch and request limits reported as other errors.
+func TestExceededLimitsReturnErrBudget(t *testing.T) {
 	g := gomega.NewWithT(t)
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	running := standintest.Platform(t, func(config *standin.Config) {
+	server := standintest.Platform(t, func(config *standin.Config) {
 		config.WatchLimit = 1
 		config.RequestRate = 0.001
 		config.RequestBurst = 3
 	})
-	client := objecthttp.New(running.Address, objecthttp.Options{})
+	client := objecthttp.New(server.Address, objecthttp.Options{})
 	_, err := firstEvent(ctx, client, 0, func(platform.Event) bool {
 		_, refused := firstEvent(ctx, client, 0, isBookmark)
 		g.Expect(refused).To(gomega.MatchError(platform.ErrBudget), "a second watch")
@@ -174,11 +177,12 @@
 	g.Expect(err).To(gomega.MatchError(platform.ErrBudget), "a fourth request")
 }
 
-func TestLeases(t *testing.T) {
+// Guards against a lease held twice and epochs that don't increase.
+func TestLeaseIsExclusiveUntilReleaseOrExpiry(t *testing.T) {
 	g := gomega.NewWithT(t)
 	ctx := t.Context()
-	running := standintest.Platform(t, nil)
-	client := objecthttp.New(running.Address, objecthttp.Options{})
+	server := standintest.Platform(t, nil)
+	client := objecthttp.New(server.Address, objecthttp.Options{})
 	const long, short = time.Hour, 50 * time.Millisecond
 	first, err := client.Acquire(ctx, "zone/a", "x", long)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -194,17 +198,18 @@
 	g.Eventually(func() error {
 		_, err := client.Acquire(ctx, "zone/a", "x", long)
 		return err
-	}, patience).Should(gomega.Succeed(), "the lease lapses")
+	}, testTimeout).Should(gomega.Succeed(), "the lease expires")
 }
 
-func TestMachines(t *testing.T) {
+// Guards against a machine list that keeps machines that left or stopped registering.
+func TestMachineListFollowsRegistration(t *testing.T) {
 	g := gomega.NewWithT(t)
 	ctx := t.Context()
-	running := standintest.Platform(t, func(config *standin.Config) {
+	server := standintest.Platform(t, func(config *standin.Config) {
 		config.Machines = []standin.MachineSetting{{Name: "node", Zone: "z", Role: "node", Address: "127.0.0.1:1"}}
 		config.MachineTTL = 50 * time.Millisecond
 	})
-	client := objecthttp.New(running.Address, objecthttp.Options{})
+	client := objecthttp.New(server.Address, objecthttp.Options{})
 	names := func() string {
 		listed, err := client.Machines(ctx)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -218,54 +223,55 @@
 	g.Expect(client.Register(ctx, platform.Machine{Name: "gone"})).To(gomega.Succeed())
 	g.Expect(client.Deregister(ctx, "gone")).To(gomega.Succeed())
 	g.Expect(names()).NotTo(gomega.ContainSubstring("gone"))
-	g.Eventually(names, patience).Should(gomega.Equal("node"), "who doesn't register again is taken off")
-	running.Post("/control/machines", platform.Machine{Name: "node", Leaving: true})
+	g.Eventually(names, testTimeout).Should(gomega.Equal("node"), "machines that don't renew their registration are removed")
+	server.Post("/control/machines", platform.Machine{Name: "node", Leaving: true})
 	listed, err := client.Machines(ctx)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(listed[0].Leaving).To(gomega.BeTrue())
 }
 
-func TestFaults(t *testing.T) {
+// Guards against failed calls reported as successful and watches that hang.
+func TestClientReportsPlatformFaults(t *testing.T) {
 	g := gomega.NewWithT(t)
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	running := standintest.Platform(t, nil)
-	client := objecthttp.New(running.Address, objecthttp.Options{})
+	server := standintest.Platform(t, nil)
+	client := objecthttp.New(server.Address, objecthttp.Options{})
 
-	running.Inject(fault.Fault{Kind: fault.LostAnswer, Method: "PUT", Count: 1})
+	server.Inject(fault.Fault{Kind: fault.LostAnswer, Method: "PUT", Count: 1})
 	_, err := client.Put(ctx, setting("a", 0, 1))
-	g.Expect(err).To(gomega.HaveOccurred(), "the answer is lost")
+	g.Expect(err).To(gomega.HaveOccurred(), "the answer was lost")
 	written, err := client.Get(ctx, platform.KindSetting, "a")
-	g.Expect(err).NotTo(gomega.HaveOccurred(), "but it took effect")
+	g.Expect(err).NotTo(gomega.HaveOccurred(), "the write took effect")
 
-	running.Inject(fault.Fault{Kind: fault.Failing, Status: 503, Count: 1})
+	server.Inject(fault.Fault{Kind: fault.Failing, Status: 503, Count: 1})
 	_, err = client.Put(ctx, setting("b", 0, 1))
 	g.Expect(err).To(gomega.HaveOccurred())
 	_, err = client.Get(ctx, platform.KindSetting, "b")
-	g.Expect(err).To(gomega.MatchError(platform.ErrNotFound), "an error takes no effect")
+	g.Expect(err).To(gomega.MatchError(platform.ErrNotFound), "the failed write had no effect")
 
-	hasty := objecthttp.New(running.Address, objecthttp.Options{Timeout: 50 * time.Millisecond, Silence: 50 * time.Millisecond})
-	running.Inject(fault.Fault{Kind: fault.Slow, Latency: fault.Duration(time.Hour), Count: 1})
-	_, err = hasty.Get(ctx, platform.KindSetting, "a")
+	impatient := objecthttp.New(server.Address, objecthttp.Options{Timeout: 50 * time.Millisecond, MaxSilence: 50 * time.Millisecond})
+	server.Inject(fault.Fault{Kind: fault.Slow, Latency: fault.Duration(time.Hour), Count: 1})
+	_, err = impatient.Get(ctx, platform.KindSetting, "a")
 	g.Expect(err).To(gomega.HaveOccurred())
 
-	running.Inject(fault.Fault{Kind: fault.StaleWatch, Duration: fault.Duration(time.Hour)})
-	_, err = firstEvent(ctx, hasty, 0, func(platform.Event) bool { return true })
+	server.Inject(fault.Fault{Kind: fault.StaleWatch, Duration: fault.Duration(time.Hour)})
+	_, err = firstEvent(ctx, impatient, 0, func(platform.Event) bool { return true })
 	g.Expect(err).To(gomega.MatchError(objecthttp.ErrWatchSilent))
-	_, err = hasty.Get(ctx, platform.KindSetting, "a")
-	g.Expect(err).NotTo(gomega.HaveOccurred(), "only watches are stale")
-	running.Delete("/control/faults")
+	_, err = impatient.Get(ctx, platform.KindSetting, "a")
+	g.Expect(err).NotTo(gomega.HaveOccurred(), "calls other than watches work")
+	server.Delete("/control/faults")
 	_, err = firstEvent(ctx, client, 0, func(event platform.Event) bool { return event.Object.Revision == written.Revision })
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 
-	running.Inject(fault.Fault{Kind: fault.Pause, Duration: fault.Duration(time.Hour)})
-	_, err = hasty.Get(ctx, platform.KindSetting, "a")
+	server.Inject(fault.Fault{Kind: fault.Pause, Duration: fault.Duration(time.Hour)})
+	_, err = impatient.Get(ctx, platform.KindSetting, "a")
 	g.Expect(err).To(gomega.HaveOccurred())
-	running.Delete("/control/faults")
+	server.Delete("/control/faults")
 
-	running.Inject(fault.Fault{Kind: fault.Down, Duration: fault.Duration(50 * time.Millisecond)})
+	server.Inject(fault.Fault{Kind: fault.Down, Duration: fault.Duration(50 * time.Millisecond)})
 	g.Eventually(func() error {
-		_, err := hasty.Get(ctx, platform.KindSetting, "a")
+		_, err := impatient.Get(ctx, platform.KindSetting, "a")
 		return err
-	}, patience).Should(gomega.Succeed(), "it comes back at the same address")
+	}, testTimeout).Should(gomega.Succeed(), "the platform restarts at the same address")
 }
--- a/internal/platform/objecthttp/doc.go
+++ b/internal/platform/objecthttp/doc.go
@@ -1,8 +1,7 @@
-// Package objecthttp is the platform.Store, platform.Leases and
-// platform.Machines for a platform that speaks HTTP with JSON in the
-// Kubernetes API conventions, as docs/operating/stand-ins.md describes it.
+// Package objecthttp implements platform.Store, platform.Leases and
+// platform.Machines over HTTP and JSON in the Kubernetes API conventions, as
+// docs/operating/stand-ins.md describes.
 //
-// No call is repeated here: an error other than the named ones leaves open
-// whether the call took effect, and only the caller can tell whether trying
-// again is safe.
+// It retries no call: after an error other than those of package platform, the call
+// may have taken effect, and only the caller knows whether a retry is safe.
 package objecthttp
--- a/internal/platform/objecthttp/watch.go
+++ b/internal/platform/objecthttp/watch.go
@@ -15,30 +15,30 @@
 	"chutelock.dev/chutelock/internal/platform"
 )
 
-// Errors of Watch, beside those of package platform.
+// Errors of Watch, in addition to those of package platform.
 var (
-	// ErrWatchEnded: the platform ended the watch; another may follow it.
+	// ErrWatchEnded means that the platform ended the watch; a new one may be started.
 	ErrWatchEnded = errors.New("objecthttp: watch ended")
-	// ErrWatchSilent: not even a bookmark came in time.
+	// ErrWatchSilent means that no event or bookmark was received within Options.MaxSilence.
 	ErrWatchSilent = errors.New("objecthttp: watch silent")
-	// ErrWatchOrder: a revision came that is not above the one before.
+	// ErrWatchOrder means that an event's revision was not above the previous one.
 	ErrWatchOrder = errors.New("objecthttp: watch out of order")
 )
 
 const (
 	eventError = "ERROR"
-	// maxStatus bounds what is read of an error's text, in bytes.
-	maxStatus = 4 << 10
+	// maxErrorBody is how much of an error response is read and discarded, in bytes.
+	maxErrorBody = 4 << 10
 )
 
-// eventBody is one line of a watch.
+// eventBody is the JSON form of a watch event.
 type eventBody struct {
 	Type   string          `json:"type"`
 	Object json.RawMessage `json:"object"`
 }
 
-// Watch implements platform.Store. Bookmarks are asked for and delivered.
-// Revisions rise strictly, but for bookmarks, which may repeat the last one.
+// Watch implements platform.Store. Bookmarks are requested and delivered.
+// Revisions increase strictly, except that a bookmark may repeat the last one.
 func (c *Client) Watch(ctx context.Context, kind string, after uint64, deliver func(platform.Event) error) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -52,24 +52,24 @@
 	if err != nil {
 		return c.watchError(kind, err)
 	}
-	watchdog := c.watchdog(cancel)
+	watchdog := c.startWatchdog(cancel)
 	defer watchdog.Stop()
-	response, err := c.watches.Do(request)
+	response, err := c.watchClient.Do(request)
 	if err != nil {
-		return c.watchError(kind, cause(ctx, err))
+		return c.watchError(kind, contextCause(ctx, err))
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		_, _ = io.CopyN(io.Discard, response.Body, maxStatus)
+		_, _ = io.CopyN(io.Discard, response.Body, maxErrorBody)
 		return c.watchError(kind, statusError(response.StatusCode, response.Status))
 	}
 	decoder := json.NewDecoder(response.Body)
 	for {
 		var body eventBody
 		if err := decoder.Decode(&body); err != nil {
-			return c.watchError(kind, cause(ctx, ended(err)))
+			return c.watchError(kind, contextCause(ctx, mapEOF(err)))
 		}
-		c.feed(watchdog)
+		c.resetWatchdog(watchdog)
 		event, err := body.event(kind)
 		if err != nil {
 			return c.watchError(kind, err)
@@ -89,33 +89,34 @@
 	return trace.Wrap(err, "platform %s: watch %s", c.base, kind)
 }
 
-// noSilence stands for a bound that is never reached.
-const noSilence = 1 << 62
+// unlimitedSilence is a timeout that never expires in practice, about 146 years.
+const unlimitedSilence = 1 << 62
 
-// watchdog ends a watch that is silent for too long.
-func (c *Client) watchdog(cancel context.CancelCauseFunc) *time.Timer {
-	bound := c.silence
-	if bound <= 0 {
-		bound = noSilence
+// startWatchdog cancels a watch with ErrWatchSilent after Options.MaxSilence without a reset.
+func (c *Client) startWatchdog(cancel context.CancelCauseFunc) *time.Timer {
+	timeout := c.maxSilence
+	if timeout <= 0 {
+		timeout = unlimitedSilence
 	}
-	return time.AfterFunc(bound, func() { cancel(ErrWatchSilent) })
+	return time.AfterFunc(timeout, func() { cancel(ErrWatchSilent) })
 }
 
-func (c *Client) feed(watchdog *time.Timer) {
-	if c.silence > 0 {
-		watchdog.Reset(c.silence)
+func (c *Client) resetWatchdog(watchdog *time.Timer) {
+	if c.maxSilence > 0 {
+		watchdog.Reset(c.maxSilence)
 	}
 }
 
-// cause prefers why ctx ended over what that did to the connection.
-func cause(ctx context.Context, err error) error {
+// contextCause returns the cause of ctx's end, or err if ctx has not ended.
+func contextCause(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return context.Cause(ctx)
 	}
 	return err
 }
 
-func ended(err error) error {
+// mapEOF returns ErrWatchEnded for the end of a response body.
+func mapEOF(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return ErrWatchEnded
 	}
