--- a/internal/standin/engine/completions.go
+++ b/internal/standin/engine/completions.go
@@ -15,8 +15,8 @@
 	"chutelock.dev/chutelock/internal/standin/truth"
 )
 
-// shape is what differs between the two completion APIs.
-type shape struct {
+// apiFormat holds the fields that differ between the two completion APIs.
+type apiFormat struct {
 	idPrefix     string
 	object       string
 	streamObject string
@@ -24,14 +24,14 @@
 }
 
 var (
-	completionShape = shape{idPrefix: "cmpl-", object: "text_completion", streamObject: "text_completion"}
-	chatShape       = shape{idPrefix: "chatcmpl-", object: "chat.completion", streamObject: "chat.completion.chunk", chat: true}
+	completionFormat = apiFormat{idPrefix: "cmpl-", object: "text_completion", streamObject: "text_completion"}
+	chatFormat       = apiFormat{idPrefix: "chatcmpl-", object: "chat.completion", streamObject: "chat.completion.chunk", chat: true}
 )
 
-// codeNotRun says that the request was refused before any of it ran.
+// codeNotRun marks a request that was refused before execution.
 const codeNotRun = "not_run"
 
-// retryAfterSeconds is the hint with a refusal because of load.
+// retryAfterSeconds is the Retry-After value of 429 and 503 responses.
 const retryAfterSeconds = "1"
 
 type errorBody struct {
@@ -59,8 +59,8 @@
 	_ = json.NewEncoder(writer).Encode(body)
 }
 
-// complete serves one of the completion APIs.
-func (s *Server) complete(shape shape) http.HandlerFunc {
+// complete returns the handler of one completion API.
+func (s *Server) complete(format apiFormat) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		attempt := request.Header.Get(fault.RequestIDHeader)
 		if attempt == "" {
@@ -77,11 +77,11 @@
 			writeError(writer, refused.status, errorDetail{refused.message, refused.kind, codeNotRun})
 			return
 		}
-		s.answer(writer, request, &response{
-			shape:   shape,
+		s.respond(writer, request, &response{
+			format:  format,
 			parsed:  parsed,
 			stream:  started,
-			shown:   started,
+			source:  started,
 			created: time.Now().Unix(),
 		})
 	}
@@ -95,59 +95,58 @@
 	return truth.ParseRequest(body)
 }
 
-// response is an answer in progress.
+// response is the state of a response in progress.
 type response struct {
-	shape   shape
+	format  apiFormat
 	parsed  truth.Request
 	stream  *stream
 	created int64
-	// shown is the stream whose id and tokens are given; it is another one
-	// only when answers are crossed.
-	shown     *stream
-	duplicate bool
-	late      time.Duration
+	// source is the stream whose ID and tokens are sent: stream itself, or that
+	// of another request under a fault.Crossed.
+	source     *stream
+	duplicate  bool
+	tokenDelay time.Duration
 }
 
-// answer gives the tokens as they come, and cancels when the client leaves.
-func (s *Server) answer(writer http.ResponseWriter, request *http.Request, answered *response) {
-	defer s.cancel(answered.stream, truth.CauseDisconnected)
-	s.distort(request, answered)
+// respond sends the tokens and cancels the stream if the client disconnects.
+func (s *Server) respond(writer http.ResponseWriter, request *http.Request, resp *response) {
+	defer s.cancel(resp.stream, truth.CauseDisconnected)
+	s.applyFaults(request, resp)
 	var err error
-	if answered.parsed.Stream {
-		err = answered.writeStream(request.Context(), writer)
+	if resp.parsed.Stream {
+		err = resp.writeStream(request.Context(), writer)
 	} else {
-		err = answered.writeWhole(request.Context(), writer)
+		err = resp.writeFull(request.Context(), writer)
 	}
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// distort applies the faults that falsify an answer.
-func (s *Server) distort(request *http.Request, answered *response) {
+// applyFaults applies the faults that corrupt or delay a response.
+func (s *Server) applyFaults(request *http.Request, resp *response) {
 	target, now := fault.TargetOf(request), time.Now()
 	if _, found := s.injector.Take(now, fault.Crossed, target); found {
-		answered.shown = s.other(answered.stream)
+		resp.source = s.otherStream(resp.stream)
 	}
 	if _, found := s.injector.Take(now, fault.Duplicate, target); found {
-		answered.duplicate = true
+		resp.duplicate = true
 	}
 	if late, found := s.injector.Take(now, fault.Late, target); found {
-		answered.late = time.Duration(late.Latency)
+		resp.tokenDelay = time.Duration(late.Latency)
 	}
 }
 
-// follow calls give with each new range of tokens until the stream ends.
-func (r *response) follow(ctx context.Context, give func(from, to int) error) (finish, error) {
+// follow calls emit with each new range of tokens until the stream ends.
+func (r *response) follow(ctx context.Context, emit func(from, to int) error) (finish, error) {
 	next := r.stream.from
 	for {
-		// The ending is read before the tokens' number was, so that none is missed.
 		available, ended := r.stream.progress()
 		if available > next {
 			if err := r.delay(ctx); err != nil {
 				return finish{}, err
 			}
-			if err := give(next, available); err != nil {
+			if err := emit(next, available); err != nil {
 				return finish{}, err
 			}
 			next = available
@@ -164,16 +163,16 @@
 }
 
 func (r *response) delay(ctx context.Context) error {
-	if r.late == 0 {
+	if r.tokenDelay == 0 {
 		return nil
 	}
-	sleepUntil(ctx, time.Now().Add(r.late))
+	sleepUntil(ctx, time.Now().Add(r.tokenDelay))
 	return ctx.Err()
 }
 
-func (r *response) id() string { return r.shape.idPrefix + r.shown.attempt }
+func (r *response) id() string { return r.format.idPrefix + r.source.attempt }
 
-// usage is the token count of an answer.
+// usage holds the token counts of a response.
 type usage struct {
 	PromptTokens     int           `json:"prompt_tokens"`
 	CompletionTokens int           `json:"completion_tokens"`
@@ -185,7 +184,7 @@
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// usage counts the whole output, the part before resume_from included.
+// usage returns the token counts, including the tokens before resume_from.
 func (r *response) usage(ended finish) usage {
 	completion := int(r.stream.available.Load())
 	return usage{
@@ -196,14 +195,14 @@
 	}
 }
 
-// quote encodes a string as JSON.
+// quote returns text as a JSON string.
 func quote(text string) string {
 	encoded, _ := json.Marshal(text)
 	return string(encoded)
 }
 
-// writeStream answers with server-sent events. The order of the fields is
-// fixed: a relay finds id, token_index and the text without decoding JSON.
+// writeStream sends the tokens as server-sent events. The order of the fields
+// is fixed, so a proxy finds id, token_index and text without decoding JSON.
 func (r *response) writeStream(ctx context.Context, writer http.ResponseWriter) error {
 	header := writer.Header()
 	header.Set("Content-Type", "text/event-stream")
@@ -212,10 +211,10 @@
 	writer.WriteHeader(http.StatusOK)
 	_ = controller.Flush()
 	start := `data: {"id":` + quote(r.id()) + `,"token_index":`
-	middle := `,"object":"` + r.shape.streamObject + `","created":` + strconv.FormatInt(r.created, 10) +
+	middle := `,"object":"` + r.format.streamObject + `","created":` + strconv.FormatInt(r.created, 10) +
 		`,"model":` + quote(r.parsed.Model) + `,"choices":[{"index":0,`
 	textStart, textEnd := `"text":"`, `","logprobs":null,"finish_reason":null}]}`
-	if r.shape.chat {
+	if r.format.chat {
 		textStart, textEnd = `"delta":{"content":"`, `"},"finish_reason":null}]}`
 	}
 	var event []byte
@@ -225,7 +224,7 @@
 			event = strconv.AppendInt(event, int64(index), 10)
 			event = append(event, middle...)
 			event = append(event, textStart...)
-			event = r.shown.generator.Append(event, index)
+			event = r.source.generator.Append(event, index)
 			event = append(event, textEnd...)
 			event = append(event, "\n\n"...)
 			if err := r.writeEvent(writer, event); err != nil {
@@ -237,7 +236,7 @@
 	if err != nil {
 		return err
 	}
-	if err := r.writeLast(writer, ended, start, middle); err != nil {
+	if err := r.writeFinal(writer, ended, start, middle); err != nil {
 		return err
 	}
 	return controller.Flush()
@@ -254,10 +253,10 @@
 	return err
 }
 
-// writeLast ends a stream with the reason and the usage.
-func (r *response) writeLast(writer io.Writer, ended finish, start, middle string) error {
+// writeFinal sends the last event, with finish_reason and usage, and [DONE].
+func (r *response) writeFinal(writer io.Writer, ended finish, start, middle string) error {
 	content := `"text":"","logprobs":null`
-	if r.shape.chat {
+	if r.format.chat {
 		content = `"delta":{}`
 	}
 	usage, err := json.Marshal(r.usage(ended))
@@ -270,7 +269,7 @@
 	return err
 }
 
-// choice is the one choice of a whole answer.
+// choice is the single choice of a non-streaming response.
 type choice struct {
 	Index        int          `json:"index"`
 	Text         *string      `json:"text,omitempty"`
@@ -283,7 +282,7 @@
 	Content string `json:"content"`
 }
 
-type wholeAnswer struct {
+type fullResponse struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
 	Created int64    `json:"created"`
@@ -292,22 +291,22 @@
 	Usage   usage    `json:"usage"`
 }
 
-// writeWhole answers once with everything.
-func (r *response) writeWhole(ctx context.Context, writer http.ResponseWriter) error {
+// writeFull sends the whole output in one non-streaming response.
+func (r *response) writeFull(ctx context.Context, writer http.ResponseWriter) error {
 	ended, err := r.follow(ctx, func(int, int) error { return nil })
 	if err != nil {
 		return err
 	}
-	text := r.shown.generator.Text(r.stream.from, int(r.stream.available.Load()))
+	text := r.source.generator.Text(r.stream.from, int(r.stream.available.Load()))
 	only := choice{FinishReason: ended.reason}
-	if r.shape.chat {
+	if r.format.chat {
 		only.Message = &chatMessage{Role: "assistant", Content: text}
 	} else {
 		only.Text = &text
 	}
-	writeJSON(writer, http.StatusOK, wholeAnswer{
+	writeJSON(writer, http.StatusOK, fullResponse{
 		ID:      r.id(),
-		Object:  r.shape.object,
+		Object:  r.format.object,
 		Created: r.created,
 		Model:   r.parsed.Model,
 		Choices: []choice{only},
--- a/internal/standin/engine/config.go
+++ b/internal/standin/engine/config.go
@@ -7,56 +7,55 @@
 	"chutelock.dev/chutelock/internal/standin/fault"
 )
 
-// Config is the settings file of an engine stand-in.
+// Config holds the settings of an engine stand-in.
 type Config struct {
 	Name string `koanf:"name" validate:"required"`
 	Zone string `koanf:"zone"`
-	// Region stands in the engine's object in the platform's store.
+	// Region is written to the engine's object in the platform's store.
 	Region string `koanf:"region"`
 	Role   string `koanf:"role"`
-	// Listen is the address of the protocol, Control the one of the control
-	// endpoint, which stays up while the engine is "down".
+	// Listen is the address of the engine's API, Control that of the control
+	// endpoint, which stays up during a fault.Down.
 	Listen  string `koanf:"listen" validate:"required"`
 	Control string `koanf:"control" validate:"required"`
 
 	Models   []string `koanf:"models"`
 	Adapters []string `koanf:"adapters"`
-	// LoadTime is how long a model or adapter takes to load, beside the time
-	// that the weight store takes.
+	// LoadTime is the time to load a model or adapter, excluding the fetch of
+	// its weights.
 	LoadTime time.Duration `koanf:"load_time" validate:"min=0"`
 
 	Scheduler scheduler.Config `koanf:"scheduler"`
-	// QueueLimit is the number of waiting requests from which on more are
-	// refused.
+	// QueueLimit is the maximum number of waiting requests; more are refused.
 	QueueLimit int `koanf:"queue_limit" validate:"min=1"`
-	// ParkedLimit bounds the suspended requests that are remembered.
+	// ParkedLimit is the maximum number of suspended requests kept.
 	ParkedLimit int `koanf:"parked_limit" validate:"min=1"`
-	// MaxBody bounds a request's body, in bytes.
+	// MaxBody is the maximum size of a request body in bytes.
 	MaxBody int64 `koanf:"max_body" validate:"min=1"`
-	// RefuseWhenDraining refuses new requests once the engine is leaving.
+	// RefuseWhenDraining refuses new requests while the engine drains.
 	RefuseWhenDraining bool `koanf:"refuse_when_draining"`
 
-	// ReportEvery is how often the load is measured, ReportLag how old the
-	// measurement is that /metrics tells.
+	// ReportEvery is the interval between load measurements, ReportLag the
+	// minimum age of the measurement that /metrics serves.
 	ReportEvery time.Duration `koanf:"report_every" validate:"min=1ms"`
 	ReportLag   time.Duration `koanf:"report_lag" validate:"min=0"`
-	// EventLag is how late the KV events are.
+	// EventLag is the delay of KV events.
 	EventLag time.Duration `koanf:"event_lag" validate:"min=0"`
-	// BlockBytes is the size of an exported KV block.
+	// BlockBytes is the size of an exported KV block, without its hash.
 	BlockBytes int `koanf:"block_bytes" validate:"min=0"`
 
-	// Platform is the platform's address, an IP number with a port, where the
-	// engine registers and reads weights; empty for none.
+	// Platform is the IP address and port of the platform, where the engine
+	// registers and fetches weights; empty for none.
 	Platform string `koanf:"platform"`
-	// DrainTime bounds how long a planned stop waits for running requests.
+	// DrainTime is the maximum wait for running requests on a planned stop.
 	DrainTime time.Duration `koanf:"drain_time" validate:"min=0"`
 	TruthLog  string        `koanf:"truth_log"`
-	// Seed decides the uses of faults with a probability.
+	// Seed seeds the choice of requests hit by faults with a probability.
 	Seed   uint64        `koanf:"seed"`
 	Faults []fault.Fault `koanf:"faults"`
 }
 
-// DefaultConfig gives the values of the fields that a settings file leaves out.
+// DefaultConfig returns the settings used for fields missing from the file.
 func DefaultConfig() Config {
 	return Config{
 		Name:        "engine",
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -26,9 +26,10 @@
 	"chutelock.dev/chutelock/internal/standin/truth"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-func TestPublishedClient(t *testing.T) {
+// Guards against output or errors that the official OpenAI client can't read.
+func TestOpenAIClientReadsExpectedOutput(t *testing.T) {
 	g := gomega.NewWithT(t)
 	running := standintest.Engine(t, nil)
 	client := openai.NewClient(option.WithBaseURL("http://"+running.Address+"/v1"), option.WithAPIKey("x"), option.WithMaxRetries(0))
@@ -71,7 +72,7 @@
 	g.Expect(refused.Code).To(gomega.Equal("not_run"))
 }
 
-// generate runs a completion to its end.
+// generate runs a completion of one token.
 func generate(t *testing.T, running *standintest.Standin, prompt string) {
 	t.Helper()
 	body, _ := json.Marshal(map[string]any{"model": standintest.Model, "prompt": prompt, "max_tokens": 1})
@@ -87,7 +88,7 @@
 func nextEvent(t *testing.T, lines *bufio.Scanner) engine.KVEvent {
 	t.Helper()
 	if !lines.Scan() {
-		t.Fatalf("the KV events ended: %v", lines.Err())
+		t.Fatalf("KV event stream ended: %v", lines.Err())
 	}
 	var event engine.KVEvent
 	if err := json.Unmarshal(lines.Bytes(), &event); err != nil {
@@ -101,8 +102,8 @@
 	otherPrompt = "fedcba9876543210"
 )
 
-// small has blocks of two tokens, which are eight bytes of a prompt.
-func small(config *engine.Config) {
+// smallCache configures a cache of three blocks of two tokens (eight prompt bytes) each.
+func smallCache(config *engine.Config) {
 	config.Scheduler = scheduler.Config{BlockTokens: 2, Blocks: 3}
 }
 
@@ -114,10 +115,12 @@
 	return texts
 }
 
-func TestKVEventsTellTheCacheAndGaps(t *testing.T) {
+// Guards against wrong block hashes in KV events and against lost events that
+// leave no sequence gap.
+func TestKVEventsReportBlocksAndSequenceGaps(t *testing.T) {
 	g := gomega.NewWithT(t)
-	running := standintest.Engine(t, small)
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	running := standintest.Engine(t, smallCache)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	request, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+running.Address+"/v1/kv/events?after=0", nil)
 	response, err := http.DefaultClient.Do(request)
@@ -131,20 +134,21 @@
 	g.Expect(stored.Type).To(gomega.Equal(engine.KVStored))
 	g.Expect(stored.Blocks).To(gomega.Equal(hashesOf(longPrompt)))
 
-	// Another prompt of the same size needs the memory: one event for what is
-	// removed, which the gap loses, and one for what is stored.
+	// A second prompt evicts the first: the removed event is lost to the gap,
+	// the stored event follows.
 	running.Inject(fault.Fault{Kind: fault.EventGap, Count: 1})
 	generate(t, running, otherPrompt)
 	stored = nextEvent(t, lines)
-	g.Expect(stored.Sequence).To(gomega.BeEquivalentTo(3), "2 is lost")
+	g.Expect(stored.Sequence).To(gomega.BeEquivalentTo(3), "event 2 is lost")
 	g.Expect(stored.Blocks).To(gomega.Equal(hashesOf(otherPrompt)))
 }
 
-func TestKVEventsAreLate(t *testing.T) {
+// Guards against KV events that arrive before EventLag has passed.
+func TestKVEventsDelayedByEventLag(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const lag = 100 * time.Millisecond
 	running := standintest.Engine(t, func(config *engine.Config) {
-		small(config)
+		smallCache(config)
 		config.EventLag = lag
 	})
 	response, err := http.Get("http://" + running.Address + "/v1/kv/events")
@@ -155,37 +159,39 @@
 	g.Expect(time.Since(event.At)).To(gomega.BeNumerically(">=", lag))
 }
 
-func TestKVBlocksMoveToAnotherEngine(t *testing.T) {
+// Guards against exported blocks that another engine can't import, and against
+// the import of blocks of a different size.
+func TestKVExportImportCopiesBlocks(t *testing.T) {
 	g := gomega.NewWithT(t)
-	from, to := standintest.Engine(t, small), standintest.Engine(t, small)
+	from, to := standintest.Engine(t, smallCache), standintest.Engine(t, smallCache)
 	smaller := standintest.Engine(t, func(config *engine.Config) {
-		small(config)
+		smallCache(config)
 		config.BlockBytes = 7
 	})
 	generate(t, from, longPrompt)
-	wanted, _ := json.Marshal(map[string]string{"model": standintest.Model, "prompt": longPrompt})
+	selected, _ := json.Marshal(map[string]string{"model": standintest.Model, "prompt": longPrompt})
 	post := func(running *standintest.Standin, path string, body []byte) (int, []byte) {
 		response, err := http.Post("http://"+running.Address+path, "", bytes.NewReader(body))
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		defer func() { _ = response.Body.Close() }()
-		answer, err := io.ReadAll(response.Body)
+		content, err := io.ReadAll(response.Body)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		return response.StatusCode, answer
+		return response.StatusCode, content
 	}
-	_, blocks := post(from, "/v1/kv/export", wanted)
+	_, blocks := post(from, "/v1/kv/export", selected)
 	g.Expect(blocks).NotTo(gomega.BeEmpty())
-	_, none := post(to, "/v1/kv/export", wanted)
+	_, none := post(to, "/v1/kv/export", selected)
 	g.Expect(none).To(gomega.BeEmpty())
-	_, answer := post(to, "/v1/kv/import", blocks)
-	g.Expect(string(answer)).To(gomega.MatchJSON(`{"blocks":2}`))
-	_, copied := post(to, "/v1/kv/export", wanted)
+	_, content := post(to, "/v1/kv/import", blocks)
+	g.Expect(string(content)).To(gomega.MatchJSON(`{"blocks":2}`))
+	_, copied := post(to, "/v1/kv/export", selected)
 	g.Expect(copied).To(gomega.Equal(blocks))
 	status, _ := post(smaller, "/v1/kv/import", blocks)
 	g.Expect(status).To(gomega.Equal(http.StatusBadRequest), "blocks of another size")
 }
 
-// TestRefusals: what is refused is said to be not run, and did not.
-func TestRefusals(t *testing.T) {
+// Guards against refused requests that run or lack the code not_run.
+func TestRefusedRequestsDoNotRun(t *testing.T) {
 	g := gomega.NewWithT(t)
 	running := standintest.Engine(t, func(config *engine.Config) {
 		config.QueueLimit = 1
@@ -200,8 +206,8 @@
 			return 0, err.Error()
 		}
 		defer func() { _ = response.Body.Close() }()
-		answer, _ := io.ReadAll(response.Body)
-		return response.StatusCode, string(answer)
+		text, _ := io.ReadAll(response.Body)
+		return response.StatusCode, string(text)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -212,9 +218,9 @@
 	}
 	const long = `{"model":"draft","prompt":"x","max_tokens":60000}`
 	go post(ctx, long)
-	g.Eventually(started, patience).Should(gomega.BeTrue())
+	g.Eventually(started, testTimeout).Should(gomega.BeTrue())
 	go post(ctx, long)
-	g.Eventually(accepted, patience).Should(gomega.Equal(2))
+	g.Eventually(accepted, testTimeout).Should(gomega.Equal(2))
 	const valid = `{"model":"draft","prompt":"x","max_tokens":2}`
 	for _, refused := range []struct {
 		body   string
@@ -226,19 +232,19 @@
 		{`{"model":"draft"`, http.StatusBadRequest, "invalid_request_error"},
 		{`{"model":"other","prompt":"x"}`, http.StatusNotFound, "model_not_loaded"},
 	} {
-		status, answer := post(t.Context(), refused.body)
-		g.Expect(status).To(gomega.Equal(refused.status), answer)
-		g.Expect(answer).To(gomega.And(gomega.ContainSubstring(`"not_run"`), gomega.ContainSubstring(refused.kind)))
+		status, text := post(t.Context(), refused.body)
+		g.Expect(status).To(gomega.Equal(refused.status), text)
+		g.Expect(text).To(gomega.And(gomega.ContainSubstring(`"not_run"`), gomega.ContainSubstring(refused.kind)))
 	}
 	running.Post("/control/drain", nil)
-	_, answer := post(t.Context(), valid)
-	g.Expect(answer).To(gomega.ContainSubstring("draining"))
+	_, text := post(t.Context(), valid)
+	g.Expect(text).To(gomega.ContainSubstring("draining"))
 	g.Expect(accepted()).To(gomega.Equal(2))
 }
 
-// TestMachineList: the engine is listed, says that it is leaving, and is taken
-// off in the end.
-func TestMachineList(t *testing.T) {
+// Guards against a machine list that misses an engine or its draining state, or
+// keeps it after its stop.
+func TestRegisterUpdatesMachineList(t *testing.T) {
 	g := gomega.NewWithT(t)
 	listing := standintest.Platform(t, nil)
 	client := objecthttp.New(listing.Address, objecthttp.Options{})
@@ -253,17 +259,17 @@
 			config.Name, config.Zone, config.Platform = "e1", "z", listing.Address
 		})
 		want.Address = running.Address
-		g.Eventually(machines, patience).Should(gomega.Equal([]platform.Machine{want}))
+		g.Eventually(machines, testTimeout).Should(gomega.Equal([]platform.Machine{want}))
 		running.Post("/control/drain", nil)
 		want.Leaving = true
-		g.Eventually(machines, patience).Should(gomega.Equal([]platform.Machine{want}))
+		g.Eventually(machines, testTimeout).Should(gomega.Equal([]platform.Machine{want}))
 	})
 	g.Expect(machines()).To(gomega.BeEmpty())
 }
 
-// TestObjectComesBack: the engine's object is written again after the platform
-// lost it.
-func TestObjectComesBack(t *testing.T) {
+// Guards against an engine object that stays missing after the platform lost
+// its disk.
+func TestRegisterRewritesObjectAfterDiskLoss(t *testing.T) {
 	g := gomega.NewWithT(t)
 	store := standintest.Platform(t, nil)
 	client := objecthttp.New(store.Address, objecthttp.Options{})
@@ -272,14 +278,14 @@
 		_, err := client.Get(t.Context(), platform.KindEngine, "e1")
 		return err
 	}
-	g.Eventually(read, patience).Should(gomega.Succeed())
+	g.Eventually(read, testTimeout).Should(gomega.Succeed())
 	store.Inject(fault.Fault{Kind: fault.DiskLoss})
 	g.Expect(read()).To(gomega.MatchError(platform.ErrNotFound))
-	g.Eventually(read, 2*patience).Should(gomega.Succeed())
+	g.Eventually(read, 2*testTimeout).Should(gomega.Succeed())
 }
 
-// TestLoadReadsWeights: a model is usable only after its weights have come.
-func TestLoadReadsWeights(t *testing.T) {
+// Guards against models that are listed although their weights couldn't be fetched.
+func TestLoadModelRequiresWeights(t *testing.T) {
 	g := gomega.NewWithT(t)
 	store := standintest.Platform(t, nil)
 	running := standintest.Engine(t, func(config *engine.Config) { config.Platform = store.Address })
@@ -294,20 +300,16 @@
 	store.Inject(fault.Fault{Kind: fault.Failing, Path: "/weights/broken"})
 	order("broken")
 	order("fine")
-	g.Eventually(models, patience).Should(gomega.ContainSubstring(`"fine"`))
+	g.Eventually(models, testTimeout).Should(gomega.ContainSubstring(`"fine"`))
 	g.Consistently(models, "50ms").ShouldNot(gomega.ContainSubstring(`"broken"`))
 }
 
-// A request that comes as soon as the engine listens must not stand before the engine's start in
-// the truth log: readers take a start for a crash, forget the attempts before it, and then know of
-// no end of the request (TestLeavingCancelsAtTheEngine waited 10 s for it: accepted, no first
-// token, no end, though the client had its first piece).
-//
-// Why: the start was written by the run loop, a goroutine that the listener doesn't wait for.
-func TestAnEngineHasStartedBeforeItTakesRequests(t *testing.T) {
+// Guards against a request logged before the engine's start: readers take a start for a restart
+// after a crash, discard earlier attempts and never see that request end.
+func TestNewLogsStartBeforeRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
-	ctx, leave := context.WithCancel(t.Context())
-	log := leavingLog{leave: leave}
+	ctx, disconnect := context.WithCancel(t.Context())
+	log := disconnectingLog{disconnect: disconnect}
 	config := engine.DefaultConfig()
 	config.Models = []string{standintest.Model}
 	server, err := engine.New(config, truth.NewLog(&log, config.Name, time.Now))
@@ -328,16 +330,17 @@
 	g.Expect(kinds).To(gomega.Equal([]truth.Kind{truth.KindStarted, truth.KindAccepted, truth.KindEnded}))
 }
 
-// leavingLog is a truth log in memory; its client leaves once a request is accepted.
-type leavingLog struct {
-	lines bytes.Buffer
-	leave func()
+// disconnectingLog stores a truth log in memory and disconnects the client when
+// a request is accepted.
+type disconnectingLog struct {
+	lines      bytes.Buffer
+	disconnect func()
 }
 
 // Write implements io.Writer.
-func (l *leavingLog) Write(line []byte) (int, error) {
+func (l *disconnectingLog) Write(line []byte) (int, error) {
 	if bytes.Contains(line, []byte(truth.KindAccepted)) {
-		l.leave()
+		l.disconnect()
 	}
 	return l.lines.Write(line)
 }
--- a/internal/standin/engine/kv.go
+++ b/internal/standin/engine/kv.go
@@ -15,7 +15,7 @@
 	"chutelock.dev/chutelock/internal/standin/truth"
 )
 
-// KVEventType is what a KV event tells.
+// KVEventType is the kind of cache change that a KV event reports.
 type KVEventType string
 
 // Types of KV events.
@@ -24,21 +24,20 @@
 	KVRemoved KVEventType = "removed"
 )
 
-// KVEvent is one line of the KV-event stream. Sequence numbers rise by one;
-// a reader that finds a gap must treat what it knows of the cache as stale.
+// KVEvent is one line of the KV-event stream. Sequence numbers increase by one;
+// a reader that finds a gap must treat its view of the cache as stale.
 type KVEvent struct {
 	Sequence uint64      `json:"sequence"`
 	At       time.Time   `json:"at"`
 	Type     KVEventType `json:"type"`
-	// Blocks are prefix hashes in hexadecimal, see scheduler.HashBlocks.
+	// Blocks holds hexadecimal prefix hashes, see scheduler.HashBlocks.
 	Blocks []string `json:"blocks"`
 }
 
-// eventCapacity is the number of KV events kept for readers that come late.
+// eventCapacity is the maximum number of KV events kept for readers.
 const eventCapacity = 16384
 
-// eventLog keeps the newest KV events. Under its lock only the injector's is
-// taken.
+// eventLog keeps the newest KV events. Lock order: mutex, then the injector's.
 type eventLog struct {
 	lag time.Duration
 
@@ -52,8 +51,8 @@
 	return &eventLog{lag: lag, changed: make(chan struct{})}
 }
 
-// add appends the changes of one step. An injected gap takes the sequence
-// number but loses the event.
+// add appends the changes of one step. A fault.EventGap uses up a sequence
+// number and drops the event.
 func (l *eventLog) add(now time.Time, stored, removed []uint64, injector *fault.Injector) {
 	if len(stored) == 0 && len(removed) == 0 {
 		return
@@ -80,7 +79,7 @@
 	l.changed = make(chan struct{})
 }
 
-// FormatHash writes a block's hash as the protocol does.
+// FormatHash returns a block hash in hexadecimal, as the API encodes it.
 func FormatHash(hash uint64) string { return strconv.FormatUint(hash, 16) }
 
 func formatHashes(hashes []uint64) []string {
@@ -91,8 +90,9 @@
 	return texts
 }
 
-// after returns the events behind a sequence number that are old enough to be
-// told, when the next one will be, and what announces new ones.
+// after returns the events past a sequence number that are at least lag old,
+// the time at which the next one will be (zero if none is pending), and a
+// channel that is closed on the next add.
 func (l *eventLog) after(sequence uint64, now time.Time) (due []KVEvent, next time.Time, changed <-chan struct{}) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -100,15 +100,15 @@
 		if event.Sequence <= sequence {
 			continue
 		}
-		if tellable := event.At.Add(l.lag); tellable.After(now) {
-			return due, tellable, l.changed
+		if dueAt := event.At.Add(l.lag); dueAt.After(now) {
+			return due, dueAt, l.changed
 		}
 		due = append(due, event)
 	}
 	return due, time.Time{}, l.changed
 }
 
-// streamEvents answers with KV events as JSON lines, from ?after= on.
+// streamEvents streams the KV events past ?after= as JSON lines.
 func (s *Server) streamEvents(writer http.ResponseWriter, request *http.Request) {
 	sequence, _ := strconv.ParseUint(request.URL.Query().Get("after"), 10, 64)
 	writer.Header().Set("Content-Type", "application/x-ndjson")
@@ -144,19 +144,19 @@
 	}
 }
 
-// blockRequest names the blocks of a prompt, or blocks by their hashes.
+// blockRequest selects blocks by their hashes or, if Blocks is empty, by prompt.
 type blockRequest struct {
 	Model  string   `json:"model"`
 	Prompt string   `json:"prompt"`
 	Blocks []string `json:"blocks"`
 }
 
-func (s *Server) hashesOf(wanted blockRequest) ([]uint64, error) {
-	if len(wanted.Blocks) == 0 {
-		return scheduler.HashBlocks(wanted.Model, []byte(wanted.Prompt), s.blockTokens(), truth.TokenBytes), nil
+func (s *Server) requestedHashes(selected blockRequest) ([]uint64, error) {
+	if len(selected.Blocks) == 0 {
+		return scheduler.HashBlocks(selected.Model, []byte(selected.Prompt), s.blockTokens(), truth.TokenBytes), nil
 	}
-	hashes := make([]uint64, len(wanted.Blocks))
-	for i, text := range wanted.Blocks {
+	hashes := make([]uint64, len(selected.Blocks))
+	for i, text := range selected.Blocks {
 		hash, err := strconv.ParseUint(text, 16, 64)
 		if err != nil {
 			return nil, err
@@ -166,17 +166,17 @@
 	return hashes, nil
 }
 
-// hashBytes is the size of a block's hash before its content.
+// hashBytes is the size of the hash that precedes a block's content.
 const hashBytes = 8
 
-// exportBlocks answers with the leading blocks of a prompt that are cached,
-// each as its hash and its content.
+// exportBlocks sends the leading cached blocks of a prompt, each as its hash
+// followed by its content.
 func (s *Server) exportBlocks(writer http.ResponseWriter, request *http.Request) {
-	var wanted blockRequest
-	err := json.NewDecoder(http.MaxBytesReader(writer, request.Body, s.config.MaxBody)).Decode(&wanted)
+	var selected blockRequest
+	err := json.NewDecoder(http.MaxBytesReader(writer, request.Body, s.config.MaxBody)).Decode(&selected)
 	var hashes []uint64
 	if err == nil {
-		hashes, err = s.hashesOf(wanted)
+		hashes, err = s.requestedHashes(selected)
 	}
 	if err != nil {
 		writeError(writer, http.StatusBadRequest, errorDetail{err.Error(), "invalid_request_error", "invalid_blocks"})
@@ -195,13 +195,13 @@
 	}
 }
 
-// importAnswer tells how many leading blocks are cached now.
-type importAnswer struct {
+// importResponse reports how many leading blocks are cached after an import.
+type importResponse struct {
 	Blocks int `json:"blocks"`
 }
 
-// importBlocks takes what exportBlocks gave at another engine. Blocks of
-// another size are refused, because their content would be wrong.
+// importBlocks caches the blocks that another engine's exportBlocks sent. It
+// refuses blocks of a different size, because their content would be wrong.
 func (s *Server) importBlocks(writer http.ResponseWriter, request *http.Request) {
 	var hashes []uint64
 	block := make([]byte, hashBytes+s.config.BlockBytes)
@@ -219,5 +219,5 @@
 	s.mutex.Lock()
 	imported := s.scheduler.Import(hashes)
 	s.mutex.Unlock()
-	writeJSON(writer, http.StatusOK, importAnswer{Blocks: imported})
+	writeJSON(writer, http.StatusOK, importResponse{Blocks: imported})
 }
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -16,18 +16,18 @@
 	"chutelock.dev/chutelock/internal/standin/truth"
 )
 
-// codeFenced says that an order's token was lower than one seen before.
+// codeFenced marks an order whose fencing token is below the highest accepted one.
 const codeFenced = "fenced"
 
-// orderAnswer tells the highest token seen.
-type orderAnswer struct {
+// orderResponse reports the highest fencing token accepted.
+type orderResponse struct {
 	Token uint64       `json:"token"`
 	Error *errorDetail `json:"error,omitempty"`
 }
 
-// order takes a fenced order. Loading and unloading go on after the answer;
-// /v1/models and /metrics tell when they are done.
-func (s *Server) order(writer http.ResponseWriter, request *http.Request) {
+// handleOrder accepts a fenced order. Loading continues after the response;
+// /v1/models and /metrics show when it is done.
+func (s *Server) handleOrder(writer http.ResponseWriter, request *http.Request) {
 	var ordered client.Order
 	if err := json.NewDecoder(http.MaxBytesReader(writer, request.Body, s.config.MaxBody)).Decode(&ordered); err != nil {
 		writeError(writer, http.StatusBadRequest, errorDetail{err.Error(), "invalid_request_error", "invalid_order"})
@@ -37,13 +37,13 @@
 		writeError(writer, http.StatusBadRequest, errorDetail{"unknown verb or empty target", "invalid_request_error", "invalid_order"})
 		return
 	}
-	highest, accepted := s.accept(ordered)
+	highest, accepted := s.acceptOrder(ordered)
 	if !accepted {
 		detail := errorDetail{"the order's token is lower than one seen before", "conflict", codeFenced}
-		writeJSON(writer, http.StatusConflict, orderAnswer{Token: highest, Error: &detail})
+		writeJSON(writer, http.StatusConflict, orderResponse{Token: highest, Error: &detail})
 		return
 	}
-	writeJSON(writer, http.StatusAccepted, orderAnswer{Token: highest})
+	writeJSON(writer, http.StatusAccepted, orderResponse{Token: highest})
 }
 
 func knownVerb(verb client.OrderVerb) bool {
@@ -54,9 +54,9 @@
 	return false
 }
 
-// accept checks the token and begins to carry the order out. A later order for
-// the same target makes the present one void if it isn't done yet.
-func (s *Server) accept(ordered client.Order) (uint64, bool) {
+// acceptOrder checks the fencing token and starts the order. A later order for
+// the same target supersedes a load that is still running.
+func (s *Server) acceptOrder(ordered client.Order) (uint64, bool) {
 	entry := truth.Entry{Kind: truth.KindOrder, Name: string(ordered.Verb) + " " + ordered.Target, Token: ordered.Token}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -83,7 +83,7 @@
 	return s.token, true
 }
 
-// load fetches the weights and makes the target usable.
+// load fetches the weights and lists the target as loaded.
 func (s *Server) load(ordered client.Order, serial uint64) {
 	if err := s.fetchWeights(context.Background(), ordered); err != nil {
 		EventLoadFailed.Error(err, "engine", s.config.Name, "target", ordered.Target)
@@ -102,7 +102,7 @@
 	s.adapters[ordered.Target] = ordered.Version
 }
 
-// fetchWeights reads the target's weights from the platform, if there is one.
+// fetchWeights reads the target's weights from the platform, if one is configured.
 func (s *Server) fetchWeights(ctx context.Context, ordered client.Order) error {
 	if s.config.Platform == "" {
 		return nil
@@ -122,18 +122,18 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return trace.BadParameter("weights of %s: platform answered %s", ordered.Target, response.Status)
+		return trace.BadParameter("weights of %s: platform returned %s", ordered.Target, response.Status)
 	}
 	_, err = io.Copy(io.Discard, response.Body)
 	return trace.Wrap(err, "weights of %s", ordered.Target)
 }
 
 type modelList struct {
-	Object string      `json:"object"`
-	Data   []modelItem `json:"data"`
+	Object string       `json:"object"`
+	Data   []modelEntry `json:"data"`
 }
 
-type modelItem struct {
+type modelEntry struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
 	Created int64  `json:"created"`
@@ -141,13 +141,13 @@
 	Version string `json:"version,omitempty"`
 }
 
-// listModels tells the loaded models and adapters as they are, without lag.
+// listModels sends the models and adapters loaded now, without ReportLag.
 func (s *Server) listModels(writer http.ResponseWriter, _ *http.Request) {
-	list := modelList{Object: "list", Data: []modelItem{}}
+	list := modelList{Object: "list", Data: []modelEntry{}}
 	s.mutex.Lock()
 	for _, loaded := range []map[string]string{s.models, s.adapters} {
 		for name, version := range loaded {
-			list.Data = append(list.Data, modelItem{ID: name, Object: "model", OwnedBy: s.config.Name, Version: version})
+			list.Data = append(list.Data, modelEntry{ID: name, Object: "model", OwnedBy: s.config.Name, Version: version})
 		}
 	}
 	s.mutex.Unlock()
@@ -155,37 +155,37 @@
 	writeJSON(writer, http.StatusOK, list)
 }
 
-// suspend parks all running attempts of a request.
+// suspend suspends all running attempts of a request.
 func (s *Server) suspend(writer http.ResponseWriter, request *http.Request) {
-	id := requestOf(request.PathValue("id"))
+	id := requestIDOf(request.PathValue("id"))
 	s.mutex.Lock()
 	changed := false
 	for _, running := range slices.Clone(s.requests[id]) {
-		changed = s.park(running) || changed
+		changed = s.suspendStream(running) || changed
 	}
 	s.mutex.Unlock()
-	answerChanged(writer, changed)
+	respondChanged(writer, changed)
 }
 
-// cancelRequest ends all attempts of a request and drops its suspended state.
+// cancelRequest cancels all attempts of a request and drops its suspended state.
 func (s *Server) cancelRequest(writer http.ResponseWriter, request *http.Request) {
-	id := requestOf(request.PathValue("id"))
+	id := requestIDOf(request.PathValue("id"))
 	s.mutex.Lock()
-	running, parked := slices.Clone(s.requests[id]), s.parked[id]
+	running, suspended := slices.Clone(s.requests[id]), s.suspended[id]
 	for _, cancelled := range running {
 		_ = s.scheduler.Cancel(cancelled.id)
 		s.remove(cancelled, finish{reason: reasonCancelled, cause: truth.CauseCancelled, promptTokens: cancelled.promptTokens})
 	}
-	if parked != nil {
-		_ = s.scheduler.Cancel(parked.id)
-		s.unpark(id)
+	if suspended != nil {
+		_ = s.scheduler.Cancel(suspended.id)
+		s.dropSuspended(id)
 	}
 	s.mutex.Unlock()
-	answerChanged(writer, len(running) > 0 || parked != nil)
+	respondChanged(writer, len(running) > 0 || suspended != nil)
 }
 
-// answerChanged answers 404 if there was nothing to change.
-func answerChanged(writer http.ResponseWriter, changed bool) {
+// respondChanged responds 204, or 404 if nothing changed.
+func respondChanged(writer http.ResponseWriter, changed bool) {
 	if !changed {
 		writeError(writer, http.StatusNotFound, errorDetail{"no such request is running", "not_found", "not_running"})
 		return
--- a/internal/standin/engine/register.go
+++ b/internal/standin/engine/register.go
@@ -13,34 +13,34 @@
 	"chutelock.dev/chutelock/internal/standin/fault"
 )
 
-// registerEvery is the time between registrations with the platform.
-const registerEvery = time.Second
+// registerInterval is the interval between registrations with the platform.
+const registerInterval = time.Second
 
-// publishEvery is the number of registrations between looks at the engine's
-// object, which may be gone after the platform lost its disk.
-const publishEvery = 5
+// registrationsPerPublish is the number of registrations between checks of the
+// engine's object, which is gone after the platform lost its disk.
+const registrationsPerPublish = 5
 
 // machineRole is the engine's role in the machine list.
 const machineRole = "engine"
 
 // Register keeps the engine in the platform's machine list under its address
-// until ctx ends, and then takes it off. It returns at once without a platform.
+// until ctx ends, then deregisters it. Without a platform it does nothing.
 func (s *Server) Register(ctx context.Context, address string) {
 	if s.config.Platform == "" {
 		return
 	}
-	list := objecthttp.New(s.config.Platform, objecthttp.Options{Timeout: registerEvery})
+	client := objecthttp.New(s.config.Platform, objecthttp.Options{Timeout: registerInterval})
 	registrations := 0
-	ticker := time.NewTicker(registerEvery)
+	ticker := time.NewTicker(registerInterval)
 	defer ticker.Stop()
 	for {
 		if s.injector.Wait(ctx, fault.Pause) != nil {
-			s.deregister(list)
+			s.deregister(client)
 			return
 		}
-		err := list.Register(ctx, s.machine(address))
-		if err == nil && registrations%publishEvery == 0 {
-			err = s.publish(ctx, list, address)
+		err := client.Register(ctx, s.machine(address))
+		if err == nil && registrations%registrationsPerPublish == 0 {
+			err = s.publish(ctx, client, address)
 		}
 		if err == nil {
 			registrations++
@@ -52,7 +52,7 @@
 		case <-ticker.C:
 		case <-s.drainChanged:
 		case <-ctx.Done():
-			s.deregister(list)
+			s.deregister(client)
 			return
 		}
 	}
@@ -70,8 +70,8 @@
 	}
 }
 
-// publish writes the engine's object unless it stands as it should; in the
-// real platform that is the platform's own work.
+// publish writes the engine's object if it is missing or outdated. A real
+// platform does this itself.
 func (s *Server) publish(ctx context.Context, store *objecthttp.Client, address string) error {
 	models := make([]string, 0, len(s.config.Models))
 	models = append(models, s.config.Models...)
@@ -100,12 +100,12 @@
 	return err
 }
 
-func (s *Server) deregister(list *objecthttp.Client) {
-	ctx, cancel := context.WithTimeout(context.Background(), registerEvery)
+func (s *Server) deregister(client *objecthttp.Client) {
+	ctx, cancel := context.WithTimeout(context.Background(), registerInterval)
 	defer cancel()
-	err := list.Deregister(ctx, s.config.Name)
+	err := client.Deregister(ctx, s.config.Name)
 	if err == nil {
-		err = list.Delete(ctx, platform.KindEngine, s.config.Name, 0)
+		err = client.Delete(ctx, platform.KindEngine, s.config.Name, 0)
 	}
 	if err != nil {
 		EventRegisterFailed.Error(err, "engine", s.config.Name)
--- a/internal/standin/engine/report.go
+++ b/internal/standin/engine/report.go
@@ -13,7 +13,7 @@
 	"chutelock.dev/chutelock/internal/standin/fault"
 )
 
-// Names of the reported metrics; the HTTP adapter reads them.
+// Names of the metrics on /metrics, which the engine client parses.
 const (
 	MetricRunning      = "engine_requests_running"
 	MetricWaiting      = "engine_requests_waiting"
@@ -29,16 +29,16 @@
 	MetricTokens       = "engine_output_tokens_total"
 	MetricPrefilled    = "engine_prefill_tokens_total"
 	MetricPreempted    = "engine_preemptions_total"
-	// LabelClass splits running and waiting into ClassOnline and ClassBatch.
+	// LabelClass divides running and waiting into ClassOnline and ClassBatch.
 	LabelClass  = "class"
 	ClassOnline = "online"
 	ClassBatch  = "batch"
-	// LabelName names a model, an adapter or a role.
+	// LabelName holds the name of a model, an adapter or a role.
 	LabelName    = "name"
 	LabelVersion = "version"
 )
 
-// report is what the engine knew of itself at one time.
+// report is a snapshot of the engine's state.
 type report struct {
 	at       time.Time
 	load     scheduler.Load
@@ -49,11 +49,11 @@
 	adapters map[string]string
 }
 
-// reportsKept bounds the old reports, which a lag reaches back into.
-const reportsKept = 1024
+// maxReports is the maximum number of reports kept to serve delayed ones.
+const maxReports = 1024
 
-// reporter measures regularly and tells what it measured some time ago. Its
-// lock is a leaf.
+// reporter takes a report periodically and serves one that is ReportLag old.
+// No other lock is taken under its mutex.
 type reporter struct {
 	server *Server
 
@@ -62,12 +62,12 @@
 }
 
 func newReporter(server *Server) *reporter {
-	kept := &reporter{server: server}
-	kept.reports = []report{server.measure()}
-	return kept
+	created := &reporter{server: server}
+	created.reports = []report{server.measure()}
+	return created
 }
 
-// measure reads the present state.
+// measure returns a report of the current state.
 func (s *Server) measure() report {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -95,24 +95,24 @@
 	for {
 		select {
 		case <-ticker.C:
-			r.keep(r.server.measure())
+			r.add(r.server.measure())
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (r *reporter) keep(measured report) {
+func (r *reporter) add(measured report) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if len(r.reports) >= reportsKept {
+	if len(r.reports) >= maxReports {
 		r.reports = append(r.reports[:0], r.reports[1:]...)
 	}
 	r.reports = append(r.reports, measured)
 }
 
-// present is the newest report that is as old as the lag, or the oldest kept.
-func (r *reporter) present(now time.Time) report {
+// delayed returns the newest report at least the lag old, or else the oldest.
+func (r *reporter) delayed(now time.Time) report {
 	lag := r.server.config.ReportLag
 	if longer, found := r.server.injector.Take(now, fault.ReportLag, fault.Target{}); found {
 		lag = time.Duration(longer.Latency)
@@ -133,13 +133,13 @@
 	return promhttp.HandlerFor(registry, promhttp.HandlerOpts{})
 }
 
-// Describe implements prometheus.Collector; the metrics are unchecked.
+// Describe implements prometheus.Collector. The collector is unchecked.
 func (r *reporter) Describe(chan<- *prometheus.Desc) {}
 
 // Collect implements prometheus.Collector.
 func (r *reporter) Collect(metrics chan<- prometheus.Metric) {
-	told := r.present(time.Now())
-	load := told.load
+	reported := r.delayed(time.Now())
+	load := reported.load
 	gauge := func(name, help string, value float64, labels ...string) {
 		names := make([]string, 0, len(labels)/2)
 		values := make([]string, 0, len(labels)/2)
@@ -166,13 +166,13 @@
 	gauge(MetricKVUse, "Share of the KV blocks held by running requests.", load.KVUse())
 	gauge(MetricStepSeconds, "Time of the last step.", load.StepTime.Seconds())
 	gauge(MetricStepTokens, "Output tokens of the last step.", float64(load.StepTokens))
-	gauge(MetricDraining, "1 while the engine is leaving.", boolValue(told.draining))
-	gauge(MetricFencingToken, "Highest token of an order.", float64(told.token))
-	gauge(MetricRole, "Role in force.", 1, LabelName, told.role)
-	for name, version := range told.models {
+	gauge(MetricDraining, "1 while the engine is leaving.", boolValue(reported.draining))
+	gauge(MetricFencingToken, "Highest token of an order.", float64(reported.token))
+	gauge(MetricRole, "Role in force.", 1, LabelName, reported.role)
+	for name, version := range reported.models {
 		gauge(MetricModel, "Loaded models.", 1, LabelName, name, LabelVersion, version)
 	}
-	for name, version := range told.adapters {
+	for name, version := range reported.adapters {
 		gauge(MetricAdapter, "Loaded adapters.", 1, LabelName, name, LabelVersion, version)
 	}
 }
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -16,9 +16,9 @@
 	"chutelock.dev/chutelock/internal/standin/truth"
 )
 
-// Server is one engine. Lock order: mutex, then the event log's or the truth
-// log's; the event log's, then the injector's. The reporter's is a leaf that is
-// taken without the mutex.
+// Server simulates one engine. Lock order: mutex, then the event log's or the
+// truth log's; the event log's, then the injector's. The reporter's is taken
+// without the mutex, and no other lock under it.
 type Server struct {
 	config   Config
 	log      *truth.Log
@@ -26,25 +26,25 @@
 	events   *eventLog
 	reports  *reporter
 	wake     chan struct{}
-	// drainChanged has room for one signal that the drain was set or cleared.
+	// drainChanged, of capacity 1, signals that draining was set or cleared.
 	drainChanged chan struct{}
 
-	mutex     sync.Mutex
-	scheduler *scheduler.Scheduler
-	serial    uint64
-	streams   map[string]*stream // by scheduler ID
-	requests  map[string][]*stream
-	parked    map[string]*stream // suspended, by request ID
-	parkOrder []string
-	models    map[string]string // loaded model to version
-	adapters  map[string]string
-	orders    map[string]uint64 // target to the serial of its latest order
-	role      string
-	token     uint64
-	draining  bool
+	mutex        sync.Mutex
+	scheduler    *scheduler.Scheduler
+	serial       uint64
+	streams      map[string]*stream   // by scheduler ID
+	requests     map[string][]*stream // running attempts by request ID
+	suspended    map[string]*stream   // by request ID
+	suspendOrder []string
+	models       map[string]string // version by loaded model
+	adapters     map[string]string
+	orders       map[string]uint64 // serial of the latest order by target
+	role         string
+	token        uint64
+	draining     bool
 }
 
-// New returns an engine, whose start it logs; Run must be running for it to make progress.
+// New returns an engine and logs its start. The engine makes progress only while Run runs.
 func New(config Config, log *truth.Log) (*Server, error) {
 	server := &Server{
 		config:   config,
@@ -58,7 +58,7 @@
 		scheduler: scheduler.New(config.Scheduler),
 		streams:   map[string]*stream{},
 		requests:  map[string][]*stream{},
-		parked:    map[string]*stream{},
+		suspended: map[string]*stream{},
 		models:    map[string]string{},
 		adapters:  map[string]string{},
 		orders:    map[string]uint64{},
@@ -77,24 +77,24 @@
 			return nil, trace.Wrap(err, "fault of engine %s", config.Name)
 		}
 	}
-	// Before any request can come: readers of the log take a start for a crash, which ends
-	// the attempts before it.
+	// Logged before any request: readers take a start for a restart after a crash, which
+	// ends all earlier attempts.
 	log.Record(truth.Entry{Kind: truth.KindStarted})
 	return server, nil
 }
 
-// Injector holds the engine's faults.
+// Injector returns the injector of the engine's faults.
 func (s *Server) Injector() *fault.Injector { return s.injector }
 
-// Handler serves the engine's protocol, faults included.
+// Handler returns the handler of the engine's API, with fault injection.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/completions", s.complete(completionShape))
-	mux.HandleFunc("POST /v1/chat/completions", s.complete(chatShape))
+	mux.HandleFunc("POST /v1/completions", s.complete(completionFormat))
+	mux.HandleFunc("POST /v1/chat/completions", s.complete(chatFormat))
 	mux.HandleFunc("GET /v1/models", s.listModels)
 	mux.HandleFunc("POST /v1/requests/{id}/suspend", s.suspend)
 	mux.HandleFunc("POST /v1/requests/{id}/cancel", s.cancelRequest)
-	mux.HandleFunc("POST /v1/orders", s.order)
+	mux.HandleFunc("POST /v1/orders", s.handleOrder)
 	mux.HandleFunc("GET /v1/kv/events", s.streamEvents)
 	mux.HandleFunc("POST /v1/kv/export", s.exportBlocks)
 	mux.HandleFunc("POST /v1/kv/import", s.importBlocks)
@@ -103,7 +103,7 @@
 	return s.injector.Middleware(mux)
 }
 
-// ControlHandler serves /control/faults and /control/drain.
+// ControlHandler returns the handler of /control/faults and /control/drain.
 func (s *Server) ControlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/control/faults", s.injector.Control())
@@ -112,7 +112,7 @@
 	return mux
 }
 
-// Drain sets the engine's own signal that it is leaving.
+// Drain sets or clears the draining state that the engine reports.
 func (s *Server) Drain(draining bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -126,10 +126,10 @@
 	}
 }
 
-// idlePoll is how often WaitIdle looks.
+// idlePoll is the polling interval of WaitIdle.
 const idlePoll = 20 * time.Millisecond
 
-// WaitIdle waits until no request runs or waits, or until ctx ends.
+// WaitIdle blocks until no request is running or waiting, or until ctx ends.
 func (s *Server) WaitIdle(ctx context.Context) {
 	for !s.idle() && sleepUntil(ctx, time.Now().Add(idlePoll)) {
 	}
@@ -166,11 +166,11 @@
 	}
 }
 
-// maxCatchUp bounds how far behind its clock the loop may hurry to catch up.
+// maxCatchUp is the largest delay that Run makes up by shortening later sleeps.
 const maxCatchUp = 20 * time.Millisecond
 
-// nextDue is the end of a step that began when the last one was due, so that
-// late timers don't add up.
+// nextDue returns the end of a step that began when the previous one was due,
+// so timer delays don't accumulate.
 func nextDue(due, now time.Time, duration time.Duration) time.Time {
 	if now.Sub(due) > maxCatchUp {
 		due = now
@@ -178,6 +178,7 @@
 	return due.Add(duration)
 }
 
+// sleepUntil reports whether due was reached before ctx ended.
 func sleepUntil(ctx context.Context, due time.Time) bool {
 	wait := time.Until(due)
 	if wait <= 0 {
@@ -202,8 +203,8 @@
 	return result, result.Idle
 }
 
-// deliver makes the tokens of a step that is over visible. A sequence that was
-// cancelled or suspended meanwhile has no stream any more.
+// deliver publishes the tokens of a finished step to their streams. A sequence
+// that was cancelled or suspended during the step has no stream.
 func (s *Server) deliver(result scheduler.StepResult) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -227,23 +228,23 @@
 	}
 }
 
-// remove ends a stream; the mutex is held.
-func (s *Server) remove(ended *stream, how finish) {
+// remove ends a stream. The caller holds the mutex.
+func (s *Server) remove(ended *stream, outcome finish) {
 	delete(s.streams, ended.id)
 	siblings := s.requests[ended.requestID]
-	kept := siblings[:0]
+	remaining := siblings[:0]
 	for _, sibling := range siblings {
 		if sibling != ended {
-			kept = append(kept, sibling)
+			remaining = append(remaining, sibling)
 		}
 	}
-	if len(kept) == 0 {
+	if len(remaining) == 0 {
 		delete(s.requests, ended.requestID)
 	} else {
-		s.requests[ended.requestID] = kept
+		s.requests[ended.requestID] = remaining
 	}
-	s.record(truth.KindEnded, ended, how.cause)
-	ended.end(how)
+	s.record(truth.KindEnded, ended, outcome.cause)
+	ended.end(outcome)
 }
 
 func (s *Server) record(kind truth.Kind, about *stream, cause truth.Cause) {
@@ -261,7 +262,7 @@
 	s.log.Record(entry)
 }
 
-// refusal is a request that was not run.
+// refusal is the error of a request that was refused before execution.
 type refusal struct {
 	status  int
 	kind    string
@@ -271,12 +272,12 @@
 // Error implements error.
 func (r *refusal) Error() string { return r.message }
 
-// start submits a request, or resumes it if its state is kept.
+// start submits a request, or resumes it if its suspended state is kept.
 func (s *Server) start(attempt string, parsed truth.Request) (*stream, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	started := &stream{
-		requestID:    requestOf(attempt),
+		requestID:    requestIDOf(attempt),
 		attempt:      attempt,
 		priority:     parsed.Priority,
 		generator:    truth.NewGenerator(parsed.Model, parsed.Prompt),
@@ -300,12 +301,12 @@
 	return started, nil
 }
 
-// attemptSeparator stands between a request's ID and the attempt's number in
+// attemptSeparator separates the request ID from the attempt number in
 // X-Request-Id.
 const attemptSeparator = "#"
 
-// requestOf is the request that an attempt belongs to.
-func requestOf(attempt string) string {
+// requestIDOf returns the request ID of an attempt.
+func requestIDOf(attempt string) string {
 	if position := strings.LastIndex(attempt, attemptSeparator); position >= 0 {
 		return attempt[:position]
 	}
@@ -347,48 +348,49 @@
 
 func (s *Server) blockTokens() int { return s.config.Scheduler.BlockTokens }
 
-// resume goes on with the kept state of a suspended request, if it fits.
+// resume continues a suspended request and reports whether its state could be used.
 func (s *Server) resume(started *stream) bool {
-	kept := s.parked[started.requestID]
-	if kept == nil {
+	earlier := s.suspended[started.requestID]
+	if earlier == nil {
 		return false
 	}
-	s.unpark(started.requestID)
-	same := kept.generator == started.generator && kept.maxTokens == started.maxTokens && kept.priority == started.priority
-	if !same || s.scheduler.Resume(time.Now(), kept.id, started.from) != nil {
-		_ = s.scheduler.Cancel(kept.id)
+	s.dropSuspended(started.requestID)
+	same := earlier.generator == started.generator && earlier.maxTokens == started.maxTokens && earlier.priority == started.priority
+	if !same || s.scheduler.Resume(time.Now(), earlier.id, started.from) != nil {
+		_ = s.scheduler.Cancel(earlier.id)
 		return false
 	}
-	started.id = kept.id
+	started.id = earlier.id
 	return true
 }
 
-func (s *Server) unpark(requestID string) {
-	delete(s.parked, requestID)
-	for i, parked := range s.parkOrder {
-		if parked == requestID {
-			s.parkOrder = append(s.parkOrder[:i], s.parkOrder[i+1:]...)
+func (s *Server) dropSuspended(requestID string) {
+	delete(s.suspended, requestID)
+	for i, id := range s.suspendOrder {
+		if id == requestID {
+			s.suspendOrder = append(s.suspendOrder[:i], s.suspendOrder[i+1:]...)
 			return
 		}
 	}
 }
 
-// park suspends a stream; the mutex is held.
-func (s *Server) park(suspended *stream) bool {
+// suspendStream suspends a stream and reports whether it did; at ParkedLimit the
+// oldest suspended one is dropped. The caller holds the mutex.
+func (s *Server) suspendStream(suspended *stream) bool {
 	if s.scheduler.Suspend(suspended.id) != nil {
 		return false
 	}
-	if older := s.parked[suspended.requestID]; older != nil {
-		s.unpark(suspended.requestID)
+	if older := s.suspended[suspended.requestID]; older != nil {
+		s.dropSuspended(suspended.requestID)
 		_ = s.scheduler.Cancel(older.id)
 	}
-	if len(s.parkOrder) >= s.config.ParkedLimit {
-		oldest := s.parkOrder[0]
-		_ = s.scheduler.Cancel(s.parked[oldest].id)
-		s.unpark(oldest)
+	if len(s.suspendOrder) >= s.config.ParkedLimit {
+		oldest := s.suspendOrder[0]
+		_ = s.scheduler.Cancel(s.suspended[oldest].id)
+		s.dropSuspended(oldest)
 	}
-	s.parked[suspended.requestID] = suspended
-	s.parkOrder = append(s.parkOrder, suspended.requestID)
+	s.suspended[suspended.requestID] = suspended
+	s.suspendOrder = append(s.suspendOrder, suspended.requestID)
 	s.remove(suspended, finish{
 		reason:       reasonSuspended,
 		cause:        truth.CauseSuspended,
@@ -397,7 +399,7 @@
 	return true
 }
 
-// cancel ends a stream early; it does nothing to one that has ended.
+// cancel cancels a stream; one that has ended is left alone.
 func (s *Server) cancel(cancelled *stream, cause truth.Cause) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -408,14 +410,14 @@
 	s.remove(cancelled, finish{reason: reasonCancelled, cause: cause, promptTokens: cancelled.promptTokens})
 }
 
-// other returns a stream of another request, for a crossed answer.
-func (s *Server) other(than *stream) *stream {
+// otherStream returns a stream of another request, or else a made-up one.
+func (s *Server) otherStream(excluded *stream) *stream {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, candidate := range s.streams {
-		if candidate.requestID != than.requestID {
+		if candidate.requestID != excluded.requestID {
 			return candidate
 		}
 	}
-	return &stream{attempt: "another" + attemptSeparator + "1", generator: truth.NewGenerator("", than.attempt)}
+	return &stream{attempt: "another" + attemptSeparator + "1", generator: truth.NewGenerator("", excluded.attempt)}
 }
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -6,7 +6,7 @@
 	"chutelock.dev/chutelock/internal/standin/truth"
 )
 
-// finish is how a stream ended.
+// finish describes how a stream ended.
 type finish struct {
 	reason       string
 	cause        truth.Cause
@@ -14,31 +14,33 @@
 	cachedTokens int
 }
 
-// Reasons in `finish_reason`.
+// Values of finish_reason.
 const (
 	reasonLength    = "length"
 	reasonSuspended = "suspended"
 	reasonCancelled = "cancelled"
 )
 
-// stream is a running attempt. The run loop advances it, its handler reads it.
+// stream is a running attempt. Server.Run advances it and its handler reads it.
 type stream struct {
-	// id is the scheduler's name of the sequence. A resumed request keeps it.
+	// id is the scheduler's ID of the sequence. A resumed request keeps it.
 	id        string
 	requestID string
 	attempt   string
 	priority  int
 	generator truth.Generator
-	// from is the first token of this attempt, maxTokens the end of the output.
+	// from is the index of this attempt's first token, maxTokens the length of
+	// the whole output.
 	from         int
 	maxTokens    int
 	promptTokens int
 
-	// available is the number of output tokens that exist, from 0 on.
+	// available is the number of output tokens generated, including those
+	// before from.
 	available atomic.Int64
-	// ending is set once, after the last change of available.
-	ending atomic.Pointer[finish]
-	// changed has room for one signal that one of the two has changed.
+	// result is set once, after the last change to available.
+	result atomic.Pointer[finish]
+	// changed, of capacity 1, signals a change to available or result.
 	changed chan struct{}
 }
 
@@ -54,13 +56,14 @@
 	s.signal()
 }
 
-func (s *stream) end(how finish) {
-	s.ending.Store(&how)
+func (s *stream) end(outcome finish) {
+	s.result.Store(&outcome)
 	s.signal()
 }
 
-// progress returns the tokens that exist and, if it ended, how.
+// progress returns the number of tokens available and, once the stream has
+// ended, how it did. It loads result first, so the count is then final.
 func (s *stream) progress() (int, *finish) {
-	ending := s.ending.Load()
-	return int(s.available.Load()), ending
+	result := s.result.Load()
+	return int(s.available.Load()), result
 }
