--- a/internal/standin/fault/fault.go
+++ b/internal/standin/fault/fault.go
@@ -10,47 +10,47 @@
 // Kind is a kind of failure.
 type Kind string
 
-// Kinds that the middleware carries out on any matching request.
+// Kinds that Middleware applies to any matching request.
 const (
 	// Slow delays the request by Latency before it is handled.
 	Slow Kind = "slow"
-	// Failing answers with Status without handling the request.
+	// Failing responds with Status without handling the request.
 	Failing Kind = "error"
-	// LostAnswer handles the request in full and then cuts the connection.
-	// On a token stream AfterTokens events get through first.
+	// LostAnswer handles the request completely and closes the connection
+	// without a response. Of a token stream, AfterTokens events are sent first.
 	LostAnswer Kind = "lost_answer"
-	// Silent accepts the request and never answers. With Effect the request
-	// is handled nevertheless.
+	// Silent accepts the request and never responds. With Effect the request
+	// is still handled.
 	Silent Kind = "silent"
-	// Pause keeps all connections but does nothing for Duration.
+	// Pause keeps all connections open but makes no progress for Duration.
 	Pause Kind = "pause"
 )
 
-// Kinds that change the process.
+// Kinds that affect the whole process.
 const (
 	// Down closes the listener and all connections for Duration.
 	Down Kind = "down"
-	// Crash ends the process at once.
+	// Crash ends the process immediately.
 	Crash Kind = "crash"
-	// DiskLoss empties what the stand-in has stored.
+	// DiskLoss deletes all stored state.
 	DiskLoss Kind = "disk_loss"
-	// Restore brings back the stored copy named Target, which is older.
+	// Restore reverts the stored state to the checkpoint named Target.
 	Restore Kind = "restore"
 )
 
-// Kinds that the stand-ins look up where they act.
+// Kinds that the stand-ins check for with Take or Wait.
 const (
-	// StaleWatch keeps watches open but delivers nothing for Duration.
+	// StaleWatch keeps watches open but sends nothing for Duration.
 	StaleWatch Kind = "stale_watch"
 	// EventGap drops Count events of the KV-event stream.
 	EventGap Kind = "event_gap"
-	// ReportLag makes the reports older by Latency.
+	// ReportLag replaces the configured report lag by Latency.
 	ReportLag Kind = "report_lag"
 	// Late delays each token by Latency.
 	Late Kind = "late"
 	// Duplicate sends each token event twice.
 	Duplicate Kind = "duplicate"
-	// Crossed answers with another request's id and tokens.
+	// Crossed responds with another request's ID and tokens.
 	Crossed Kind = "crossed"
 )
 
@@ -60,7 +60,7 @@
 	StaleWatch: true, EventGap: true, ReportLag: true, Late: true, Duplicate: true, Crossed: true,
 }
 
-// Duration is a time.Duration that is written like "250ms" in JSON and YAML.
+// Duration is a time.Duration encoded like "250ms" in JSON and YAML.
 type Duration time.Duration
 
 // MarshalText implements encoding.TextMarshaler.
@@ -79,16 +79,16 @@
 // Fault is one failure to inject.
 type Fault struct {
 	Kind Kind `json:"kind" koanf:"kind"`
-	// After delays the fault from when it is added.
+	// After is the delay between adding the fault and its start.
 	After Duration `json:"after,omitempty" koanf:"after"`
-	// Duration ends the fault; 0 keeps it until it is cleared or used up.
+	// Duration is how long the fault lasts; 0 means no time limit.
 	Duration Duration `json:"duration,omitempty" koanf:"duration"`
-	// Count ends the fault after that many uses; 0 sets no bound.
+	// Count is the maximum number of uses; 0 means unlimited.
 	Count int `json:"count,omitempty" koanf:"count"`
-	// Probability of each use, 0 meaning always.
+	// Probability is the chance that a matching request is hit; 0 means always.
 	Probability float64 `json:"probability,omitempty" koanf:"probability"`
 	// Method, Path (a prefix) and Request (a prefix of X-Request-Id) select
-	// requests; empty ones select all.
+	// requests; empty fields match all.
 	Method  string `json:"method,omitempty" koanf:"method"`
 	Path    string `json:"path,omitempty" koanf:"path"`
 	Request string `json:"request,omitempty" koanf:"request"`
@@ -100,10 +100,10 @@
 	Target      string   `json:"target,omitempty" koanf:"target"`
 }
 
-// ErrInvalid is returned for a fault that makes no sense.
+// ErrInvalid is returned for a fault with invalid fields.
 var ErrInvalid = errors.New("fault: invalid")
 
-// Validate checks the fault's own fields.
+// Validate returns an ErrInvalid error if a field is invalid.
 func (f Fault) Validate() error {
 	switch {
 	case !kinds[f.Kind]:
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// Target names a request that a fault may select.
+// Target holds the properties of a request that a fault selects by.
 type Target struct {
 	Method  string
 	Path    string
--- a/internal/standin/fault/fault_test.go
+++ b/internal/standin/fault/fault_test.go
@@ -14,28 +14,30 @@
 	"github.com/onsi/gomega"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-func TestTake(t *testing.T) {
+// Guards against faults taken outside their duration, count, selection or
+// probability.
+func TestTakeSelectsFaultsInForce(t *testing.T) {
 	start := time.Unix(0, 0)
 	post := Target{Method: "POST", Path: "/v1/completions", Request: "a#1"}
 	for name, tested := range map[string]struct {
 		fault  Fault
 		target Target
-		// taken tells for each second from 0 on whether the fault is taken.
+		// taken holds y or n for each second from 0: whether Take finds the fault.
 		taken string
 	}{
-		"always":        {Fault{}, post, "yyyyyy"},
-		"twice":         {Fault{Count: 2}, post, "yynnnn"},
-		"for a time":    {Fault{Duration: Duration(3 * time.Second)}, post, "yyynnn"},
-		"later":         {Fault{After: Duration(2 * time.Second), Duration: Duration(time.Second)}, post, "nnynnn"},
-		"of a method":   {Fault{Method: "GET"}, post, "nnnnnn"},
-		"of a path":     {Fault{Path: "/v1/"}, post, "yyyyyy"},
-		"of another":    {Fault{Path: "/v2/"}, post, "nnnnnn"},
-		"of a request":  {Fault{Request: "a#"}, post, "yyyyyy"},
-		"of others":     {Fault{Request: "b#"}, post, "nnnnnn"},
-		"now and then":  {Fault{Probability: 0.5}, post, "ynnnyn"},
-		"seldom enough": {Fault{Probability: 0.5, Count: 1}, post, "ynnnnn"},
+		"no limit":               {Fault{}, post, "yyyyyy"},
+		"count":                  {Fault{Count: 2}, post, "yynnnn"},
+		"duration":               {Fault{Duration: Duration(3 * time.Second)}, post, "yyynnn"},
+		"delayed start":          {Fault{After: Duration(2 * time.Second), Duration: Duration(time.Second)}, post, "nnynnn"},
+		"other method":           {Fault{Method: "GET"}, post, "nnnnnn"},
+		"matching path":          {Fault{Path: "/v1/"}, post, "yyyyyy"},
+		"other path":             {Fault{Path: "/v2/"}, post, "nnnnnn"},
+		"matching request":       {Fault{Request: "a#"}, post, "yyyyyy"},
+		"other request":          {Fault{Request: "b#"}, post, "nnnnnn"},
+		"probability":            {Fault{Probability: 0.5}, post, "ynnnyn"},
+		"probability with count": {Fault{Probability: 0.5, Count: 1}, post, "ynnnnn"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
@@ -55,7 +57,9 @@
 	}
 }
 
-func TestControl(t *testing.T) {
+// Guards against a control endpoint that accepts invalid faults, adds part of a
+// rejected array, or lists and clears the wrong faults.
+func TestControlValidatesListsAndClearsFaults(t *testing.T) {
 	injector := NewInjector(1)
 	server := httptest.NewServer(injector.Control())
 	defer server.Close()
@@ -66,8 +70,8 @@
 			t.Fatal(err)
 		}
 		defer func() { _ = response.Body.Close() }()
-		answer, _ := io.ReadAll(response.Body)
-		return response.StatusCode, string(answer)
+		text, _ := io.ReadAll(response.Body)
+		return response.StatusCode, string(text)
 	}
 	for _, tested := range []struct {
 		body string
@@ -85,9 +89,9 @@
 		{`[{"kind":"late"},{"kind":"unheard of"}]`, http.StatusBadRequest},
 		{`{`, http.StatusBadRequest},
 	} {
-		status, answer := call(http.MethodPost, "/control/faults", tested.body)
+		status, text := call(http.MethodPost, "/control/faults", tested.body)
 		if status != tested.want {
-			t.Errorf("%s: %d %s, want %d", tested.body, status, answer, tested.want)
+			t.Errorf("%s: %d %s, want %d", tested.body, status, text, tested.want)
 		}
 	}
 	g := gomega.NewWithT(t)
@@ -98,7 +102,8 @@
 	g.Expect(listed).To(gomega.MatchJSON(`[{"kind":"error","status":503,"count":1}]`))
 }
 
-func TestWaitEndsWithTheFault(t *testing.T) {
+// Guards against a Wait that outlasts its fault, its context or a Clear.
+func TestWaitEndsWithFaultContextOrClear(t *testing.T) {
 	g := gomega.NewWithT(t)
 	injector := NewInjector(1)
 	g.Expect(injector.Wait(t.Context(), Pause)).To(gomega.Succeed())
@@ -114,12 +119,11 @@
 	waiting := make(chan error, 1)
 	go func() { waiting <- injector.Wait(t.Context(), Pause) }()
 	injector.Clear("")
-	g.Eventually(waiting, patience).Should(gomega.Receive(gomega.Succeed()))
+	g.Eventually(waiting, testTimeout).Should(gomega.Receive(gomega.Succeed()))
 }
 
-// TestPauseHoldsAnswersBack: a request that is in progress when the pause begins
-// is not answered before its end.
-func TestPauseHoldsAnswersBack(t *testing.T) {
+// Guards against responses sent during a pause by requests already in progress.
+func TestPauseDelaysResponsesInProgress(t *testing.T) {
 	g := gomega.NewWithT(t)
 	injector := NewInjector(1)
 	begun, finish := make(chan struct{}), make(chan struct{})
@@ -145,12 +149,12 @@
 	close(finish)
 	g.Consistently(answered, "50ms").ShouldNot(gomega.Receive())
 	injector.Clear(Pause)
-	g.Eventually(answered, patience).Should(gomega.Receive(gomega.Succeed()))
+	g.Eventually(answered, testTimeout).Should(gomega.Receive(gomega.Succeed()))
 }
 
-// TestListenerDownAndUp: while down, connections are refused and the open ones
-// cut; then the same address serves again, also after a second time down.
-func TestListenerDownAndUp(t *testing.T) {
+// Guards against a listener that accepts or keeps connections while down, or
+// doesn't serve the same address again afterwards, twice in a row.
+func TestListenerClosesWhileDownAndComesUp(t *testing.T) {
 	g := gomega.NewWithT(t)
 	listener, err := Listen("127.0.0.1:0")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -171,13 +175,13 @@
 		listener.Down(time.Hour)
 		_, err = net.Dial("tcp", listener.Addr().String())
 		g.Expect(err).To(gomega.HaveOccurred(), "refused while down")
-		_ = open.SetReadDeadline(time.Now().Add(patience))
+		_ = open.SetReadDeadline(time.Now().Add(testTimeout))
 		_, err = open.Read(make([]byte, 1))
-		g.Expect(err).NotTo(gomega.MatchError(os.ErrDeadlineExceeded), "cut while down")
+		g.Expect(err).NotTo(gomega.MatchError(os.ErrDeadlineExceeded), "closed while down")
 		_ = open.Close()
 		listener.Up()
-		g.Eventually(get, patience).Should(gomega.Succeed())
+		g.Eventually(get, testTimeout).Should(gomega.Succeed())
 	}
 	g.Expect(server.Close()).To(gomega.Succeed())
-	g.Eventually(served, patience).Should(gomega.Receive(gomega.MatchError(http.ErrServerClosed)))
+	g.Eventually(served, testTimeout).Should(gomega.Receive(gomega.MatchError(http.ErrServerClosed)))
 }
--- a/internal/standin/fault/injector.go
+++ b/internal/standin/fault/injector.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// active is a fault in force, or one that waits for its beginning.
+// active is a fault that has been added, started or not.
 type active struct {
 	Fault
 	from  time.Time
-	until time.Time // zero: no end
+	until time.Time // zero means no end
 	uses  int
 }
 
@@ -19,24 +19,23 @@
 	return !now.Before(a.from) && (a.until.IsZero() || now.Before(a.until))
 }
 
-func (a *active) over(now time.Time) bool {
+func (a *active) expired(now time.Time) bool {
 	return !a.until.IsZero() && !now.Before(a.until) || a.Count > 0 && a.uses >= a.Count
 }
 
-// Injector holds the faults of one stand-in. All methods may be called
-// concurrently. It takes no other lock while it holds its own.
+// Injector holds the faults of one stand-in. It is safe for concurrent use and
+// takes no other lock under its mutex.
 type Injector struct {
 	mutex   sync.Mutex
 	random  *rand.Rand
 	faults  []*active
 	actions map[Kind]func(Fault) error
-	// cleared is closed and replaced when faults are cleared, so that those
-	// who wait for the end of one look again.
+	// cleared is closed and replaced by Clear, to wake callers of Wait.
 	cleared chan struct{}
 }
 
-// NewInjector returns an injector without faults. The seed decides which uses
-// a fault with a probability takes.
+// NewInjector returns an injector without faults. The seed determines which
+// requests a fault with a probability hits.
 func NewInjector(seed uint64) *Injector {
 	return &Injector{
 		random:  rand.New(rand.NewPCG(seed, seed)),
@@ -45,15 +44,15 @@
 	}
 }
 
-// On registers what to do when a fault of the kind begins.
+// On registers the action to run when a fault of the kind starts.
 func (i *Injector) On(kind Kind, action func(Fault) error) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	i.actions[kind] = action
 }
 
-// Add puts a fault in force. For a kind with a registered action the action
-// is run, at once or after the fault's delay.
+// Add adds a fault. If its kind has a registered action, Add runs that instead,
+// immediately or, without waiting for it, after the fault's delay.
 func (i *Injector) Add(now time.Time, added Fault) error {
 	if err := added.Validate(); err != nil {
 		return err
@@ -78,7 +77,7 @@
 	return action(added)
 }
 
-// Clear ends all faults of a kind, or all faults if kind is empty.
+// Clear removes all faults of a kind, or all faults if kind is empty.
 func (i *Injector) Clear(kind Kind) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -94,7 +93,7 @@
 	i.cleared = make(chan struct{})
 }
 
-// List returns the faults that are in force or will be.
+// List returns the faults that are in force or scheduled.
 func (i *Injector) List(now time.Time) []Fault {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -109,7 +108,7 @@
 func (i *Injector) prune(now time.Time) {
 	kept := i.faults[:0]
 	for _, entry := range i.faults {
-		if !entry.over(now) {
+		if !entry.expired(now) {
 			kept = append(kept, entry)
 		}
 	}
@@ -117,12 +116,12 @@
 	i.faults = kept
 }
 
-// Take uses the first fault of the kind that selects the target.
+// Take returns the first fault that selects the target, if any, and counts the use.
 func (i *Injector) Take(now time.Time, kind Kind, target Target) (Fault, bool) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	for _, entry := range i.faults {
-		if entry.Kind != kind || !entry.inForce(now) || entry.over(now) || !entry.selects(target) {
+		if entry.Kind != kind || !entry.inForce(now) || entry.expired(now) || !entry.selects(target) {
 			continue
 		}
 		if entry.Probability > 0 && i.random.Float64() >= entry.Probability {
@@ -135,7 +134,7 @@
 }
 
 // Wait blocks while a fault of the kind is in force, or until ctx ends. It
-// doesn't use the fault up.
+// doesn't count as a use.
 func (i *Injector) Wait(ctx context.Context, kind Kind) error {
 	for {
 		until, cleared := i.until(time.Now(), kind)
@@ -154,7 +153,8 @@
 	}
 }
 
-// until is the latest end of the faults of a kind in force, zero if none is.
+// until returns the latest end of the faults of a kind in force, zero if there
+// are none, and a channel that is closed by the next Clear.
 func (i *Injector) until(now time.Time, kind Kind) (time.Time, <-chan struct{}) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
--- a/internal/standin/fault/listener.go
+++ b/internal/standin/fault/listener.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// relistenPause is the time between attempts to take the address again.
-const relistenPause = 10 * time.Millisecond
+// relistenInterval is the interval between attempts to listen again.
+const relistenInterval = 10 * time.Millisecond
 
-// Listener is a TCP listener that can go down and come back at the same
+// Listener is a TCP listener that can go down and come up again at the same
 // address. While it is down, connections are refused.
 type Listener struct {
 	address net.Addr
 
-	// mutex guards the fields below; no other lock is taken under it.
+	// mutex guards the fields below. No other lock is taken under it.
 	mutex       sync.Mutex
 	inner       net.Listener
 	connections map[*trackedConnection]struct{}
 	closed      bool
-	back        *time.Timer   // ends the present time down; nil before the first
+	upTimer     *time.Timer   // ends the current outage; nil before the first
 	up          chan struct{} // closed while the listener is up
 }
 
 var _ net.Listener = (*Listener)(nil)
 
-// Listen listens on a TCP address; port 0 takes a free port.
+// Listen listens on a TCP address; port 0 selects a free port.
 func Listen(address string) (*Listener, error) {
 	inner, err := net.Listen("tcp", address)
 	if err != nil {
@@ -41,10 +41,10 @@
 	}, nil
 }
 
-// Accept implements net.Listener; it outlasts a time down.
+// Accept implements net.Listener. While the listener is down it blocks.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
-		inner, up, closed := l.present()
+		inner, up, closed := l.state()
 		if closed {
 			return nil, net.ErrClosed
 		}
@@ -61,13 +61,13 @@
 			}
 			continue
 		}
-		if latest, latestUp, _ := l.present(); latest == inner && latestUp == up {
+		if latest, latestUp, _ := l.state(); latest == inner && latestUp == up {
 			return nil, err
 		}
 	}
 }
 
-func (l *Listener) present() (net.Listener, chan struct{}, bool) {
+func (l *Listener) state() (net.Listener, chan struct{}, bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.inner, l.up, l.closed
@@ -84,8 +84,8 @@
 // Addr implements net.Listener.
 func (l *Listener) Addr() net.Addr { return l.address }
 
-// Down refuses connections and cuts the present ones, and comes back after
-// the duration.
+// Down closes the listener and all connections, and listens again after the
+// duration.
 func (l *Listener) Down(duration time.Duration) {
 	l.mutex.Lock()
 	up := make(chan struct{})
@@ -95,22 +95,23 @@
 		_ = connection.Conn.Close()
 	}
 	clear(l.connections)
-	l.back = time.AfterFunc(duration, func() { l.comeBack(up) })
+	l.upTimer = time.AfterFunc(duration, func() { l.relisten(up) })
 	l.mutex.Unlock()
 }
 
-// Up ends a time down early; it does nothing otherwise.
+// Up ends an outage early. It does nothing if the listener is up.
 func (l *Listener) Up() {
 	l.mutex.Lock()
 	up := l.up
-	early := l.back != nil && l.back.Stop()
+	early := l.upTimer != nil && l.upTimer.Stop()
 	l.mutex.Unlock()
 	if early {
-		l.comeBack(up)
+		l.relisten(up)
 	}
 }
 
-func (l *Listener) comeBack(up chan struct{}) {
+// relisten listens again, unless the listener was closed or went down again.
+func (l *Listener) relisten(up chan struct{}) {
 	for {
 		l.mutex.Lock()
 		if l.closed || l.up != up {
@@ -126,12 +127,12 @@
 			return
 		}
 		l.mutex.Unlock()
-		time.Sleep(relistenPause)
+		time.Sleep(relistenInterval)
 	}
 }
 
-// track keeps a connection for the next time down. One that was accepted while
-// the listener went down is cut like the others, and nil is returned.
+// track records a connection for Down to close. It closes one accepted while the
+// listener went down and returns nil.
 func (l *Listener) track(connection net.Conn, up chan struct{}) net.Conn {
 	tracked := &trackedConnection{Conn: connection, listener: l}
 	l.mutex.Lock()
@@ -144,7 +145,7 @@
 	return tracked
 }
 
-// trackedConnection tells the listener when it is closed.
+// trackedConnection is removed from its listener when it is closed.
 type trackedConnection struct {
 	net.Conn
 	listener *Listener
--- a/internal/standin/fault/middleware.go
+++ b/internal/standin/fault/middleware.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// RequestIDHeader names the request towards a stand-in.
+// RequestIDHeader is the header with the request ID that faults select by.
 const RequestIDHeader = "X-Request-Id"
 
-// TargetOf describes an HTTP request to the injector.
+// TargetOf returns the target of an HTTP request.
 func TargetOf(request *http.Request) Target {
 	return Target{
 		Method:  request.Method,
@@ -24,7 +24,7 @@
 	}
 }
 
-// Middleware carries out the faults that concern any request.
+// Middleware applies the faults that may hit any request.
 func (i *Injector) Middleware(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		ctx := request.Context()
@@ -36,46 +36,46 @@
 			return
 		}
 		if failing, found := i.Take(time.Now(), Failing, target); found {
-			fail(writer, failing)
+			writeFailure(writer, failing)
 			return
 		}
 		if silent, found := i.Take(time.Now(), Silent, target); found {
 			if silent.Effect {
 				next.ServeHTTP(newDiscard(), request.WithContext(context.WithoutCancel(ctx)))
 			}
-			stay(ctx, time.Duration(silent.Duration))
+			holdConnection(ctx, time.Duration(silent.Duration))
 			panic(http.ErrAbortHandler)
 		}
 		if lost, found := i.Take(time.Now(), LostAnswer, target); found {
-			loseAnswer(next, writer, request, lost.AfterTokens)
+			loseResponse(next, writer, request, lost.AfterTokens)
 		}
 		next.ServeHTTP(&pausingWriter{ResponseWriter: writer, injector: i, ctx: ctx}, request)
 	})
 }
 
-// loseAnswer handles the request, lets the given number of writes through and
-// cuts the connection. The effect doesn't depend on the client: it is complete
-// before the cut, or, behind the writes let through, goes on after it.
-func loseAnswer(next http.Handler, writer http.ResponseWriter, request *http.Request, writes int) {
-	cut := &cutWriter{header: http.Header{}, inner: writer, left: writes, full: make(chan struct{})}
+// loseResponse handles the request, passes the given number of writes on and
+// closes the connection. Handling doesn't depend on the client: it is complete
+// before the close if writes is 0, and otherwise continues after it.
+func loseResponse(next http.Handler, writer http.ResponseWriter, request *http.Request, writes int) {
+	truncating := &truncatingWriter{header: http.Header{}, inner: writer, remaining: writes, exhausted: make(chan struct{})}
 	detached := request.WithContext(context.WithoutCancel(request.Context()))
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		next.ServeHTTP(cut, detached)
+		next.ServeHTTP(truncating, detached)
 	}()
 	if writes == 0 {
 		<-done
 	}
 	select {
 	case <-done:
-	case <-cut.full:
+	case <-truncating.exhausted:
 	}
-	cut.close()
+	truncating.close()
 	panic(http.ErrAbortHandler)
 }
 
-func fail(writer http.ResponseWriter, failing Fault) {
+func writeFailure(writer http.ResponseWriter, failing Fault) {
 	status := failing.Status
 	if status == 0 {
 		status = http.StatusInternalServerError
@@ -85,7 +85,7 @@
 	_, _ = writer.Write([]byte(`{"error":{"message":"injected failure","type":"server_error","code":"injected"}}`))
 }
 
-// sleep waits and tells whether ctx still stands.
+// sleep waits for the duration and reports whether ctx is still valid.
 func sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -97,8 +97,9 @@
 	}
 }
 
-// stay keeps the connection until the client leaves, or for the duration.
-func stay(ctx context.Context, duration time.Duration) {
+// holdConnection keeps the connection for the duration or, if that is 0, until the client
+// disconnects.
+func holdConnection(ctx context.Context, duration time.Duration) {
 	if duration > 0 {
 		sleep(ctx, duration)
 		return
@@ -106,7 +107,7 @@
 	<-ctx.Done()
 }
 
-// pausingWriter holds writes back during a pause.
+// pausingWriter blocks writes during a pause.
 type pausingWriter struct {
 	http.ResponseWriter
 	injector *Injector
@@ -121,60 +122,60 @@
 	return w.ResponseWriter.Write(data)
 }
 
-// Unwrap lets http.ResponseController reach the connection.
+// Unwrap gives http.ResponseController access to the connection.
 func (w *pausingWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// cutWriter lets a number of writes through and drops the rest.
-type cutWriter struct {
+// truncatingWriter passes a number of writes on and drops the rest.
+type truncatingWriter struct {
 	header http.Header
 
-	// mutex guards the fields below; no other lock is taken under it.
-	mutex sync.Mutex
-	inner http.ResponseWriter // nil once closed
-	left  int
-	full  chan struct{} // closed when the last write was let through
+	// mutex guards the fields below. No other lock is taken under it.
+	mutex     sync.Mutex
+	inner     http.ResponseWriter // nil once closed
+	remaining int
+	exhausted chan struct{} // closed after the last write passed on
 }
 
 // Header implements http.ResponseWriter.
-func (w *cutWriter) Header() http.Header { return w.header }
+func (w *truncatingWriter) Header() http.Header { return w.header }
 
-// WriteHeader implements http.ResponseWriter; the status goes with the first
-// write.
-func (w *cutWriter) WriteHeader(int) {}
+// WriteHeader implements http.ResponseWriter. It drops the status: the first
+// write sends 200.
+func (w *truncatingWriter) WriteHeader(int) {}
 
 // Write implements http.ResponseWriter.
-func (w *cutWriter) Write(data []byte) (int, error) {
+func (w *truncatingWriter) Write(data []byte) (int, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.inner == nil || w.left <= 0 {
+	if w.inner == nil || w.remaining <= 0 {
 		return len(data), nil
 	}
 	maps.Copy(w.inner.Header(), w.header)
-	w.left--
+	w.remaining--
 	written, err := w.inner.Write(data)
-	if w.left == 0 {
+	if w.remaining == 0 {
 		_ = http.NewResponseController(w.inner).Flush()
-		close(w.full)
+		close(w.exhausted)
 	}
 	return written, err
 }
 
 // Flush implements http.Flusher.
-func (w *cutWriter) Flush() {
+func (w *truncatingWriter) Flush() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.inner != nil && w.left > 0 {
+	if w.inner != nil && w.remaining > 0 {
 		_ = http.NewResponseController(w.inner).Flush()
 	}
 }
 
-func (w *cutWriter) close() {
+func (w *truncatingWriter) close() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.inner = nil
 }
 
-// discard is a response that nobody receives.
+// discard is a response writer that drops everything.
 type discard struct{ header http.Header }
 
 func newDiscard() *discard { return &discard{header: http.Header{}} }
@@ -191,8 +192,8 @@
 // Flush implements http.Flusher.
 func (d *discard) Flush() {}
 
-// Control serves /control/faults: GET lists the faults, POST adds one or an
-// array of them, DELETE clears those of ?kind= or all.
+// Control returns the handler of /control/faults: GET lists the faults, POST
+// adds one or an array of them, DELETE clears those of ?kind= or all.
 func (i *Injector) Control() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /control/faults", func(writer http.ResponseWriter, _ *http.Request) {
@@ -218,8 +219,8 @@
 	return mux
 }
 
-// decodeFaults reads one fault or an array of them; none is taken unless all
-// make sense.
+// decodeFaults decodes one fault or an array of them, and returns an error if
+// any is invalid.
 func decodeFaults(body io.Reader) ([]Fault, error) {
 	content, err := io.ReadAll(body)
 	if err != nil {
