--- a/internal/standin/platform/config.go
+++ b/internal/standin/platform/config.go
@@ -7,39 +7,39 @@
 	"chutelock.dev/chutelock/internal/standin/platform/objects"
 )
 
-// Config is the settings file of a platform stand-in.
+// Config holds the settings of a platform stand-in.
 type Config struct {
 	Name    string `koanf:"name" validate:"required"`
 	Listen  string `koanf:"listen" validate:"required"`
 	Control string `koanf:"control" validate:"required"`
-	// Folder keeps the state over restarts; empty keeps nothing.
+	// Folder is the data directory; if empty, state is lost on restart.
 	Folder string `koanf:"folder"`
-	// Sync makes each write wait for the disk.
+	// Sync makes each write wait until it is synced to disk.
 	Sync bool `koanf:"sync"`
 
-	// WatchLimit bounds the open watches, RequestRate the requests a second
-	// and RequestBurst how many may come at once.
+	// WatchLimit is the maximum number of open watches; RequestRate, in
+	// requests per second, and RequestBurst limit the requests.
 	WatchLimit   int     `koanf:"watch_limit" validate:"min=1"`
 	RequestRate  float64 `koanf:"request_rate" validate:"gt=0"`
 	RequestBurst int     `koanf:"request_burst" validate:"min=1"`
-	// History is the number of changes that a watch can reach back at least.
+	// History is the minimum number of past changes that a watch can resume from.
 	History int `koanf:"history" validate:"min=1"`
-	// BookmarkEvery is the time between bookmarks on an idle watch.
+	// BookmarkEvery is the interval between bookmarks on a watch.
 	BookmarkEvery time.Duration `koanf:"bookmark_every" validate:"min=1ms"`
 	MaxBody       int64         `koanf:"max_body" validate:"min=1"`
 
-	// MachineLag is how late the machine list shows a change.
+	// MachineLag is the delay before a change shows in the machine list.
 	MachineLag time.Duration `koanf:"machine_lag" validate:"min=0"`
-	// MachineTTL is how long a registered machine is kept without registering
-	// again. Those in Machines are kept for good.
+	// MachineTTL is the time after which a machine that hasn't registered again
+	// is dropped. Those in Machines never expire.
 	MachineTTL time.Duration    `koanf:"machine_ttl" validate:"min=0"`
 	Machines   []MachineSetting `koanf:"machines"`
 
-	// WeightRate is the bytes a second that the weight store gives to all its
-	// readers together, WeightSizes the bytes of each model or adapter.
+	// WeightRate is the total rate of weight reads in bytes per second,
+	// WeightSizes the size in bytes by model or adapter.
 	WeightRate  float64          `koanf:"weight_rate" validate:"gt=0"`
 	WeightSizes map[string]int64 `koanf:"weight_sizes"`
-	// WeightSize is the size of what WeightSizes doesn't name.
+	// WeightSize is the size of models and adapters not in WeightSizes.
 	WeightSize int64 `koanf:"weight_size" validate:"min=0"`
 
 	TruthLog string        `koanf:"truth_log"`
@@ -47,7 +47,7 @@
 	Faults   []fault.Fault `koanf:"faults"`
 }
 
-// MachineSetting is a machine that is listed from the beginning.
+// MachineSetting is a machine that is listed from startup.
 type MachineSetting struct {
 	Name    string `koanf:"name" validate:"required"`
 	Zone    string `koanf:"zone"`
@@ -59,7 +59,7 @@
 	return objects.Machine{Name: m.Name, Zone: m.Zone, Role: m.Role, Address: m.Address}
 }
 
-// DefaultConfig gives the values of the fields that a settings file leaves out.
+// DefaultConfig returns the settings used for fields missing from the file.
 func DefaultConfig() Config {
 	return Config{
 		Name:          "platform",
--- a/internal/standin/platform/doc.go
+++ b/internal/standin/platform/doc.go
@@ -1,6 +1,6 @@
-// Package platform is the stand-in of the platform's services: the object API
-// in the Kubernetes API conventions, leases, the lagging machine list and the
-// rate-limited weight store. It bears few readers by design: watches and
-// requests beyond a budget are refused with 429.
+// Package platform simulates the platform's services: an object API that follows
+// the Kubernetes API conventions, leases, a delayed machine list and a
+// rate-limited weight store. Watches and requests beyond a limit are refused
+// with 429, as by a platform that supports few readers.
 // docs/operating/stand-ins.md describes the protocol.
 package platform
--- a/internal/standin/platform/object_api.go
+++ b/internal/standin/platform/object_api.go
@@ -11,13 +11,13 @@
 	"chutelock.dev/chutelock/internal/standin/platform/objects"
 )
 
-// objectsRoot is the path of the object API, apiVersion its name in objects.
+// objectsRoot is the path of the object API, apiVersion its version in objects.
 const (
 	objectsRoot = "/apis/chutelock.dev/v1"
 	apiVersion  = "chutelock.dev/v1"
 )
 
-// objectBody is an object as it is spoken.
+// objectBody is the JSON encoding of an object.
 type objectBody struct {
 	APIVersion string          `json:"apiVersion,omitempty"`
 	Kind       string          `json:"kind,omitempty"`
@@ -37,8 +37,8 @@
 	Items      []objectBody `json:"items"`
 }
 
-// eventBody is one line of a watch; Object is an objectBody, or a statusBody
-// in an event of type ERROR.
+// eventBody is one line of a watch. Object is an objectBody or, in an event of
+// type ERROR, a statusBody.
 type eventBody struct {
 	Type   string `json:"type"`
 	Object any    `json:"object"`
@@ -51,7 +51,7 @@
 
 func formatRevision(revision uint64) string { return strconv.FormatUint(revision, 10) }
 
-func bodyOf(object objects.Object) objectBody {
+func objectBodyOf(object objects.Object) objectBody {
 	return objectBody{
 		APIVersion: apiVersion,
 		Kind:       object.Kind,
@@ -78,10 +78,10 @@
 		writeFailure(writer, err)
 		return
 	}
-	writeJSON(writer, http.StatusOK, bodyOf(object))
+	writeJSON(writer, http.StatusOK, objectBodyOf(object))
 }
 
-// put creates an object without a resourceVersion and replaces one with it.
+// put creates the object, or replaces it if the body has a resourceVersion.
 func (s *Server) put(writer http.ResponseWriter, request *http.Request) {
 	var body objectBody
 	if err := json.NewDecoder(http.MaxBytesReader(writer, request.Body, s.config.MaxBody)).Decode(&body); err != nil {
@@ -101,9 +101,9 @@
 	case err != nil:
 		writeFailure(writer, err)
 	case expected == 0:
-		writeJSON(writer, http.StatusCreated, bodyOf(written))
+		writeJSON(writer, http.StatusCreated, objectBodyOf(written))
 	default:
-		writeJSON(writer, http.StatusOK, bodyOf(written))
+		writeJSON(writer, http.StatusOK, objectBodyOf(written))
 	}
 }
 
@@ -117,7 +117,7 @@
 		writeFailure(writer, err)
 		return
 	}
-	writeJSON(writer, http.StatusOK, bodyOf(deleted))
+	writeJSON(writer, http.StatusOK, objectBodyOf(deleted))
 }
 
 func (s *Server) listOrWatch(writer http.ResponseWriter, request *http.Request) {
@@ -141,12 +141,12 @@
 		Items:      make([]objectBody, 0, len(listed)),
 	}
 	for _, object := range listed {
-		body.Items = append(body.Items, bodyOf(object))
+		body.Items = append(body.Items, objectBodyOf(object))
 	}
 	writeJSON(writer, http.StatusOK, body)
 }
 
-// watcher is one open watch.
+// watcher streams one open watch.
 type watcher struct {
 	server     *Server
 	kind       string
@@ -158,7 +158,7 @@
 }
 
 // watch streams the changes after ?resourceVersion=. Without that parameter it
-// begins with the present objects as ADDED.
+// first sends the current objects as ADDED.
 func (s *Server) watch(writer http.ResponseWriter, request *http.Request) {
 	if !s.openWatch() {
 		s.refused.Add(1)
@@ -175,15 +175,15 @@
 		encoder:    json.NewEncoder(writer),
 		controller: http.NewResponseController(writer),
 	}
-	present, err := opened.begin(query.Has("resourceVersion"))
+	current, err := opened.begin(query.Has("resourceVersion"))
 	if err != nil {
 		writeFailure(writer, err)
 		return
 	}
 	writer.Header().Set("Content-Type", "application/json")
 	_ = opened.controller.Flush()
-	for _, object := range present {
-		if opened.encoder.Encode(eventBody{string(objects.Added), bodyOf(object)}) != nil {
+	for _, object := range current {
+		if opened.encoder.Encode(eventBody{string(objects.Added), objectBodyOf(object)}) != nil {
 			return
 		}
 	}
@@ -207,7 +207,7 @@
 	s.watches--
 }
 
-// begin checks the revision, or lists the present objects if there is none.
+// begin checks the revision or, without one, returns the current objects.
 func (w *watcher) begin(hasRevision bool) ([]objects.Object, error) {
 	w.server.mutex.Lock()
 	defer w.server.mutex.Unlock()
@@ -243,7 +243,8 @@
 	}
 }
 
-// send writes what is new and returns what announces more.
+// send writes the pending changes and returns a channel that is closed on the
+// next change, and whether the watch is still open.
 func (w *watcher) send() (<-chan struct{}, bool) {
 	changes, changed, err := w.pending()
 	if err != nil {
@@ -252,7 +253,7 @@
 		return nil, false
 	}
 	for _, change := range changes {
-		if w.encoder.Encode(eventBody{string(change.Type), bodyOf(change.Object)}) != nil {
+		if w.encoder.Encode(eventBody{string(change.Type), objectBodyOf(change.Object)}) != nil {
 			return nil, false
 		}
 	}
@@ -272,7 +273,7 @@
 	return changes, w.server.changed, err
 }
 
-// sendBookmark tells the revision up to which everything has been sent.
+// sendBookmark writes the revision up to which all changes have been sent.
 func (w *watcher) sendBookmark() bool {
 	body := objectBody{APIVersion: apiVersion, Kind: w.kind, Metadata: metadata{ResourceVersion: formatRevision(w.after)}}
 	if w.encoder.Encode(eventBody{eventBookmark, body}) != nil {
--- a/internal/standin/platform/persistence.go
+++ b/internal/standin/platform/persistence.go
@@ -13,27 +13,27 @@
 	"chutelock.dev/chutelock/internal/standin/platform/objects"
 )
 
-// Keys of the embedded store.
+// Keys in the embedded store.
 const (
 	objectPrefix = "object/"
 	leasePrefix  = "lease/"
 	revisionKey  = "revision"
 )
 
-// Folders below the data folder.
+// Directories below the data directory.
 const (
 	currentFolder     = "current"
 	checkpointsFolder = "checkpoints"
 )
 
-// disk keeps the state in a folder. Nil keeps nothing.
+// disk stores the state in a directory. A nil disk stores nothing.
 type disk struct {
-	folder string
-	store  *pebble.DB
-	write  *pebble.WriteOptions
+	folder       string
+	store        *pebble.DB
+	writeOptions *pebble.WriteOptions
 }
 
-// quietLogger drops the embedded store's own log.
+// quietLogger discards the embedded store's log.
 type quietLogger struct{}
 
 // Infof implements pebble.Logger.
@@ -51,20 +51,20 @@
 	}
 	current := filepath.Join(folder, currentFolder)
 	if err := os.MkdirAll(current, 0o755); err != nil {
-		return nil, trace.Wrap(err, "platform data folder")
+		return nil, trace.Wrap(err, "create the platform data folder")
 	}
 	store, err := pebble.Open(current, &pebble.Options{Logger: quietLogger{}})
 	if err != nil {
 		return nil, trace.Wrap(err, "open %s", current)
 	}
-	opened := &disk{folder: folder, store: store, write: pebble.NoSync}
+	opened := &disk{folder: folder, store: store, writeOptions: pebble.NoSync}
 	if sync {
-		opened.write = pebble.Sync
+		opened.writeOptions = pebble.Sync
 	}
 	return opened, nil
 }
 
-// state is what the disk keeps.
+// state is the stored content of the platform.
 type state struct {
 	objects  []objects.Object
 	leases   []objects.Lease
@@ -82,14 +82,14 @@
 	}
 	defer func() { _ = iterator.Close() }()
 	for valid := iterator.First(); valid; valid = iterator.Next() {
-		if err := loaded.take(string(iterator.Key()), iterator.Value()); err != nil {
+		if err := loaded.add(string(iterator.Key()), iterator.Value()); err != nil {
 			return loaded, trace.Wrap(err, "stored key %q", iterator.Key())
 		}
 	}
 	return loaded, trace.Wrap(iterator.Error())
 }
 
-func (s *state) take(key string, value []byte) error {
+func (s *state) add(key string, value []byte) error {
 	switch {
 	case key == revisionKey:
 		s.revision = binary.BigEndian.Uint64(value)
@@ -113,7 +113,7 @@
 	return []byte(objectPrefix + key.Kind + "/" + key.Name)
 }
 
-// saveChange writes one change with the revision that it led to.
+// saveChange writes one change and its revision atomically.
 func (d *disk) saveChange(change objects.Change) error {
 	if d == nil {
 		return nil
@@ -137,7 +137,7 @@
 	if err := batch.Set([]byte(revisionKey), revision, nil); err != nil {
 		return trace.Wrap(err)
 	}
-	return trace.Wrap(batch.Commit(d.write))
+	return trace.Wrap(batch.Commit(d.writeOptions))
 }
 
 func (d *disk) saveLease(lease objects.Lease) error {
@@ -148,10 +148,10 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	return trace.Wrap(d.store.Set([]byte(leasePrefix+lease.Name), value, d.write))
+	return trace.Wrap(d.store.Set([]byte(leasePrefix+lease.Name), value, d.writeOptions))
 }
 
-// checkpoint keeps a copy of the present state under a name.
+// checkpoint stores a copy of the current state under a name.
 func (d *disk) checkpoint(name string) error {
 	if d == nil {
 		return trace.BadParameter("the platform keeps nothing: no folder is set")
@@ -163,8 +163,8 @@
 	return trace.Wrap(d.store.Checkpoint(filepath.Join(folder, filepath.Base(name)), pebble.WithFlushedWAL()))
 }
 
-// replace closes the store, puts a copy of the named checkpoint in its place,
-// or nothing if name is empty, and opens that.
+// replace closes the store and opens a copy of the named checkpoint in its
+// place, or an empty store if name is empty.
 func (d *disk) replace(name string) (*disk, error) {
 	current := filepath.Join(d.folder, currentFolder)
 	checkpoint := filepath.Join(d.folder, checkpointsFolder, filepath.Base(name))
@@ -184,7 +184,7 @@
 			return d, trace.Wrap(err)
 		}
 	}
-	return openDisk(d.folder, d.write.Sync)
+	return openDisk(d.folder, d.writeOptions.Sync)
 }
 
 func (d *disk) close() error {
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -34,7 +34,8 @@
 	return written
 }
 
-func TestStateOutlivesARestart(t *testing.T) {
+// Guards against objects, leases or revisions lost in a restart.
+func TestStateSurvivesRestart(t *testing.T) {
 	g := gomega.NewWithT(t)
 	folder := t.TempDir()
 	var written platform.Object
@@ -56,18 +57,18 @@
 		listed, revision, err := client.List(t.Context(), platform.KindSetting)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(listed).To(gomega.Equal([]platform.Object{written}))
-		g.Expect(revision).To(gomega.Equal(written.Revision+1), "the deletion counts")
+		g.Expect(revision).To(gomega.Equal(written.Revision+1), "the deletion increments the revision")
 		held, err := client.Acquire(t.Context(), "l", "y", time.Hour)
 		g.Expect(err).To(gomega.MatchError(platform.ErrConflict))
 		g.Expect(held.Epoch).To(gomega.Equal(lease.Epoch))
 		err = client.Watch(t.Context(), platform.KindSetting, written.Revision-1, nil)
-		g.Expect(err).To(gomega.MatchError(platform.ErrCompacted), "the history is not kept")
+		g.Expect(err).To(gomega.MatchError(platform.ErrCompacted), "the history is lost in a restart")
 	})
 }
 
-// TestRestore: an old copy or an empty disk brings the revision back, and open
-// watches end so that their readers notice.
-func TestRestore(t *testing.T) {
+// Guards against state or a revision that survives a restore or disk loss, and
+// against watches that stay open through a restore.
+func TestRestoreAndDiskLossReplaceStateAndEndWatches(t *testing.T) {
 	for name, folder := range map[string]string{"in memory": "", "on disk": t.TempDir()} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
@@ -108,9 +109,9 @@
 	}
 }
 
-// TestRestoreBehindAWatch: a watch that slept through a restore must not go on
-// in the new history, even if that has passed the watch's revision by then.
-func TestRestoreBehindAWatch(t *testing.T) {
+// Guards against a watch, stalled during a restore, that continues in the new
+// history once that has passed the watch's revision.
+func TestRestoreEndsStalledWatch(t *testing.T) {
 	g := gomega.NewWithT(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
@@ -138,7 +139,8 @@
 	g.Expect(seen).To(gomega.BeEmpty())
 }
 
-func TestWeightsShareARate(t *testing.T) {
+// Guards against weight reads faster than WeightRate.
+func TestWeightReadsLimitedToRate(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const size, rate = 96 << 10, 64 << 10
 	running := standintest.Platform(t, func(config *standin.Config) {
@@ -152,12 +154,13 @@
 	read, err := io.Copy(io.Discard, response.Body)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(read).To(gomega.BeEquivalentTo(size))
-	// The first piece of 64 KiB goes at once, the other 32 KiB take their time;
-	// a limiter never lets them go earlier.
+	// The first chunk of 64 KiB is sent immediately, the other 32 KiB at the
+	// rate: never earlier than this.
 	g.Expect(time.Since(began)).To(gomega.BeNumerically(">=", 490*time.Millisecond))
 }
 
-func TestTruthOfWrites(t *testing.T) {
+// Guards against writes missing from the truth log when their response is lost.
+func TestTruthLogRecordsWriteWithLostResponse(t *testing.T) {
 	g := gomega.NewWithT(t)
 	running := standintest.Platform(t, nil)
 	client := objecthttp.New(running.Address, objecthttp.Options{})
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -17,15 +17,15 @@
 	"chutelock.dev/chutelock/internal/standin/truth"
 )
 
-// Server is the platform. Lock order: mutex, then the truth log's.
+// Server simulates the platform. Lock order: mutex, then the truth log's.
 type Server struct {
-	config   Config
-	log      *truth.Log
-	injector *fault.Injector
-	requests *rate.Limiter
-	weights  *rate.Limiter
-	served   atomic.Uint64
-	refused  atomic.Uint64
+	config         Config
+	log            *truth.Log
+	injector       *fault.Injector
+	requestLimiter *rate.Limiter
+	weightLimiter  *rate.Limiter
+	served         atomic.Uint64
+	refused        atomic.Uint64
 
 	mutex    sync.Mutex
 	disk     *disk
@@ -33,24 +33,24 @@
 	leases   *objects.Leases
 	machines *objects.Machines
 	watches  int
-	// changed is closed and replaced with each change of the store;
-	// generation counts the stores, because a restore ends all watches.
-	changed    chan struct{}
-	generation int
-	copies     map[string]state // checkpoints without a folder
+	// changed is closed and replaced on each change to the store. generation
+	// counts the stores, so that watches of an earlier one end.
+	changed     chan struct{}
+	generation  int
+	checkpoints map[string]state // in-memory checkpoints, if no folder is set
 }
 
-// New opens the platform's state.
+// New returns a platform with the state stored in the config's folder.
 func New(config Config, log *truth.Log) (*Server, error) {
 	server := &Server{
-		config:   config,
-		log:      log,
-		injector: fault.NewInjector(config.Seed),
-		requests: rate.NewLimiter(rate.Limit(config.RequestRate), config.RequestBurst),
-		weights:  rate.NewLimiter(rate.Limit(config.WeightRate), weightPiece),
-		machines: objects.NewMachines(),
-		changed:  make(chan struct{}),
-		copies:   map[string]state{},
+		config:         config,
+		log:            log,
+		injector:       fault.NewInjector(config.Seed),
+		requestLimiter: rate.NewLimiter(rate.Limit(config.RequestRate), config.RequestBurst),
+		weightLimiter:  rate.NewLimiter(rate.Limit(config.WeightRate), weightChunk),
+		machines:       objects.NewMachines(),
+		changed:        make(chan struct{}),
+		checkpoints:    map[string]state{},
 	}
 	opened, err := openDisk(config.Folder, config.Sync)
 	if err != nil {
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, err
 	}
-	server.use(loaded)
+	server.setState(loaded)
 	start := time.Now()
 	for _, listed := range config.Machines {
 		server.machines.Set(start.Add(-config.MachineLag), listed.machine(), 0)
@@ -69,38 +69,40 @@
 	server.registerFaults()
 	for _, configured := range config.Faults {
 		if err := server.injector.Add(start, configured); err != nil {
-			return nil, trace.Wrap(err, "fault of the platform")
+			return nil, trace.Wrap(err, "configured fault of the platform")
 		}
 	}
 	log.Record(truth.Entry{Kind: truth.KindStarted, Revision: loaded.revision})
 	return server, nil
 }
 
-// use makes a state the present one and ends all watches; the mutex is held,
-// but for the first time.
-func (s *Server) use(loaded state) {
+// setState replaces the current state and ends all watches. The caller holds the
+// mutex, except in New.
+func (s *Server) setState(loaded state) {
 	s.store = objects.NewStore(loaded.objects, loaded.revision, s.config.History)
 	s.leases = objects.NewLeases(loaded.leases)
 	s.generation++
-	s.announce()
+	s.notifyWatches()
 }
 
-func (s *Server) announce() {
+// notifyWatches wakes the watches. The caller holds the mutex, except in New.
+func (s *Server) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Injector holds the platform's faults.
+// Injector returns the injector of the platform's faults.
 func (s *Server) Injector() *fault.Injector { return s.injector }
 
-// Close closes the stored state.
+// Close closes the embedded store.
 func (s *Server) Close() error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.disk.close()
 }
 
-// Handler serves the platform's protocol, faults and budget included.
+// Handler returns the handler of the platform's API, with fault injection and
+// the request rate limit.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+objectsRoot+"/{kind}", s.listOrWatch)
@@ -114,34 +116,35 @@
 	mux.HandleFunc("POST /machines", s.setMachine)
 	mux.HandleFunc("DELETE /machines/{name}", s.removeMachine)
 	mux.HandleFunc("GET /weights/{name}/{version}", s.readWeights)
-	return s.injector.Middleware(s.withinBudget(mux))
+	return s.injector.Middleware(s.limitRate(mux))
 }
 
-// withinBudget refuses requests above the rate. Machines that tell of
-// themselves and weights are no reads of the object API and go free.
-func (s *Server) withinBudget(next http.Handler) http.Handler {
+// limitRate refuses requests beyond the rate limit. Changes to the machine list
+// and weight reads don't count towards it.
+func (s *Server) limitRate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		if isCounted(request) && !s.requests.Allow() {
+		if isRateLimited(request) && !s.requestLimiter.Allow() {
 			s.refused.Add(1)
 			writeStatus(writer, http.StatusTooManyRequests, "TooManyRequests", "the budget of requests a second is used up")
 			return
 		}
-		if isCounted(request) {
+		if isRateLimited(request) {
 			s.served.Add(1)
 		}
 		next.ServeHTTP(writer, request)
 	})
 }
 
-func isCounted(request *http.Request) bool {
+func isRateLimited(request *http.Request) bool {
 	if strings.HasPrefix(request.URL.Path, "/weights/") {
 		return false
 	}
 	return request.Method == http.MethodGet || !strings.HasPrefix(request.URL.Path, "/machines")
 }
 
-// ControlHandler serves /control/faults, /control/machines, /control/status,
-// /control/compact and /control/checkpoints/{name}; the budget doesn't bind it.
+// ControlHandler returns the handler of /control/faults, /control/machines,
+// /control/status, /control/compact and /control/checkpoints/{name}, which has
+// no rate limit.
 func (s *Server) ControlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/control/faults", s.injector.Control())
@@ -162,27 +165,27 @@
 }
 
 func (s *Server) registerFaults() {
-	s.injector.On(fault.DiskLoss, func(fault.Fault) error { return s.replace("") })
+	s.injector.On(fault.DiskLoss, func(fault.Fault) error { return s.restore("") })
 	s.injector.On(fault.Restore, func(restored fault.Fault) error {
 		if restored.Target == "" {
 			return trace.BadParameter("restore needs a target, the checkpoint's name")
 		}
-		return s.replace(restored.Target)
+		return s.restore(restored.Target)
 	})
 }
 
-// Status is what the control endpoint tells of the store.
+// Status is the response of /control/status.
 type Status struct {
 	Watches   int    `json:"watches"`
 	Revision  uint64 `json:"revision"`
 	Compacted uint64 `json:"compacted"`
-	// Requests counts the requests within the budget since the start, Refused
-	// those beyond it and the watches refused.
+	// Requests counts the requests within the rate limit since startup, Refused
+	// those beyond it and the refused watches.
 	Requests uint64 `json:"requests"`
 	Refused  uint64 `json:"refused"`
 }
 
-// Status returns the present state.
+// Status returns the current status.
 func (s *Server) Status() Status {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -195,7 +198,7 @@
 	}
 }
 
-// Compact forgets the history up to a revision, 0 meaning all of it.
+// Compact drops the history up to a revision, or all of it if revision is 0.
 func (s *Server) Compact(revision uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -205,27 +208,27 @@
 	s.store.Compact(revision)
 }
 
-// Checkpoint keeps a copy of the present state under a name.
+// Checkpoint stores a copy of the current state under a name.
 func (s *Server) Checkpoint(name string) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.disk != nil {
 		return s.disk.checkpoint(name)
 	}
-	s.copies[name] = state{objects: s.store.All(), leases: s.leases.All(), revision: s.store.Revision()}
+	s.checkpoints[name] = state{objects: s.store.All(), leases: s.leases.All(), revision: s.store.Revision()}
 	return nil
 }
 
-// replace goes back to a checkpoint, or to nothing if name is empty.
-func (s *Server) replace(name string) error {
+// restore reverts to a checkpoint, or an empty state if name is empty.
+func (s *Server) restore(name string) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.disk == nil {
-		copied, found := s.copies[name]
+		copied, found := s.checkpoints[name]
 		if name != "" && !found {
 			return trace.NotFound("no checkpoint %q", name)
 		}
-		s.use(copied)
+		s.setState(copied)
 		return nil
 	}
 	replaced, err := s.disk.replace(name)
@@ -237,7 +240,7 @@
 	if err != nil {
 		return err
 	}
-	s.use(loaded)
+	s.setState(loaded)
 	return nil
 }
 
@@ -258,7 +261,7 @@
 	}
 	name := change.Object.Kind + "/" + change.Object.Name
 	s.log.Record(truth.Entry{Kind: kind, Name: name, Revision: change.Object.Revision})
-	s.announce()
+	s.notifyWatches()
 	return change.Object, nil
 }
 
@@ -267,7 +270,7 @@
 	return revision
 }
 
-// statusBody is an error in the Kubernetes API conventions.
+// statusBody is a Kubernetes-style Status error.
 type statusBody struct {
 	Kind       string `json:"kind"`
 	APIVersion string `json:"apiVersion"`
@@ -288,7 +291,7 @@
 	writeJSON(writer, code, newStatus(code, reason, message))
 }
 
-// writeFailure tells an error of the store.
+// writeFailure responds with the status of an error from the store.
 func writeFailure(writer http.ResponseWriter, err error) {
 	status := statusOf(err)
 	writeStatus(writer, status.Code, status.Reason, status.Message)
--- a/internal/standin/platform/services.go
+++ b/internal/standin/platform/services.go
@@ -12,13 +12,13 @@
 	"chutelock.dev/chutelock/internal/standin/truth"
 )
 
-// leaseRequest asks for a lease.
+// leaseRequest is the body of a request to acquire a lease.
 type leaseRequest struct {
 	Holder string         `json:"holder"`
 	TTL    fault.Duration `json:"ttl"`
 }
 
-// leaseBody is a lease as it is spoken.
+// leaseBody is the JSON encoding of a lease.
 type leaseBody struct {
 	Name    string         `json:"name"`
 	Holder  string         `json:"holder"`
@@ -37,18 +37,18 @@
 	}
 }
 
-// acquireLease answers 200 with the lease, or 409 with the present holder's.
+// acquireLease responds 200 with the lease, or 409 with the current holder's.
 func (s *Server) acquireLease(writer http.ResponseWriter, request *http.Request) {
-	var wanted leaseRequest
-	err := json.NewDecoder(http.MaxBytesReader(writer, request.Body, s.config.MaxBody)).Decode(&wanted)
-	if err == nil && (wanted.Holder == "" || wanted.TTL <= 0) {
+	var body leaseRequest
+	err := json.NewDecoder(http.MaxBytesReader(writer, request.Body, s.config.MaxBody)).Decode(&body)
+	if err == nil && (body.Holder == "" || body.TTL <= 0) {
 		err = errors.New("holder and ttl must be set")
 	}
 	if err != nil {
 		writeStatus(writer, http.StatusBadRequest, "BadRequest", err.Error())
 		return
 	}
-	lease, err := s.acquire(request.PathValue("name"), wanted)
+	lease, err := s.acquire(request.PathValue("name"), body)
 	switch {
 	case errors.Is(err, objects.ErrConflict):
 		writeJSON(writer, http.StatusConflict, leaseBodyOf(lease))
@@ -59,15 +59,15 @@
 	}
 }
 
-func (s *Server) acquire(name string, wanted leaseRequest) (objects.Lease, error) {
+func (s *Server) acquire(name string, body leaseRequest) (objects.Lease, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	before, _ := s.leases.Get(name)
-	lease, err := s.leases.Acquire(time.Now(), name, wanted.Holder, time.Duration(wanted.TTL))
+	previous, _ := s.leases.Get(name)
+	lease, err := s.leases.Acquire(time.Now(), name, body.Holder, time.Duration(body.TTL))
 	if err != nil {
 		return lease, err
 	}
-	if lease.Epoch != before.Epoch {
+	if lease.Epoch != previous.Epoch {
 		s.log.Record(truth.Entry{Kind: truth.KindLease, Name: name, Holder: lease.Holder, Token: lease.Epoch})
 	}
 	return lease, s.disk.saveLease(lease)
@@ -104,7 +104,7 @@
 	writeJSON(writer, http.StatusOK, leaseBodyOf(lease))
 }
 
-// machineList is the answer with the machines.
+// machineList is the response of GET /machines.
 type machineList struct {
 	Items []objects.Machine `json:"items"`
 }
@@ -120,8 +120,8 @@
 	writeJSON(writer, http.StatusOK, machineList{Items: listed})
 }
 
-// setMachine lists a machine, changes it or renews it. Through the control
-// endpoint it stays until it is removed.
+// setMachine adds, updates or renews a machine. One set through the control
+// endpoint doesn't expire.
 func (s *Server) setMachine(writer http.ResponseWriter, request *http.Request) {
 	var machine objects.Machine
 	err := json.NewDecoder(http.MaxBytesReader(writer, request.Body, s.config.MaxBody)).Decode(&machine)
@@ -148,27 +148,27 @@
 	s.machines.Remove(time.Now(), request.PathValue("name"))
 }
 
-// weightPiece is what the weight store gives at once, in bytes.
-const weightPiece = 64 << 10
+// weightChunk is the number of bytes written at a time.
+const weightChunk = 64 << 10
 
-// readWeights gives a model's or adapter's weights, which are zeros, at the
-// rate that all readers share.
+// readWeights sends the weights of a model or adapter, all zeros, at the rate
+// that all readers share.
 func (s *Server) readWeights(writer http.ResponseWriter, request *http.Request) {
-	left, found := s.config.WeightSizes[request.PathValue("name")]
+	remaining, found := s.config.WeightSizes[request.PathValue("name")]
 	if !found {
-		left = s.config.WeightSize
+		remaining = s.config.WeightSize
 	}
 	writer.Header().Set("Content-Type", "application/octet-stream")
-	writer.Header().Set("Content-Length", strconv.FormatInt(left, 10))
-	piece := make([]byte, weightPiece)
-	for left > 0 {
-		size := min(left, weightPiece)
-		if s.weights.WaitN(request.Context(), int(size)) != nil {
+	writer.Header().Set("Content-Length", strconv.FormatInt(remaining, 10))
+	chunk := make([]byte, weightChunk)
+	for remaining > 0 {
+		size := min(remaining, weightChunk)
+		if s.weightLimiter.WaitN(request.Context(), int(size)) != nil {
 			return
 		}
-		if _, err := writer.Write(piece[:size]); err != nil {
+		if _, err := writer.Write(chunk[:size]); err != nil {
 			return
 		}
-		left -= size
+		remaining -= size
 	}
 }
