--- a/internal/standin/process/doc.go
+++ b/internal/standin/process/doc.go
@@ -1,4 +1,4 @@
-// Package process holds what the stand-ins' programs have in common: reading a
-// checked settings file, telling their addresses in a ready file, and serving
-// until a signal.
+// Package process holds the common parts of the stand-in programs: loading and
+// validating the settings file, writing the listen addresses to a ready file,
+// and serving HTTP.
 package process
--- a/internal/standin/process/host.go
+++ b/internal/standin/process/host.go
@@ -16,24 +16,24 @@
 // CrashExitCode is the exit code of an injected crash.
 const CrashExitCode = 86
 
-// headerTimeout bounds the time to read a request's header.
+// headerTimeout is the maximum time to read a request header.
 const headerTimeout = 10 * time.Second
 
-// Service is what a host serves.
+// Service describes a stand-in that a Host serves.
 type Service struct {
 	Name    string
 	Listen  string
 	Control string
-	// Handler speaks the protocol; it goes down with an injected failure.
+	// Handler serves the stand-in's API at Listen; fault.Down stops it.
 	Handler http.Handler
-	// ControlHandler stays up.
+	// ControlHandler serves Control and stays up during fault.Down.
 	ControlHandler http.Handler
 	Injector       *fault.Injector
-	// Crash is called by an injected crash; nil exits the process.
+	// Crash is called on fault.Crash; if nil, the process exits.
 	Crash func()
 }
 
-// Host serves a stand-in at its two addresses.
+// Host serves a stand-in at its API and control addresses.
 type Host struct {
 	listener *fault.Listener
 	control  net.Listener
@@ -42,8 +42,7 @@
 	name     string
 }
 
-// Start begins to serve. The faults "down" and "crash" are the host's to
-// carry out.
+// Start starts serving and registers the actions of fault.Down and fault.Crash.
 func Start(service Service) (*Host, error) {
 	listener, err := fault.Listen(service.Listen)
 	if err != nil {
@@ -82,7 +81,7 @@
 	}()
 }
 
-// Ready tells the addresses.
+// Ready returns the content of the ready file.
 func (h *Host) Ready() Ready {
 	return Ready{
 		Process: os.Getpid(),
@@ -92,11 +91,11 @@
 	}
 }
 
-// Failed receives an error if serving ends unasked.
+// Failed returns a channel that receives an error if a server ends unexpectedly.
 func (h *Host) Failed() <-chan error { return h.failed }
 
 // Shutdown stops listening, waits for requests in progress until ctx ends, and
-// then cuts them.
+// then closes their connections.
 func (h *Host) Shutdown(ctx context.Context) {
 	for _, server := range h.servers {
 		if server.Shutdown(ctx) != nil {
@@ -105,7 +104,7 @@
 	}
 }
 
-// Close cuts everything at once.
+// Close closes the listeners and all connections immediately.
 func (h *Host) Close() {
 	for _, server := range h.servers {
 		_ = server.Close()
--- a/internal/standin/process/process.go
+++ b/internal/standin/process/process.go
@@ -13,8 +13,8 @@
 	"github.com/knadh/koanf/v2"
 )
 
-// LoadConfig reads a YAML file over the values that target holds already and
-// validates the result. Unknown fields are refused.
+// LoadConfig reads a YAML file into target, keeping values that the file doesn't
+// set, and validates the result. Unknown fields are an error.
 func LoadConfig(name string, target any) error {
 	settings := koanf.New(".")
 	if name != "" {
@@ -38,17 +38,17 @@
 	return trace.Wrap(validator.New().Struct(target), "settings file %s", name)
 }
 
-// Ready is what a ready file tells.
+// Ready is the content of a ready file.
 type Ready struct {
 	Process int    `json:"process"`
 	Name    string `json:"name"`
-	// Address is where the protocol is spoken, Control where faults are set.
+	// Address is that of the stand-in's API, Control that of its control endpoint.
 	Address string `json:"address"`
 	Control string `json:"control"`
 }
 
-// WriteReadyFile writes the file in one step, so that a reader sees all of it
-// or nothing.
+// WriteReadyFile writes the ready file atomically, with the ID of this process.
+// It does nothing if name is empty.
 func WriteReadyFile(name string, ready Ready) error {
 	if name == "" {
 		return nil
@@ -58,16 +58,16 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	partial, err := os.CreateTemp(filepath.Dir(name), ".ready-*")
+	temp, err := os.CreateTemp(filepath.Dir(name), ".ready-*")
 	if err != nil {
 		return trace.Wrap(err, "ready file")
 	}
-	_, err = partial.Write(append(content, '\n'))
-	if closeErr := partial.Close(); err == nil {
+	_, err = temp.Write(append(content, '\n'))
+	if closeErr := temp.Close(); err == nil {
 		err = closeErr
 	}
 	if err == nil {
-		err = os.Rename(partial.Name(), name)
+		err = os.Rename(temp.Name(), name)
 	}
 	return trace.Wrap(err, "ready file")
 }
