--- a/internal/standin/standintest/doc.go
+++ b/internal/standin/standintest/doc.go
@@ -1,3 +1,3 @@
-// Package standintest starts stand-ins inside a test's own process, on free
-// ports of the loopback, and stops them when the test ends.
+// Package standintest starts stand-ins in the test process, on free loopback
+// ports, and stops them when the test ends.
 package standintest
--- a/internal/standin/standintest/standintest.go
+++ b/internal/standin/standintest/standintest.go
@@ -18,14 +18,14 @@
 	"chutelock.dev/chutelock/internal/standin/truth"
 )
 
-// TestingT is the part of testing.T and GinkgoT that is used.
+// TestingT is the subset of testing.T and GinkgoT used by this package.
 type TestingT interface {
 	Helper()
 	Fatalf(format string, arguments ...any)
 	Cleanup(func())
 }
 
-// Model is the model that a started engine has loaded.
+// Model is the model loaded by the engines that Engine starts.
 const Model = "draft"
 
 // Standin is a running stand-in.
@@ -35,7 +35,7 @@
 	truth *logBuffer
 }
 
-// logBuffer is a truth log in memory.
+// logBuffer stores a truth log in memory.
 type logBuffer struct {
 	mutex sync.Mutex
 	lines bytes.Buffer
@@ -48,7 +48,7 @@
 	return b.lines.Write(line)
 }
 
-// Truth returns the truth log so far.
+// Truth returns the entries of the truth log so far.
 func (s *Standin) Truth() []truth.Entry {
 	s.t.Helper()
 	s.truth.mutex.Lock()
@@ -60,46 +60,46 @@
 	return entries
 }
 
-// Inject puts faults in force through the control endpoint.
+// Inject adds faults through the control endpoint.
 func (s *Standin) Inject(faults ...fault.Fault) {
 	s.t.Helper()
 	s.Post("/control/faults", faults)
 }
 
-// Post calls the control endpoint.
+// Post sends body as JSON to a path of the control endpoint.
 func (s *Standin) Post(path string, body any) {
 	s.t.Helper()
 	s.call(http.MethodPost, path, body)
 }
 
-// statusPoll is how often AwaitWatches looks, awaitLimit how long.
+// Polling interval and timeout of AwaitWatches.
 const (
-	statusPoll = 5 * time.Millisecond
-	awaitLimit = 10 * time.Second
+	statusPollInterval = 5 * time.Millisecond
+	awaitTimeout       = 10 * time.Second
 )
 
-// AwaitWatches waits until a platform has that many open watches.
-func (s *Standin) AwaitWatches(wanted int) {
+// AwaitWatches waits until the platform has the given number of open watches.
+func (s *Standin) AwaitWatches(want int) {
 	s.t.Helper()
-	for began := time.Now(); time.Since(began) < awaitLimit; time.Sleep(statusPoll) {
+	for began := time.Now(); time.Since(began) < awaitTimeout; time.Sleep(statusPollInterval) {
 		var status platform.Status
 		if err := json.Unmarshal(s.call(http.MethodGet, "/control/status", nil), &status); err != nil {
 			s.t.Fatalf("status: %v", err)
 		}
-		if status.Watches == wanted {
+		if status.Watches == want {
 			return
 		}
 	}
-	s.t.Fatalf("there never were %d watches", wanted)
+	s.t.Fatalf("timed out waiting for %d open watches", want)
 }
 
-// Delete calls the control endpoint.
+// Delete sends a DELETE request to a path of the control endpoint.
 func (s *Standin) Delete(path string) {
 	s.t.Helper()
 	s.call(http.MethodDelete, path, nil)
 }
 
-// Call calls the protocol's own address without a body.
+// Call sends a request to the stand-in's API and returns the response body.
 func (s *Standin) Call(method, path string) []byte {
 	s.t.Helper()
 	return s.send(method, "http://"+s.Address+path, nil)
@@ -132,8 +132,8 @@
 	return text
 }
 
-// Engine starts an engine with short steps and no lags; edit changes its
-// configuration before, unless it is nil.
+// Engine starts an engine with short steps and no delays. If edit isn't nil, it
+// changes the configuration first.
 func Engine(t TestingT, edit func(*engine.Config)) *Standin {
 	t.Helper()
 	config := engine.DefaultConfig()
@@ -170,8 +170,8 @@
 	return &Standin{Ready: host.Ready(), t: t, truth: log}
 }
 
-// Platform starts a platform without lags, with budgets that a test doesn't
-// meet; edit changes its configuration before, unless it is nil.
+// Platform starts a platform without delays, with a request rate limit too high
+// for a test to reach. If edit isn't nil, it changes the configuration first.
 func Platform(t TestingT, edit func(*platform.Config)) *Standin {
 	t.Helper()
 	config := platform.DefaultConfig()
@@ -205,7 +205,7 @@
 
 func start(t TestingT, service process.Service) *process.Host {
 	t.Helper()
-	service.Crash = func() { panic(fmt.Sprintf("stand-in %s: a crash was injected in a test's process", service.Name)) }
+	service.Crash = func() { panic(fmt.Sprintf("stand-in %s: crash injected into the test process", service.Name)) }
 	host, err := process.Start(service)
 	if err != nil {
 		t.Fatalf("start: %v", err)
