--- a/internal/standin/truth/checks.go
+++ b/internal/standin/truth/checks.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// Attempt is the life of one attempt on one engine.
+// Attempt is one attempt at a request on one engine.
 type Attempt struct {
 	Source   string
 	Request  string
 	Attempt  string
 	Priority int
 	Accepted time.Time
-	// First is when its first token existed, zero if none did.
+	// First is the time of the first token, zero if there was none.
 	First time.Time
-	// Ended is zero while it runs, or if its engine crashed meanwhile.
+	// Ended is zero if the attempt still runs or its engine crashed.
 	Ended  time.Time
 	Cause  Cause
 	From   int
 	Tokens int
 }
 
-// whole tells whether the attempt made the rest of its output.
-func (a Attempt) whole() bool { return a.Cause == CauseFinished }
+// finished reports whether the attempt generated its output to the end.
+func (a Attempt) finished() bool { return a.Cause == CauseFinished }
 
-// attemptKey tells attempts apart; a resend of the same attempt to the same
-// engine is told apart by order.
+// attemptKey identifies an attempt. Resends of an attempt to the same engine
+// share a key and are distinguished by order.
 type attemptKey struct{ source, attempt string }
 
-// Attempts joins the entries of each attempt, in order of their beginning.
-// Attempts that were refused are left out: they did not run.
+// Attempts returns the attempts that the entries describe, in order of
+// acceptance. Refused attempts are omitted, because they didn't run.
 func Attempts(entries []Entry) []Attempt {
 	sorted := append([]Entry(nil), entries...)
 	sort.SliceStable(sorted, func(i, j int) bool { return sorted[i].At.Before(sorted[j].At) })
@@ -40,7 +40,7 @@
 		key := attemptKey{entry.Source, entry.Attempt}
 		switch entry.Kind {
 		case KindStarted:
-			closeAll(open, entry.Source)
+			dropOpen(open, entry.Source)
 		case KindAccepted:
 			open[key] = append(open[key], len(attempts))
 			attempts = append(attempts, Attempt{
@@ -66,8 +66,8 @@
 	return attempts
 }
 
-// closeAll forgets what a restarted engine had open.
-func closeAll(open map[attemptKey][]int, source string) {
+// dropOpen removes the open attempts of a restarted engine.
+func dropOpen(open map[attemptKey][]int, source string) {
 	for key := range open {
 		if key.source == source {
 			delete(open, key)
@@ -75,7 +75,7 @@
 	}
 }
 
-// Runs counts the attempts at a request that an engine accepted.
+// Runs returns the number of accepted attempts at a request.
 func Runs(entries []Entry, request string) int {
 	runs := 0
 	for _, attempt := range Attempts(entries) {
@@ -86,7 +86,7 @@
 	return runs
 }
 
-// Violation is a check that failed.
+// Violation is a failed check.
 type Violation struct {
 	Check   string
 	Request string
@@ -98,8 +98,8 @@
 	return fmt.Sprintf("truth: %s: request %q: %s", v.Check, v.Request, v.Detail)
 }
 
-// AtMostOnce finds requests among the given ones that more than one attempt
-// ran for, as must not be for requests that are not repeatable.
+// AtMostOnce returns a violation for each of the given requests with more than
+// one attempt. It checks requests that are not repeatable.
 func AtMostOnce(entries []Entry, requests map[string]bool) []*Violation {
 	counts := map[string]int{}
 	for _, attempt := range Attempts(entries) {
@@ -110,8 +110,8 @@
 	return violations("at most once", counts, func(count int) bool { return count > 1 }, "ran %d times")
 }
 
-// NeverRan finds requests among the given ones that ran, as must not be for
-// requests whose callers were told "not run".
+// NeverRan returns a violation for each of the given requests that ran. It checks
+// requests whose callers received "not run".
 func NeverRan(entries []Entry, requests map[string]bool) []*Violation {
 	counts := map[string]int{}
 	for _, attempt := range Attempts(entries) {
@@ -122,25 +122,25 @@
 	return violations("never ran", counts, func(count int) bool { return count > 0 }, "ran %d times")
 }
 
-// Completed finds requests among the given ones for which no attempt came to
-// the end of the output.
+// Completed returns a violation for each of the given requests without a finished
+// attempt.
 func Completed(entries []Entry, requests map[string]bool) []*Violation {
 	counts := make(map[string]int, len(requests))
 	for request := range requests {
 		counts[request] = 0
 	}
 	for _, attempt := range Attempts(entries) {
-		if requests[attempt.Request] && attempt.whole() {
+		if requests[attempt.Request] && attempt.finished() {
 			counts[attempt.Request]++
 		}
 	}
-	return violations("completed", counts, func(count int) bool { return count == 0 }, "came to its end %d times")
+	return violations("completed", counts, func(count int) bool { return count == 0 }, "finished %d times")
 }
 
-func violations(check string, counts map[string]int, bad func(int) bool, format string) []*Violation {
+func violations(check string, counts map[string]int, violated func(int) bool, format string) []*Violation {
 	var found []*Violation
 	for request, count := range counts {
-		if bad(count) {
+		if violated(count) {
 			found = append(found, &Violation{Check: check, Request: request, Detail: fmt.Sprintf(format, count)})
 		}
 	}
@@ -148,11 +148,11 @@
 	return found
 }
 
-// Overlapping finds requests of which two attempts ran at the same time. An
-// attempt without an end is taken to run until its engine's next start, or for
-// good.
+// Overlapping returns a violation for each request with two attempts that ran at
+// the same time. An attempt without an end counts as running until the next
+// start of its engine, or forever.
 func Overlapping(entries []Entry) []*Violation {
-	restarts := startsOf(entries)
+	restarts := startTimes(entries)
 	byRequest := map[string][]Attempt{}
 	for _, attempt := range Attempts(entries) {
 		byRequest[attempt.Request] = append(byRequest[attempt.Request], attempt)
@@ -167,15 +167,15 @@
 	return found
 }
 
-// firstOverlap returns the first attempt that began before all earlier ones
-// had ended.
+// firstOverlap returns the first attempt accepted before all earlier ones had
+// ended, or nil.
 func firstOverlap(attempts []Attempt, restarts map[string][]time.Time) *Attempt {
 	var latest time.Time
 	for i := range attempts {
 		if i > 0 && (latest.IsZero() || attempts[i].Accepted.Before(latest)) {
 			return &attempts[i]
 		}
-		end := endOf(attempts[i], restarts)
+		end := endTime(attempts[i], restarts)
 		if end.IsZero() || end.After(latest) {
 			latest = end
 		}
@@ -183,7 +183,8 @@
 	return nil
 }
 
-func startsOf(entries []Entry) map[string][]time.Time {
+// startTimes returns the start times by source.
+func startTimes(entries []Entry) map[string][]time.Time {
 	starts := map[string][]time.Time{}
 	for _, entry := range entries {
 		if entry.Kind == KindStarted {
@@ -193,8 +194,8 @@
 	return starts
 }
 
-// endOf is when the attempt surely ran no more, zero for never.
-func endOf(attempt Attempt, restarts map[string][]time.Time) time.Time {
+// endTime returns the latest time the attempt can have run, zero if unbounded.
+func endTime(attempt Attempt, restarts map[string][]time.Time) time.Time {
 	if !attempt.Ended.IsZero() {
 		return attempt.Ended
 	}
@@ -206,8 +207,8 @@
 	return time.Time{}
 }
 
-// AcceptedAfter lists the attempts that an engine accepted after a time, such
-// as when it said that it was leaving.
+// AcceptedAfter returns the attempts that an engine accepted after a time, such
+// as the start of its drain.
 func AcceptedAfter(entries []Entry, source string, after time.Time) []Attempt {
 	var late []Attempt
 	for _, attempt := range Attempts(entries) {
@@ -218,8 +219,8 @@
 	return late
 }
 
-// DrainDelays tells for each engine that said it was leaving how long after
-// that it last got new work; zero if it got none.
+// DrainDelays returns, by draining engine, the time from the start of its drain
+// to the last attempt accepted; zero if none was.
 func DrainDelays(entries []Entry) map[string]time.Duration {
 	delays := map[string]time.Duration{}
 	for _, entry := range entries {
@@ -234,8 +235,8 @@
 	return delays
 }
 
-// StaleOrders finds orders that took effect although their engine had already
-// carried out one with a higher token.
+// StaleOrders returns a violation for each order that took effect after one with
+// a higher fencing token at the same engine.
 func StaleOrders(entries []Entry) []*Violation {
 	highest := map[string]uint64{}
 	var found []*Violation
--- a/internal/standin/truth/doc.go
+++ b/internal/standin/truth/doc.go
@@ -1,4 +1,4 @@
-// Package truth is what proofs are judged by: the output that a prompt must
-// give (ExpectedText), and the log of what the stand-ins really ran and when,
-// with a reader and checks.
+// Package truth defines the expected results of tests: the output of a model for
+// a prompt (ExpectedText), and the truth log, in which the stand-ins record what
+// they ran and when, with a reader and checks.
 package truth
--- a/internal/standin/truth/log.go
+++ b/internal/standin/truth/log.go
@@ -11,37 +11,37 @@
 	"github.com/gravitational/trace"
 )
 
-// Kind is what a log entry tells.
+// Kind is the kind of a log entry.
 type Kind string
 
 // Kinds of entries.
 const (
-	// KindAccepted: an engine took a request; it may run from now on.
+	// KindAccepted: an engine accepted a request, which may run from now on.
 	KindAccepted Kind = "accepted"
-	// KindFirstToken: the request has produced its first token.
+	// KindFirstToken: the attempt generated its first token.
 	KindFirstToken Kind = "first_token"
-	// KindEnded: the attempt runs no more; Cause and Tokens say how it went.
+	// KindEnded: the attempt ended. Cause and Tokens are set.
 	KindEnded Kind = "ended"
 	// KindRefused: an engine refused a request without running it.
 	KindRefused Kind = "refused"
-	// KindOrder: a fenced order took effect; KindOrderRefused: it did not.
+	// KindOrder: a fenced order was accepted; KindOrderRefused: it was refused.
 	KindOrder        Kind = "order"
 	KindOrderRefused Kind = "order_refused"
-	// KindDraining: the engine began to say that it is leaving.
+	// KindDraining: the engine began to drain.
 	KindDraining Kind = "draining"
-	// KindWrite and KindDelete: an object of the platform changed.
+	// KindWrite and KindDelete: an object of the platform was written or deleted.
 	KindWrite  Kind = "write"
 	KindDelete Kind = "delete"
 	// KindLease: a lease got a new holder.
 	KindLease Kind = "lease"
-	// KindStarted: the stand-in began, perhaps after a crash.
+	// KindStarted: the stand-in started, perhaps after a crash.
 	KindStarted Kind = "started"
 )
 
 // Cause is why an attempt ended.
 type Cause string
 
-// Causes of an end.
+// Causes of KindEnded.
 const (
 	CauseFinished     Cause = "finished"
 	CauseCancelled    Cause = "cancelled"
@@ -58,23 +58,23 @@
 	Request  string `json:"request,omitempty"`
 	Attempt  string `json:"attempt,omitempty"`
 	Priority int    `json:"priority,omitempty"`
-	// From is the first output token of the attempt; Tokens counts those that
-	// it made.
+	// From is the index of the attempt's first output token, Tokens the number
+	// it generated.
 	From   int   `json:"from,omitempty"`
 	Tokens int   `json:"tokens,omitempty"`
 	Cause  Cause `json:"cause,omitempty"`
 
-	// Name is an order's verb and target, an object or a lease.
+	// Name is an order's verb and target, an object's kind and name, or a lease.
 	Name  string `json:"name,omitempty"`
 	Token uint64 `json:"token,omitempty"`
-	// Revision is of the object after the write.
+	// Revision is that of the object after the change, or of the store at startup.
 	Revision uint64 `json:"revision,omitempty"`
-	// Holder of a lease.
+	// Holder is the holder of a lease.
 	Holder string `json:"holder,omitempty"`
 }
 
-// Log appends entries as JSON lines. Each entry is written at once, so that a
-// crash loses none. A nil Log records nothing. Its lock is taken last.
+// Log appends entries as JSON lines, unbuffered, so a crash loses none. A nil Log
+// records nothing. No other lock is taken under its mutex.
 type Log struct {
 	source string
 	now    func() time.Time
@@ -84,7 +84,7 @@
 	closer io.Closer
 }
 
-// OpenLog appends to a file; an empty name gives a nil Log.
+// OpenLog returns a log that appends to a file, or nil if name is empty.
 func OpenLog(name, source string) (*Log, error) {
 	if name == "" {
 		return nil, nil
@@ -96,12 +96,12 @@
 	return &Log{source: source, now: time.Now, writer: file, closer: file}, nil
 }
 
-// NewLog writes to any writer, with the clock given.
+// NewLog returns a log that writes to writer, with times from now.
 func NewLog(writer io.Writer, source string, now func() time.Time) *Log {
 	return &Log{source: source, now: now, writer: writer}
 }
 
-// Record stamps and writes an entry.
+// Record sets the entry's time and source and writes it.
 func (l *Log) Record(entry Entry) {
 	if l == nil {
 		return
@@ -112,12 +112,12 @@
 	entry.At = l.now()
 	line, err := json.Marshal(entry)
 	if err != nil {
-		panic("truth: an entry can't be encoded: " + err.Error())
+		panic("truth: encode an entry: " + err.Error())
 	}
 	_, _ = l.writer.Write(append(line, '\n'))
 }
 
-// Close closes the file.
+// Close closes the file, if the log has one.
 func (l *Log) Close() error {
 	if l == nil || l.closer == nil {
 		return nil
@@ -128,20 +128,20 @@
 // maxLine is the longest line that Read accepts, in bytes.
 const maxLine = 1 << 20
 
-// Read reads a log. A torn last line, as a crash may leave, is dropped; any
-// other broken line is an error.
+// Read returns the entries of a log. An invalid last line, as left by a crash, is
+// dropped; any other invalid line is an error.
 func Read(reader io.Reader) ([]Entry, error) {
 	var entries []Entry
 	scanner := bufio.NewScanner(reader)
 	scanner.Buffer(nil, maxLine)
-	var torn error
+	var invalid error
 	for line := 1; scanner.Scan(); line++ {
-		if torn != nil {
-			return nil, torn
+		if invalid != nil {
+			return nil, invalid
 		}
 		var entry Entry
 		if err := json.Unmarshal(scanner.Bytes(), &entry); err != nil {
-			torn = trace.Wrap(err, "truth log, line %d", line)
+			invalid = trace.Wrap(err, "truth log, line %d", line)
 			continue
 		}
 		entries = append(entries, entry)
@@ -149,7 +149,7 @@
 	return entries, trace.Wrap(scanner.Err())
 }
 
-// ReadFiles reads several logs.
+// ReadFiles returns the entries of several log files, file by file.
 func ReadFiles(names ...string) ([]Entry, error) {
 	var all []Entry
 	for _, name := range names {
--- a/internal/standin/truth/text.go
+++ b/internal/standin/truth/text.go
@@ -10,18 +10,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// TokenBytes is the number of prompt bytes that count as one token.
+// TokenBytes is the number of prompt bytes per token.
 const TokenBytes = 4
 
-// DefaultMaxTokens is the output length when a request names none.
+// DefaultMaxTokens is the output length of requests that set none.
 const DefaultMaxTokens = 16
 
-// PromptTokens counts the tokens of a prompt.
+// PromptTokens returns the number of tokens of a prompt.
 func PromptTokens(prompt string) int {
 	return max(1, (len(prompt)+TokenBytes-1)/TokenBytes)
 }
 
-// Generator yields the output of one prompt.
+// Generator generates the output for one model and prompt.
 type Generator struct{ seed uint64 }
 
 // NewGenerator returns the generator of a model's output for a prompt.
@@ -35,11 +35,11 @@
 
 const hexDigits = "0123456789abcdef"
 
-// tokenDigits is the length of a token's text without its leading space.
+// tokenDigits is the number of digits of a token, after its leading space.
 const tokenDigits = 4
 
 // Append appends the text of the token at the index: a space and four
-// hexadecimal digits, so that it never needs escaping in JSON.
+// hexadecimal digits, which need no escaping in JSON.
 func (g Generator) Append(text []byte, index int) []byte {
 	var input [16]byte
 	binary.BigEndian.PutUint64(input[:8], g.seed)
@@ -56,7 +56,7 @@
 // Token returns the text of the token at the index.
 func (g Generator) Token(index int) string { return string(g.Append(nil, index)) }
 
-// Text returns the tokens from one index up to another, not included.
+// Text returns the text of the tokens in [from, to).
 func (g Generator) Text(from, to int) string {
 	text := make([]byte, 0, max(0, to-from)*(1+tokenDigits))
 	for index := from; index < to; index++ {
@@ -65,13 +65,13 @@
 	return string(text)
 }
 
-// ExpectedText is the whole output that a stand-in engine gives for a prompt.
+// ExpectedText returns the whole output of a stand-in engine for a prompt.
 func ExpectedText(model, prompt string, maxTokens int) string {
 	return NewGenerator(model, prompt).Text(0, maxTokens)
 }
 
-// body is the part of a request that a stand-in engine reads.
-type body struct {
+// requestBody holds the JSON fields of a request that a stand-in engine reads.
+type requestBody struct {
 	Model               string          `json:"model"`
 	Prompt              json.RawMessage `json:"prompt"`
 	Messages            []message       `json:"messages"`
@@ -96,8 +96,8 @@
 	ErrPrompt   = errors.New("truth: the prompt or a message's content is neither a string nor a list of text parts")
 )
 
-// Request is the body of a completion request as an engine understands it.
-// Model, Prompt and MaxTokens decide the output.
+// Request is a parsed completion request. Model, Prompt and MaxTokens determine
+// the output.
 type Request struct {
 	Model     string
 	Prompt    string
@@ -109,10 +109,10 @@
 	ResumeFrom   int
 }
 
-// ParseRequest reads the JSON body of a completion or a chat completion. The
-// prompt of a chat is the concatenation of its messages' contents.
+// ParseRequest parses the JSON body of a completion or chat completion. The
+// prompt of a chat is the concatenated content of its messages.
 func ParseRequest(data []byte) (Request, error) {
-	var parsed body
+	var parsed requestBody
 	if err := json.Unmarshal(data, &parsed); err != nil {
 		return Request{}, err
 	}
@@ -135,8 +135,8 @@
 	return request, err
 }
 
-// text joins the prompt, or else the messages' contents.
-func (b body) text() (string, error) {
+// text returns the prompt or, without one, the joined message contents.
+func (b requestBody) text() (string, error) {
 	if len(b.Prompt) > 0 {
 		return contentText(b.Prompt)
 	}
@@ -154,7 +154,7 @@
 	return prompt.String(), nil
 }
 
-// contentText reads a string, a list of strings or a list of text parts.
+// contentText returns the text of a string, a list of strings or of text parts.
 func contentText(content json.RawMessage) (string, error) {
 	content = bytes.TrimSpace(content)
 	var text string
@@ -178,7 +178,7 @@
 	return joined.String(), nil
 }
 
-// Expected is the whole output for the JSON body of a request.
+// Expected returns the whole output for the JSON body of a request.
 func Expected(data []byte) (string, error) {
 	request, err := ParseRequest(data)
 	if err != nil {
--- a/internal/standin/truth/truth_test.go
+++ b/internal/standin/truth/truth_test.go
@@ -10,7 +10,8 @@
 
 func at(second int) time.Time { return time.Unix(int64(second), 0).UTC() }
 
-// run is an attempt from one second to another; a negative end means none.
+// run returns the entries of an attempt from one second to another; a
+// negative to omits its end.
 func run(source, attempt string, from, to int) []Entry {
 	request, _, _ := strings.Cut(attempt, "#")
 	entries := []Entry{{At: at(from), Source: source, Kind: KindAccepted, Request: request, Attempt: attempt}}
@@ -28,7 +29,8 @@
 	return all
 }
 
-func TestChecks(t *testing.T) {
+// The checks must count resends, overlaps and attempts cut off by a crash.
+func TestChecksCountAttemptsAndOverlaps(t *testing.T) {
 	restart := []Entry{{At: at(5), Source: "e", Kind: KindStarted}}
 	requests := map[string]bool{"a": true}
 	for name, tested := range map[string]struct {
@@ -37,16 +39,16 @@
 		overlap    bool
 		incomplete bool
 	}{
-		"never":              {nil, 0, false, true},
-		"once":               {run("e", "a#1", 1, 2), 1, false, false},
-		"one after another":  {join(run("e", "a#1", 1, 2), run("f", "a#2", 2, 3)), 2, false, false},
-		"at the same time":   {join(run("e", "a#1", 1, 3), run("f", "a#2", 2, 4)), 2, true, false},
-		"one inside another": {join(run("e", "a#1", 1, 9), run("f", "a#2", 2, 3), run("f", "a#3", 4, 5)), 3, true, false},
-		"sent twice":         {join(run("e", "a#1", 1, 3), run("e", "a#1", 2, 4)), 2, true, false},
-		"never ended":        {join(run("e", "a#1", 1, -1), run("f", "a#2", 9, 10)), 2, true, false},
-		"crashed":            {join(run("e", "a#1", 1, -1), restart, run("f", "a#2", 9, 10)), 2, false, false},
-		"crashed only":       {join(run("e", "a#1", 1, -1), restart), 1, false, true},
-		"of others":          {join(run("e", "b#1", 1, 2), run("f", "c#2", 1, 3)), 0, false, true},
+		"not run":               {nil, 0, false, true},
+		"once":                  {run("e", "a#1", 1, 2), 1, false, false},
+		"sequential":            {join(run("e", "a#1", 1, 2), run("f", "a#2", 2, 3)), 2, false, false},
+		"overlapping":           {join(run("e", "a#1", 1, 3), run("f", "a#2", 2, 4)), 2, true, false},
+		"nested":                {join(run("e", "a#1", 1, 9), run("f", "a#2", 2, 3), run("f", "a#3", 4, 5)), 3, true, false},
+		"attempt resent":        {join(run("e", "a#1", 1, 3), run("e", "a#1", 2, 4)), 2, true, false},
+		"never ended":           {join(run("e", "a#1", 1, -1), run("f", "a#2", 9, 10)), 2, true, false},
+		"crashed, then retried": {join(run("e", "a#1", 1, -1), restart, run("f", "a#2", 9, 10)), 2, false, false},
+		"crashed, not retried":  {join(run("e", "a#1", 1, -1), restart), 1, false, true},
+		"other requests":        {join(run("e", "b#1", 1, 2), run("f", "c#2", 1, 3)), 0, false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
@@ -66,6 +68,8 @@
 	return 0
 }
 
+// DrainDelays must ignore attempts accepted before the drain, and StaleOrders
+// refused orders.
 func TestDrainDelaysAndStaleOrders(t *testing.T) {
 	g := gomega.NewWithT(t)
 	entries := join(
@@ -82,7 +86,8 @@
 	g.Expect(StaleOrders(append(entries, Entry{Source: "e", Kind: KindOrder, Token: 1}))).To(gomega.HaveLen(1))
 }
 
-func TestLogIsReadBack(t *testing.T) {
+// Read must return what Record wrote, and accept an invalid line only at the end.
+func TestReadReturnsRecordedEntries(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var written strings.Builder
 	log := NewLog(&written, "e", func() time.Time { return at(7) })
@@ -94,33 +99,35 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(read).To(gomega.Equal([]Entry{entry, entry}))
 	read, err = Read(strings.NewReader(written.String() + `{"at":"20`))
-	g.Expect(err).NotTo(gomega.HaveOccurred(), "a crash may tear the last line")
+	g.Expect(err).NotTo(gomega.HaveOccurred(), "a crash may truncate the last line")
 	g.Expect(read).To(gomega.HaveLen(2))
 	_, err = Read(strings.NewReader(`{"at":"20` + "\n" + written.String()))
 	g.Expect(err).To(gomega.HaveOccurred())
 	(*Log)(nil).Record(entry)
 }
 
-func TestExpectedText(t *testing.T) {
+// The output must depend on model and prompt alone, in any encoding of a request
+// and from any start index.
+func TestExpectedTextDependsOnModelAndPrompt(t *testing.T) {
 	g := gomega.NewWithT(t)
-	whole := ExpectedText("m", "p", 10)
+	want := ExpectedText("m", "p", 10)
 	generator := NewGenerator("m", "p")
-	g.Expect(generator.Text(0, 4) + generator.Text(4, 10)).To(gomega.Equal(whole))
-	g.Expect(whole).To(gomega.HaveLen(50))
-	g.Expect(ExpectedText("m", "q", 10)).NotTo(gomega.Equal(whole))
-	g.Expect(ExpectedText("n", "p", 10)).NotTo(gomega.Equal(whole))
-	for _, equal := range []string{
+	g.Expect(generator.Text(0, 4) + generator.Text(4, 10)).To(gomega.Equal(want))
+	g.Expect(want).To(gomega.HaveLen(50))
+	g.Expect(ExpectedText("m", "q", 10)).NotTo(gomega.Equal(want))
+	g.Expect(ExpectedText("n", "p", 10)).NotTo(gomega.Equal(want))
+	for _, body := range []string{
 		`{"model":"m","prompt":"p","max_tokens":10}`,
 		`{"model":"m","prompt":["p"],"max_tokens":10}`,
 		`{"model":"m","messages":[{"role":"user","content":"p"}],"max_completion_tokens":10}`,
 		`{"model":"m","messages":[{"content":""},{"content":[{"type":"text","text":"p"}]}],"max_tokens":10}`,
 	} {
-		text, err := Expected([]byte(equal))
-		g.Expect(err).NotTo(gomega.HaveOccurred(), equal)
-		g.Expect(text).To(gomega.Equal(whole), equal)
+		text, err := Expected([]byte(body))
+		g.Expect(err).NotTo(gomega.HaveOccurred(), body)
+		g.Expect(text).To(gomega.Equal(want), body)
 	}
-	for _, broken := range []string{`{`, `{"model":"m"}`, `{"prompt":7}`, `{"messages":[{"content":7}]}`} {
-		_, err := Expected([]byte(broken))
-		g.Expect(err).To(gomega.HaveOccurred(), broken)
+	for _, invalid := range []string{`{`, `{"model":"m"}`, `{"prompt":7}`, `{"messages":[{"content":7}]}`} {
+		_, err := Expected([]byte(invalid))
+		g.Expect(err).To(gomega.HaveOccurred(), invalid)
 	}
 }
