--- a/internal/lab/arrivals/arrivals_test.go
+++ b/internal/lab/arrivals/arrivals_test.go
@@ -22,7 +22,9 @@
 	}
 }
 
-func TestOnlineFollowsItsRateAndSeed(t *testing.T) {
+// Guards against a wrong arrival rate inside or outside bursts and against a seed that does not
+// fix the traffic.
+func TestOnlineMatchesRateAndIsDeterministic(t *testing.T) {
 	g := gomega.NewWithT(t)
 	config := arrivals.Online{
 		Rate:   100,
@@ -43,7 +45,8 @@
 	g.Expect(len(first) - inBurst).To(gomega.BeNumerically("~", 75*100, 500))
 }
 
-func TestTextSharesTheFamilyPrefixOnly(t *testing.T) {
+// Guards against prompts that share too much or too little for prefix-cache experiments.
+func TestTextSharesOnlyFamilyPrefix(t *testing.T) {
 	g := gomega.NewWithT(t)
 	request := arrivals.Request{Number: 1, Family: 2, SharedTokens: 16, OwnTokens: 4}
 	sibling := arrivals.Request{Number: 2, Family: 2, SharedTokens: 16, OwnTokens: 4}
@@ -57,16 +60,17 @@
 	g.Expect(other.Text("a")).NotTo(gomega.HavePrefix(prefix))
 }
 
-func TestBatchComesInHeapsWithDeadlines(t *testing.T) {
+// Guards against job sizes, intervals or deadlines outside the configured ranges.
+func TestNewBatchJobSizesAndDeadlines(t *testing.T) {
 	g := gomega.NewWithT(t)
 	config := arrivals.Batch{Every: 8 * time.Second, Jitter: 0.2, Items: arrivals.Span{Min: 5, Max: 9},
 		DeadlineMin: time.Minute, DeadlineMax: 2 * time.Minute}
-	heaps := arrivals.NewBatch(config, 3, 80*time.Second)
-	g.Expect(arrivals.NewBatch(config, 3, 80*time.Second)).To(gomega.Equal(heaps))
-	g.Expect(len(heaps)).To(gomega.BeNumerically("~", 10, 2))
-	for _, heap := range heaps {
-		g.Expect(len(heap.Items)).To(gomega.And(gomega.BeNumerically(">=", 5), gomega.BeNumerically("<=", 9)))
-		g.Expect(heap.Deadline - heap.At).To(gomega.And(
+	jobs := arrivals.NewBatch(config, 3, 80*time.Second)
+	g.Expect(arrivals.NewBatch(config, 3, 80*time.Second)).To(gomega.Equal(jobs))
+	g.Expect(len(jobs)).To(gomega.BeNumerically("~", 10, 2))
+	for _, job := range jobs {
+		g.Expect(len(job.Items)).To(gomega.And(gomega.BeNumerically(">=", 5), gomega.BeNumerically("<=", 9)))
+		g.Expect(job.Deadline - job.At).To(gomega.And(
 			gomega.BeNumerically(">=", time.Minute), gomega.BeNumerically("<=", 2*time.Minute)))
 	}
 }
--- a/internal/lab/arrivals/online.go
+++ b/internal/lab/arrivals/online.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// Span is an inclusive range of whole numbers from which values are drawn
-// uniformly.
+// Span is an inclusive range of integers that is sampled uniformly.
 type Span struct {
 	Min int `koanf:"min" validate:"gte=0"`
 	Max int `koanf:"max" validate:"gtefield=Min"`
@@ -19,11 +18,11 @@
 	return s.Min + random.IntN(s.Max-s.Min+1)
 }
 
-// Mean is the expected value of a draw.
+// Mean returns the expected value of a sample.
 func (s Span) Mean() float64 { return float64(s.Min+s.Max) / 2 }
 
-// Burst multiplies the online rate for Length, at Start and then every Every
-// (once if Every is zero).
+// Burst multiplies the online rate by Factor for Length, at Start and then every
+// Every (once if Every is zero).
 type Burst struct {
 	Start  time.Duration `koanf:"start" validate:"gte=0"`
 	Every  time.Duration `koanf:"every" validate:"gte=0"`
@@ -31,7 +30,7 @@
 	Factor float64       `koanf:"factor" validate:"gt=0"`
 }
 
-// Covers says whether the burst is on at the time since the start of the run.
+// Covers reports whether the burst is active at a time since the start of the run.
 func (b Burst) Covers(at time.Duration) bool {
 	if at < b.Start {
 		return false
@@ -43,8 +42,8 @@
 	return since < b.Length
 }
 
-// Prompts describes prompts: Families share a prefix of SharedTokens each;
-// OwnTokens follow that are different in every prompt.
+// Prompts configures prompts. Prompts of the same family start with the same
+// SharedTokens tokens, followed by OwnTokens tokens unique to each prompt.
 type Prompts struct {
 	Families     int  `koanf:"families" validate:"gte=0"`
 	SharedTokens int  `koanf:"shared_tokens" validate:"gte=0"`
@@ -52,7 +51,7 @@
 	OutputTokens Span `koanf:"output_tokens"`
 }
 
-// Online describes online traffic.
+// Online configures online traffic.
 type Online struct {
 	// Rate is in requests per second, outside bursts.
 	Rate    float64 `koanf:"rate" validate:"gte=0"`
@@ -60,7 +59,7 @@
 	Prompts Prompts `koanf:"prompts"`
 }
 
-// RateAt is the expected arrival rate at a time, in requests per second.
+// RateAt returns the expected arrival rate at a time, in requests per second.
 func (o Online) RateAt(at time.Duration) float64 {
 	rate := o.Rate
 	for _, burst := range o.Bursts {
@@ -71,8 +70,8 @@
 	return rate
 }
 
-// peakRate bounds RateAt from above.
-func (o Online) peakRate() float64 {
+// maxRate returns an upper bound of RateAt.
+func (o Online) maxRate() float64 {
 	peak := o.Rate
 	for _, burst := range o.Bursts {
 		peak *= max(1, burst.Factor)
@@ -83,59 +82,59 @@
 // Request is one arrival.
 type Request struct {
 	At     time.Duration // since the start of the run
-	Number int           // from 0, in order of arrival
-	// Family is the prompt family, or -1 if the prompt shares nothing.
+	Number int           // sequence number from 0, in order of arrival
+	// Family is the prompt family, or -1 if the prompt has no shared prefix.
 	Family       int
 	SharedTokens int
 	OwnTokens    int
 	OutputTokens int
 }
 
-// PromptTokens is the length of the whole prompt.
+// PromptTokens returns the length of the prompt in tokens.
 func (r Request) PromptTokens() int { return r.SharedTokens + r.OwnTokens }
 
-// OnlineStream draws requests one by one.
+// OnlineStream generates online requests in order of arrival.
 type OnlineStream struct {
-	config Online
-	random *rand.Rand
-	peak   float64
-	now    time.Duration
-	number int
+	config  Online
+	random  *rand.Rand
+	maxRate float64
+	now     time.Duration
+	number  int
 }
 
-// seedStream separates the random sequences that are drawn from one seed.
+// Second words of the PCG seeds, which keep online and batch traffic independent.
 const (
 	seedOnline = 0x6f6e6c696e65
 	seedBatch  = 0x6261746368
 )
 
-// NewOnline starts the stream of a seed.
+// NewOnline returns the request stream of a seed.
 func NewOnline(config Online, seed uint64) *OnlineStream {
 	return &OnlineStream{
-		config: config,
-		random: rand.New(rand.NewPCG(seed, seedOnline)),
-		peak:   config.peakRate(),
+		config:  config,
+		random:  rand.New(rand.NewPCG(seed, seedOnline)),
+		maxRate: config.maxRate(),
 	}
 }
 
-// Next returns the next arrival before end, or false. Arrivals of a varying
-// rate are drawn by thinning a Poisson process of the peak rate.
+// Next returns the next arrival before end, or false if there is none. It thins
+// a Poisson process of the maximum rate to follow the varying rate.
 func (s *OnlineStream) Next(end time.Duration) (Request, bool) {
-	if s.peak <= 0 {
+	if s.maxRate <= 0 {
 		return Request{}, false
 	}
 	for {
-		s.now += time.Duration(s.random.ExpFloat64() / s.peak * float64(time.Second))
+		s.now += time.Duration(s.random.ExpFloat64() / s.maxRate * float64(time.Second))
 		if s.now >= end {
 			return Request{}, false
 		}
-		if s.random.Float64()*s.peak < s.config.RateAt(s.now) {
-			return s.request(), true
+		if s.random.Float64()*s.maxRate < s.config.RateAt(s.now) {
+			return s.newRequest(), true
 		}
 	}
 }
 
-func (s *OnlineStream) request() Request {
+func (s *OnlineStream) newRequest() Request {
 	request := s.config.Prompts.draw(s.random)
 	request.At = s.now
 	request.Number = s.number
--- a/internal/lab/arrivals/text.go
+++ b/internal/lab/arrivals/text.go
@@ -8,13 +8,13 @@
 	"chutelock.dev/chutelock/internal/standin/truth"
 )
 
-// wordLetters are the letters of prompt words; a word and the space behind it
-// make up one token of the stand-in engines.
-const wordLetters = "abcdefghijklmnopqrstuvwxyz012345"
+// wordAlphabet is the alphabet of prompt words. A word and its trailing space
+// are one token of the stand-in engines.
+const wordAlphabet = "abcdefghijklmnopqrstuvwxyz012345"
 
-// Text renders a request's prompt as words, one a token: a prefix that is the
-// same for the whole family, then words that only this request of this run
-// has. Label keeps runs apart that share an engine's prefix cache.
+// Text returns the request's prompt, one word per token: the prefix shared by the
+// family, then words unique to the request and label. Runs with different labels
+// share only prefixes in an engine's prefix cache.
 func (r Request) Text(label string) string {
 	text := make([]byte, 0, r.PromptTokens()*truth.TokenBytes)
 	text = appendWords(text, "family", uint64(r.Family), r.SharedTokens)
@@ -34,8 +34,8 @@
 
 func appendWord(text []byte, sum uint64) []byte {
 	for range truth.TokenBytes - 1 {
-		text = append(text, wordLetters[sum%uint64(len(wordLetters))])
-		sum /= uint64(len(wordLetters))
+		text = append(text, wordAlphabet[sum%uint64(len(wordAlphabet))])
+		sum /= uint64(len(wordAlphabet))
 	}
 	return append(text, ' ')
 }
--- a/internal/lab/sim/bound.go
+++ b/internal/lab/sim/bound.go
@@ -57,9 +57,9 @@
 // end of each second.
 func offeredTokens(config Config, seed uint64, bins int) []float64 {
 	offered := make([]float64, bins)
-	for _, heap := range arrivals.NewBatch(config.Batch, seed, time.Duration(bins)*bin) {
-		for _, item := range heap.Items {
-			for second := int(heap.At / bin); second < bins; second++ {
+	for _, job := range arrivals.NewBatch(config.Batch, seed, time.Duration(bins)*bin) {
+		for _, item := range job.Items {
+			for second := int(job.At / bin); second < bins; second++ {
 				offered[second] += float64(item.OutputTokens)
 			}
 		}
@@ -71,12 +71,12 @@
 // that the fluid bound's capacity can finish in time, earliest deadline first.
 // Like the bound it ignores harm to online, so that it errs on the strict side.
 func FeasibleDeadlines(config Config, seed uint64, recording *Recording) int {
-	heaps := arrivals.NewBatch(config.Batch, seed, config.Duration)
+	jobs := arrivals.NewBatch(config.Batch, seed, config.Duration)
 	pool := newItemPool(true)
 	feasible, next := 0, 0
 	for second := range int(config.Duration / bin) {
-		for next < len(heaps) && heaps[next].At <= time.Duration(second)*bin {
-			pool.addHeap(heaps[next])
+		for next < len(jobs) && jobs[next].At <= time.Duration(second)*bin {
+			pool.addJob(jobs[next])
 			next++
 		}
 		feasible += pool.serve(freeTokens(config, recording, second), time.Duration(second)*bin, config.Duration)
--- a/internal/lab/sim/pool.go
+++ b/internal/lab/sim/pool.go
@@ -39,9 +39,9 @@
 	return &itemPool{byDeadline: byDeadline, open: itemHeap{byDeadline: byDeadline}}
 }
 
-func (p *itemPool) addHeap(arrived arrivals.Heap) {
-	for _, request := range arrived.Items {
-		added := &item{request: request, deadline: arrived.Deadline}
+func (p *itemPool) addJob(job arrivals.Job) {
+	for _, request := range job.Items {
+		added := &item{request: request, deadline: job.Deadline}
 		p.all = append(p.all, added)
 		p.put(added)
 	}
--- a/internal/lab/sim/simulation.go
+++ b/internal/lab/sim/simulation.go
@@ -121,8 +121,8 @@
 	if s.policy.Kind == PolicyNone {
 		return
 	}
-	for _, heap := range arrivals.NewBatch(s.config.Batch, seed, s.config.Duration) {
-		s.after(heap.At, func() { s.acceptHeap(heap) })
+	for _, job := range arrivals.NewBatch(s.config.Batch, seed, s.config.Duration) {
+		s.after(job.At, func() { s.acceptJob(job) })
 	}
 }
 
@@ -138,9 +138,9 @@
 	})
 }
 
-func (s *simulation) acceptHeap(heap arrivals.Heap) {
-	s.pool.addHeap(heap)
-	s.result.BatchItems += len(heap.Items)
+func (s *simulation) acceptJob(job arrivals.Job) {
+	s.pool.addJob(job)
+	s.result.BatchItems += len(job.Items)
 	for _, engine := range s.engines {
 		for _, home := range s.homesOf(engine.index) {
 			home.tick()
