--- a/internal/lab/experiment/csv.go
+++ b/internal/lab/experiment/csv.go
@@ -10,7 +10,7 @@
 	"github.com/gravitational/trace"
 )
 
-// The columns before the measures.
+// leadingColumns are the CSV columns before the measures.
 var leadingColumns = []string{"experiment", "policy", "seed", "bound_tokens"}
 
 func header() []string {
@@ -21,7 +21,7 @@
 	return columns
 }
 
-// WriteCSV writes a line for each run.
+// WriteCSV writes one record per run.
 func (o *Outcome) WriteCSV(out io.Writer) error {
 	writer := csv.NewWriter(out)
 	if err := writer.Write(header()); err != nil {
@@ -42,7 +42,7 @@
 	return trace.Wrap(writer.Error())
 }
 
-// significantDigits of numbers in tables.
+// significantDigits is the precision of fractional numbers in CSV files.
 const significantDigits = 5
 
 func formatNumber(value float64) string {
@@ -52,14 +52,14 @@
 	return strconv.FormatFloat(value, 'g', significantDigits, 64)
 }
 
-// ReadCSV reads what WriteCSV wrote; reference names the policy to compare with.
+// ReadCSV reads the output of WriteCSV; reference names the policy to compare with.
 func ReadCSV(in io.Reader, reference string) (*Outcome, error) {
 	lines, err := csv.NewReader(in).ReadAll()
 	if err != nil {
 		return nil, trace.Wrap(err, "read results")
 	}
 	if len(lines) < 2 {
-		return nil, trace.BadParameter("results hold no run")
+		return nil, trace.BadParameter("results contain no runs")
 	}
 	if err := checkHeader(lines[0]); err != nil {
 		return nil, err
@@ -78,7 +78,7 @@
 func checkHeader(columns []string) error {
 	for i, wanted := range header() {
 		if i >= len(columns) || columns[i] != wanted {
-			return trace.BadParameter("results lack the column %q in place %v", wanted, i+1)
+			return trace.BadParameter("results: expected column %q at position %v", wanted, i+1)
 		}
 	}
 	return nil
@@ -100,7 +100,7 @@
 	return Sample{Policy: line[1], Seed: seed, Bound: numbers[0], Values: numbers[1:]}, nil
 }
 
-// add puts a sample beside those of the same seed.
+// add appends a sample, grouping consecutive samples of the same seed.
 func (o *Outcome) add(sample Sample) {
 	last := len(o.Samples) - 1
 	if last < 0 || o.Samples[last][0].Seed != sample.Seed {
@@ -110,7 +110,7 @@
 	o.Samples[last] = append(o.Samples[last], sample)
 }
 
-// checkComplete makes sure that each seed has the same policies in one order.
+// checkComplete returns an error unless all seeds have the same policies in the same order.
 func (o *Outcome) checkComplete() error {
 	for _, samples := range o.Samples {
 		if len(samples) != o.policies() {
@@ -118,7 +118,7 @@
 		}
 		for i, sample := range samples {
 			if sample.Policy != o.policyName(i) {
-				return trace.BadParameter("seed %v has policy %q in place of %q", sample.Seed, sample.Policy, o.policyName(i))
+				return trace.BadParameter("seed %v has policy %q, want %q", sample.Seed, sample.Policy, o.policyName(i))
 			}
 		}
 	}
--- a/internal/lab/experiment/file.go
+++ b/internal/lab/experiment/file.go
@@ -13,24 +13,24 @@
 	"chutelock.dev/chutelock/internal/lab/sim"
 )
 
-// Seeds are the traffic seeds of an experiment.
+// Seeds is the range of traffic seeds of an experiment.
 type Seeds struct {
 	First uint64 `koanf:"first"`
 	Count int    `koanf:"count" validate:"gt=0"`
 }
 
-// File is an experiment as written in YAML.
+// File is the content of a YAML experiment file.
 type File struct {
 	Name        string       `koanf:"name" validate:"required"`
 	Description string       `koanf:"description"`
 	Seeds       Seeds        `koanf:"seeds"`
 	Run         sim.Config   `koanf:"run"`
 	Policies    []sim.Policy `koanf:"policies" validate:"min=1,dive"`
-	// Reference names the policy that the others are compared with in pairs.
+	// Reference names the policy that all others are compared with, seed by seed.
 	Reference string `koanf:"reference" validate:"required"`
 }
 
-// Load reads and validates an experiment file; unknown fields are refused.
+// Load reads and validates an experiment file; unknown fields are an error.
 func Load(path string) (File, error) {
 	tree := koanf.New(".")
 	if err := tree.Load(file.Provider(path), yaml.Parser()); err != nil {
@@ -47,9 +47,9 @@
 		return File{}, trace.Wrap(err, "decode experiment %v", path)
 	}
 	if err := validator.New().Struct(loaded); err != nil {
-		return File{}, trace.Wrap(err, "check experiment %v", path)
+		return File{}, trace.Wrap(err, "validate experiment %v", path)
 	}
-	return loaded, trace.Wrap(loaded.checkReference(), "check experiment %v", path)
+	return loaded, trace.Wrap(loaded.checkReference(), "validate experiment %v", path)
 }
 
 func (f File) checkReference() error {
--- a/internal/lab/experiment/html.go
+++ b/internal/lab/experiment/html.go
@@ -13,14 +13,14 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Size of the plots.
+// Dimensions of the plots.
 const (
 	plotWidth  = 7 * vg.Inch
 	plotHeight = 4 * vg.Inch
 	pointSize  = vg.Length(3)
 )
 
-// Harm and harvest that the project aims at.
+// Targets drawn as lines in the plots: at most harmGoal, at least harvestGoal.
 const (
 	harmGoal    = 1.05
 	harvestGoal = 0.95
@@ -53,7 +53,7 @@
 	Image template.HTML
 }
 
-// WriteHTML writes a page with tables and plots that needs no other file.
+// WriteHTML writes a self-contained page with tables and plots.
 func (o *Outcome) WriteHTML(out io.Writer) error {
 	plots, err := o.plots()
 	if err != nil {
@@ -72,7 +72,7 @@
 	}))
 }
 
-// table has a line for each measure and a column for each policy.
+// table returns a table with a row per measure and a column per policy.
 func (o *Outcome) table(title string, cell func(policy, measure int) Estimate) tableView {
 	view := tableView{Title: title, Header: []string{"measure"}}
 	for policy := range o.policies() {
@@ -109,26 +109,26 @@
 	{0xbc, 0xbd, 0x22, 0xff}, {0x17, 0xbe, 0xcf, 0xff},
 }
 
-// harmShown bounds the harm axis; worse points are drawn at its end.
-const harmShown = 2.0
+// maxPlottedHarm is the end of the harm axis, where larger values are drawn.
+const maxPlottedHarm = 2.0
 
-// scatter plots a point for each seed and policy, and the goals as lines.
-func (o *Outcome) scatter(across, up string) (template.HTML, error) {
-	x, knownX := measureIndex(across)
-	y, knownY := measureIndex(up)
+// scatter returns an SVG plot with a point per seed and policy, and the goals as lines.
+func (o *Outcome) scatter(xMeasure, yMeasure string) (template.HTML, error) {
+	x, knownX := measureIndex(xMeasure)
+	y, knownY := measureIndex(yMeasure)
 	if !knownX || !knownY {
-		return "", trace.BadParameter("no measure %q or %q", across, up)
+		return "", trace.BadParameter("unknown measure %q or %q", xMeasure, yMeasure)
 	}
 	drawing := plot.New()
-	drawing.X.Label.Text = fmt.Sprintf("harm (drawn at %.0f where higher)", harmShown)
+	drawing.X.Label.Text = fmt.Sprintf("harm (drawn at %.0f where higher)", maxPlottedHarm)
 	drawing.Y.Label.Text = "harvest"
-	drawing.X.Min, drawing.X.Max = 0.95, harmShown
+	drawing.X.Min, drawing.X.Max = 0.95, maxPlottedHarm
 	drawing.Y.Min, drawing.Y.Max = 0, 1.05
 	drawing.Legend.Left = false
 	for policy := range o.policies() {
 		points := make(plotter.XYs, len(o.Samples))
 		for i, samples := range o.Samples {
-			points[i] = plotter.XY{X: min(samples[policy].Values[x], harmShown), Y: samples[policy].Values[y]}
+			points[i] = plotter.XY{X: min(samples[policy].Values[x], maxPlottedHarm), Y: samples[policy].Values[y]}
 		}
 		series, err := plotter.NewScatter(points)
 		if err != nil {
@@ -139,16 +139,16 @@
 		drawing.Add(series)
 		drawing.Legend.Add(o.policyName(policy), series)
 	}
-	if err := addGoals(drawing); err != nil {
+	if err := addGoalLines(drawing); err != nil {
 		return "", err
 	}
 	return renderSVG(drawing)
 }
 
-func addGoals(drawing *plot.Plot) error {
+func addGoalLines(drawing *plot.Plot) error {
 	for _, ends := range []plotter.XYs{
 		{{X: harmGoal, Y: 0}, {X: harmGoal, Y: 1.05}},
-		{{X: 0.95, Y: harvestGoal}, {X: harmShown, Y: harvestGoal}},
+		{{X: 0.95, Y: harvestGoal}, {X: maxPlottedHarm, Y: harvestGoal}},
 	} {
 		line, err := plotter.NewLine(ends)
 		if err != nil {
@@ -171,7 +171,7 @@
 	}
 	raw := image.Bytes()
 	if start := bytes.Index(raw, []byte("<svg")); start > 0 {
-		raw = raw[start:] // an embedded image has no XML head
+		raw = raw[start:] // HTML does not allow an embedded XML declaration
 	}
 	return template.HTML(raw), nil
 }
--- a/internal/lab/experiment/outcome.go
+++ b/internal/lab/experiment/outcome.go
@@ -7,21 +7,21 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// confidence is the level of all intervals.
+// confidence is the level of all confidence intervals.
 const confidence = 0.95
 
-// Outcome is an experiment's runs: a sample for each seed and policy, the run
-// without batch work first.
+// Outcome is the result of an experiment.
 type Outcome struct {
 	Name        string
 	Description string
-	// Reference names the policy that the others are compared with in pairs.
+	// Reference names the policy that all others are compared with, seed by seed.
 	Reference string
-	Samples   [][]Sample
+	// Samples has a slice per seed: the run without batch work, then a run per policy.
+	Samples [][]Sample
 }
 
-// Estimate is a mean over seeds with the half width of its confidence
-// interval (Student's t).
+// Estimate is a mean over seeds and the half-width of its confidence interval
+// (Student's t).
 type Estimate struct{ Mean, HalfWidth float64 }
 
 func estimate(values []float64) Estimate {
@@ -34,7 +34,7 @@
 	return Estimate{Mean: mean, HalfWidth: quantile * deviation / math.Sqrt(float64(len(values)))}
 }
 
-// policies is the number of policies, the run without batch included.
+// policies returns the number of policies, including the run without batch work.
 func (o *Outcome) policies() int {
 	if len(o.Samples) == 0 {
 		return 0
@@ -44,7 +44,7 @@
 
 func (o *Outcome) policyName(index int) string { return o.Samples[0][index].Policy }
 
-// column is a measure of one policy on each seed.
+// column returns a measure of one policy for all seeds.
 func (o *Outcome) column(policy, measure int) []float64 {
 	values := make([]float64, len(o.Samples))
 	for i, samples := range o.Samples {
@@ -55,7 +55,7 @@
 
 func (o *Outcome) estimate(policy, measure int) Estimate { return estimate(o.column(policy, measure)) }
 
-// difference estimates policy − reference on the same seeds.
+// difference estimates policy − reference, paired by seed.
 func (o *Outcome) difference(policy, measure int) Estimate {
 	values := o.column(policy, measure)
 	reference := o.column(o.referenceIndex(), measure)
@@ -74,7 +74,7 @@
 	return 0
 }
 
-// Estimate is a measure's estimate by policy and measure name.
+// Estimate returns the estimate of a measure, and whether policy and measure exist.
 func (o *Outcome) Estimate(policy, name string) (Estimate, bool) {
 	measure, known := measureIndex(name)
 	for index := range o.policies() {
--- a/internal/lab/experiment/row.go
+++ b/internal/lab/experiment/row.go
@@ -8,33 +8,33 @@
 	"chutelock.dev/chutelock/internal/lab/sim"
 )
 
-// Latency is one latency's quantiles, in milliseconds.
+// Latency holds quantiles of a latency, in milliseconds.
 type Latency struct{ P50, P99, P999 float64 }
 
-func latencyOf(histogram *hdrhistogram.Histogram) Latency {
+func newLatency(histogram *hdrhistogram.Histogram) Latency {
 	at := func(percent float64) float64 {
 		return float64(histogram.ValueAtQuantile(percent)) / float64(time.Millisecond)
 	}
 	return Latency{P50: at(50), P99: at(99), P999: at(99.9)}
 }
 
-// over divides quantile by quantile.
-func (l Latency) over(reference Latency) Latency {
+// dividedBy returns the ratio of each quantile to that of base.
+func (l Latency) dividedBy(base Latency) Latency {
 	return Latency{
-		P50:  ratio(l.P50, reference.P50),
-		P99:  ratio(l.P99, reference.P99),
-		P999: ratio(l.P999, reference.P999),
+		P50:  ratio(l.P50, base.P50),
+		P99:  ratio(l.P99, base.P99),
+		P999: ratio(l.P999, base.P999),
 	}
 }
 
-func ratio(value, reference float64) float64 {
-	if reference == 0 {
+func ratio(numerator, denominator float64) float64 {
+	if denominator == 0 {
 		return 0
 	}
-	return value / reference
+	return numerator / denominator
 }
 
-// Row is the measures of one run.
+// Row holds the measures of one run.
 type Row struct {
 	Policy string
 	Seed   uint64
@@ -42,49 +42,49 @@
 	FirstToken    Latency
 	BetweenTokens Latency
 	Total         Latency
-	// Harm is each latency divided by that without batch on the same traffic.
+	// Quantiles divided by those of the baseline, which has the same traffic.
 	HarmFirstToken    Latency
 	HarmBetweenTokens Latency
 	HarmTotal         Latency
 
-	// Bound is sim.FluidBound, and Harvest the share of it that was reached.
+	// Bound is sim.FluidBound, and Harvest the fraction of it that was reached.
 	Bound   float64
 	Harvest float64
-	// FeasibleDeadlines is sim.FeasibleDeadlines.
+	// FeasibleDeadlines is the result of sim.FeasibleDeadlines.
 	FeasibleDeadlines int
 
 	Result *sim.Result
 }
 
-func newRow(result *sim.Result, alone *reference) Row {
+func newRow(result *sim.Result, base *baseline) Row {
 	row := Row{
 		Policy:        result.Policy,
 		Seed:          result.Seed,
-		FirstToken:    latencyOf(result.FirstToken),
-		BetweenTokens: latencyOf(result.BetweenTokens),
-		Total:         latencyOf(result.Total),
-		Bound:         alone.bound,
-		Harvest:       ratio(float64(result.BatchTokens), alone.bound),
+		FirstToken:    newLatency(result.FirstToken),
+		BetweenTokens: newLatency(result.BetweenTokens),
+		Total:         newLatency(result.Total),
+		Bound:         base.bound,
+		Harvest:       ratio(float64(result.BatchTokens), base.bound),
 		Result:        result,
 
-		FeasibleDeadlines: alone.feasible,
+		FeasibleDeadlines: base.feasible,
 	}
-	row.HarmFirstToken = row.FirstToken.over(latencyOf(alone.result.FirstToken))
-	row.HarmBetweenTokens = row.BetweenTokens.over(latencyOf(alone.result.BetweenTokens))
-	row.HarmTotal = row.Total.over(latencyOf(alone.result.Total))
+	row.HarmFirstToken = row.FirstToken.dividedBy(newLatency(base.result.FirstToken))
+	row.HarmBetweenTokens = row.BetweenTokens.dividedBy(newLatency(base.result.BetweenTokens))
+	row.HarmTotal = row.Total.dividedBy(newLatency(base.result.Total))
 	return row
 }
 
-// sample takes the row's measures.
-func (r Row) sample() Sample {
+// newSample returns the row's values for the table of measures.
+func (r Row) newSample() Sample {
 	values := make([]float64, len(measures))
 	for i, measure := range measures {
-		values[i] = measure.of(r)
+		values[i] = measure.value(r)
 	}
 	return Sample{Policy: r.Policy, Seed: r.Seed, Bound: r.Bound, Values: values}
 }
 
-// Sample is the measures of one run, in the order of the table of measures.
+// Sample holds the measures of one run; Values has the order of measures.
 type Sample struct {
 	Policy string
 	Seed   uint64
@@ -92,26 +92,26 @@
 	Values []float64
 }
 
-// prefixHits is the share of prompt tokens found in a prefix cache.
-func (r Row) prefixHits() float64 {
+// prefixHitRate returns the fraction of prompt tokens found in a prefix cache.
+func (r Row) prefixHitRate() float64 {
 	return ratio(float64(r.Result.CachedTokens), float64(r.Result.PromptTokens))
 }
 
-// missed is the number of items that missed their deadline beyond those that
-// nobody could have met.
-func (r Row) missed() float64 {
+// missedDeadlines returns how many fewer items met their deadline than was
+// feasible.
+func (r Row) missedDeadlines() float64 {
 	met := r.Result.DeadlineItems - r.Result.DeadlineMissed
 	return float64(max(0, r.FeasibleDeadlines-met))
 }
 
-// measure is a column that is averaged over seeds.
+// measure is a result column, averaged over seeds.
 type measure struct {
 	name  string
 	title string
-	of    func(Row) float64
+	value func(Row) float64
 }
 
-// measures are all columns.
+// measures lists all measures in CSV column order.
 var measures = []measure{
 	{"ttft_p50_ms", "TTFT p50, ms", func(r Row) float64 { return r.FirstToken.P50 }},
 	{"ttft_p99_ms", "TTFT p99, ms", func(r Row) float64 { return r.FirstToken.P99 }},
@@ -133,8 +133,8 @@
 	{"batch_done", "items done", func(r Row) float64 { return float64(r.Result.BatchDone) }},
 	{"batch_duplicates", "second results dropped", func(r Row) float64 { return float64(r.Result.BatchDuplicates) }},
 	{"deadline_items", "items with a deadline in the run", func(r Row) float64 { return float64(r.Result.DeadlineItems) }},
-	{"deadline_missed", "feasible deadlines missed", Row.missed},
-	{"prefix_hits", "online prefix hits", Row.prefixHits},
+	{"deadline_missed", "feasible deadlines missed", Row.missedDeadlines},
+	{"prefix_hits", "online prefix hits", Row.prefixHitRate},
 	{"online_done", "online done", func(r Row) float64 { return float64(r.Result.OnlineDone) }},
 	{"online_failed", "online failed", func(r Row) float64 { return float64(r.Result.OnlineFailed) }},
 	{"online_retried", "online retried", func(r Row) float64 { return float64(r.Result.OnlineRetried) }},
@@ -144,7 +144,7 @@
 	{"preemptions", "engine preemptions", func(r Row) float64 { return float64(r.Result.EnginePreemptions) }},
 }
 
-// measureIndex finds a measure by its name.
+// measureIndex returns the index of a measure, and whether it exists.
 func measureIndex(name string) (int, bool) {
 	for index, candidate := range measures {
 		if candidate.name == name {
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -9,13 +9,13 @@
 	"chutelock.dev/chutelock/internal/lab/sim"
 )
 
-// withoutBatch is the reference that every experiment runs first, with the
-// run's routing; policies with another routing have a reference of their own.
+// withoutBatch returns the policy of baseline runs. Each routing needs its own
+// baseline.
 func withoutBatch(routing sim.RoutingKind) sim.Policy {
 	return sim.Policy{Name: "without-batch", Kind: sim.PolicyNone, Routing: routing}
 }
 
-// Run runs all policies on all seeds, parallel seeds at once.
+// Run runs all policies on all seeds, up to parallel seeds at a time.
 func Run(file File, parallel int) (*Outcome, error) {
 	outcome := &Outcome{
 		Name:        file.Name,
@@ -25,16 +25,16 @@
 	}
 	pool := pond.NewPool(parallel)
 	group := pool.NewGroup()
-	var progress sync.Mutex
+	var mutex sync.Mutex
 	for index := range file.Seeds.Count {
 		group.SubmitErr(func() error {
-			rows, err := runSeed(file, file.Seeds.First+uint64(index))
+			samples, err := runSeed(file, file.Seeds.First+uint64(index))
 			if err != nil {
 				return err
 			}
-			progress.Lock()
-			defer progress.Unlock()
-			outcome.Samples[index] = rows
+			mutex.Lock()
+			defer mutex.Unlock()
+			outcome.Samples[index] = samples
 			return nil
 		})
 	}
@@ -43,47 +43,47 @@
 	return outcome, trace.Wrap(err, "experiment %v", file.Name)
 }
 
-// reference is a run without batch work and what follows from it.
-type reference struct {
+// baseline is a run without batch work and the limits derived from it.
+type baseline struct {
 	result   *sim.Result
 	bound    float64
 	feasible int
 }
 
-func newReference(file File, seed uint64, routing sim.RoutingKind) (*reference, error) {
+func newBaseline(file File, seed uint64, routing sim.RoutingKind) (*baseline, error) {
 	result, err := sim.Run(file.Run, withoutBatch(routing), seed, nil)
 	if err != nil {
 		return nil, trace.Wrap(err, "seed %v without batch", seed)
 	}
-	return &reference{
+	return &baseline{
 		result:   result,
 		bound:    sim.FluidBound(file.Run, seed, result.Recording),
 		feasible: sim.FeasibleDeadlines(file.Run, seed, result.Recording),
 	}, nil
 }
 
-// runSeed runs the reference without batch work and then each policy.
+// runSeed runs the baseline and then each policy.
 func runSeed(file File, seed uint64) ([]Sample, error) {
 	routing := sim.Policy{}.RoutingIn(file.Run)
-	alone, err := newReference(file, seed, routing)
+	base, err := newBaseline(file, seed, routing)
 	if err != nil {
 		return nil, err
 	}
-	references := map[sim.RoutingKind]*reference{routing: alone}
-	rows := []Sample{newRow(alone.result, alone).sample()}
+	baselines := map[sim.RoutingKind]*baseline{routing: base}
+	samples := []Sample{newRow(base.result, base).newSample()}
 	for _, policy := range file.Policies {
 		routing := policy.RoutingIn(file.Run)
-		if references[routing] == nil {
-			if references[routing], err = newReference(file, seed, routing); err != nil {
+		if baselines[routing] == nil {
+			if baselines[routing], err = newBaseline(file, seed, routing); err != nil {
 				return nil, err
 			}
 		}
-		result, err := sim.Run(file.Run, policy, seed, references[routing].result.Recording)
+		result, err := sim.Run(file.Run, policy, seed, baselines[routing].result.Recording)
 		if err != nil {
 			return nil, trace.Wrap(err, "seed %v policy %v", seed, policy.Name)
 		}
-		result.Recording = nil // large, and only the references' are used
-		rows = append(rows, newRow(result, references[routing]).sample())
+		result.Recording = nil // large, and only those of baselines are used
+		samples = append(samples, newRow(result, baselines[routing]).newSample())
 	}
-	return rows, nil
+	return samples, nil
 }
--- a/internal/lab/experiment/text.go
+++ b/internal/lab/experiment/text.go
@@ -13,7 +13,7 @@
 	"harvest", "deadline_missed", "prefix_hits", "suspensions", "preemptions",
 }
 
-// WriteText writes the summary for a terminal.
+// WriteText writes a summary table for terminals.
 func (o *Outcome) WriteText(out io.Writer) {
 	fmt.Fprintf(out, "%s: %d seeds, mean ± half width of the 95%% interval\n",
 		o.Name, len(o.Samples))
