--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -16,44 +16,44 @@
 	"github.com/gravitational/trace"
 )
 
-// The API's paths, and the header that names a request in every answer.
+// Paths of the API, and the response header with the request ID.
 const (
 	completionsPath = "/v1/completions"
 	chatPath        = "/v1/chat/completions"
 	requestIDHeader = "Chutelock-Request-Id"
 )
 
-// notRunSuffix ends the outcome of a refusal that says that nothing ran.
+// notRunSuffix ends the outcomes of error responses that guarantee that the request did not run.
 const notRunSuffix = "_not_run"
 
-// Bounds of what is read of an answer.
+// Limits on the size of a response.
 const (
-	maxAnswerBytes = 64 << 20
-	maxLineBytes   = 1 << 20
+	maxResponseBytes = 64 << 20
+	maxLineBytes     = 1 << 20
 )
 
 // call is one request to send.
 type call struct {
-	targets   []string // tried in this order while the request was not run
+	targets   []string // in order of failover
 	prompt    string
 	maxTokens int
 	scheduled time.Time
 }
 
-// answer is what came of a call.
-type answer struct {
+// callResult is the outcome of a call.
+type callResult struct {
 	target     string
 	requestID  string
 	scheduled  time.Time
 	ended      time.Time
 	outcome    string
 	detail     string
-	moved      int // targets that did not run it
+	moved      int // number of failovers
 	text       string
 	tokenTimes []time.Time
 }
 
-// client sends calls.
+// client sends calls over shared connections.
 type client struct {
 	config Config
 	http   *http.Client
@@ -108,11 +108,11 @@
 	return r.Error.Type
 }
 
-// do runs a call to its end; it never fails but in its outcome.
-func (c *client) do(ctx context.Context, call call) answer {
+// do sends a call, with failover, and returns its result, which includes any failure.
+func (c *client) do(ctx context.Context, call call) callResult {
 	ctx, cancel := context.WithDeadline(ctx, call.scheduled.Add(c.config.Timeout))
 	defer cancel()
-	var result answer
+	var result callResult
 	for moved, target := range call.targets {
 		var notRun bool
 		result, notRun = c.try(ctx, call, target)
@@ -122,14 +122,14 @@
 		}
 	}
 	if result.outcome == OutcomeOK {
-		c.check(call, &result)
+		c.checkText(call, &result)
 	}
 	return result
 }
 
-// try sends a call to one target; notRun says that it certainly did not run.
-func (c *client) try(ctx context.Context, call call, target string) (result answer, notRun bool) {
-	result = answer{target: target, scheduled: call.scheduled}
+// try sends a call to one target; notRun reports that the call certainly did not run.
+func (c *client) try(ctx context.Context, call call, target string) (result callResult, notRun bool) {
+	result = callResult{target: target, scheduled: call.scheduled}
 	err := c.exchange(ctx, call, &result)
 	result.ended = time.Now()
 	if result.outcome == "" {
@@ -139,8 +139,8 @@
 		result.detail = err.Error()
 	}
 	var network *net.OpError
-	unreachable := errors.As(err, &network) && network.Op == "dial"
-	return result, unreachable || strings.HasSuffix(result.outcome, notRunSuffix)
+	notConnected := errors.As(err, &network) && network.Op == "dial"
+	return result, notConnected || strings.HasSuffix(result.outcome, notRunSuffix)
 }
 
 func outcomeOf(err error) string {
@@ -156,8 +156,8 @@
 	}
 }
 
-func (c *client) exchange(ctx context.Context, call call, result *answer) error {
-	request, err := c.request(ctx, call, result.target)
+func (c *client) exchange(ctx context.Context, call call, result *callResult) error {
+	request, err := c.newRequest(ctx, call, result.target)
 	if err != nil {
 		return trace.Wrap(err, "build request to %v", result.target)
 	}
@@ -168,15 +168,15 @@
 	defer func() { _ = response.Body.Close() }()
 	result.requestID = response.Header.Get(requestIDHeader)
 	if response.StatusCode != http.StatusOK {
-		return readRefusal(response, result)
+		return readErrorResponse(response, result)
 	}
 	if c.config.Stream {
-		return readStream(response.Body, result)
+		return readEventStream(response.Body, result)
 	}
-	return readWhole(response.Body, result)
+	return readFullResponse(response.Body, result)
 }
 
-func (c *client) request(ctx context.Context, call call, target string) (*http.Request, error) {
+func (c *client) newRequest(ctx context.Context, call call, target string) (*http.Request, error) {
 	body := requestBody{Model: c.config.Model, MaxTokens: call.maxTokens, Stream: c.config.Stream}
 	path := completionsPath
 	if c.config.Chat {
@@ -198,22 +198,22 @@
 	return request, nil
 }
 
-func readRefusal(response *http.Response, result *answer) error {
+func readErrorResponse(response *http.Response, result *callResult) error {
 	raw, err := io.ReadAll(io.LimitReader(response.Body, maxLineBytes))
 	if err != nil {
-		return trace.Wrap(err, "read refusal")
+		return trace.Wrap(err, "read error response")
 	}
 	var body responseBody
-	_ = json.Unmarshal(raw, &body) // a foreign body counts as "no_code"
+	_ = json.Unmarshal(raw, &body) // an undecodable body counts as "no_code"
 	result.outcome = fmt.Sprintf("http_%d_%s", response.StatusCode, body.errorCode())
 	result.detail = string(raw)
 	return nil
 }
 
-func readWhole(body io.Reader, result *answer) error {
+func readFullResponse(body io.Reader, result *callResult) error {
 	var decoded responseBody
-	if err := json.NewDecoder(io.LimitReader(body, maxAnswerBytes)).Decode(&decoded); err != nil {
-		return trace.Wrap(err, "read answer")
+	if err := json.NewDecoder(io.LimitReader(body, maxResponseBytes)).Decode(&decoded); err != nil {
+		return trace.Wrap(err, "read response")
 	}
 	result.tokenTimes = append(result.tokenTimes, time.Now())
 	for _, choice := range decoded.Choices {
@@ -222,10 +222,10 @@
 	return nil
 }
 
-// readStream reads server-sent events until [DONE]; a stream that ends before
-// it is truncated.
-func readStream(body io.Reader, result *answer) error {
-	lines := bufio.NewScanner(io.LimitReader(body, maxAnswerBytes))
+// readEventStream reads server-sent events up to [DONE]. A stream that ends
+// without it is truncated.
+func readEventStream(body io.Reader, result *callResult) error {
+	lines := bufio.NewScanner(io.LimitReader(body, maxResponseBytes))
 	lines.Buffer(nil, maxLineBytes)
 	var text strings.Builder
 	defer func() { result.text = text.String() }()
@@ -248,7 +248,7 @@
 	return trace.Wrap(io.ErrUnexpectedEOF, "stream ended without [DONE]")
 }
 
-func readEvent(data string, text *strings.Builder, result *answer) error {
+func readEvent(data string, text *strings.Builder, result *callResult) error {
 	var event responseBody
 	if err := json.Unmarshal([]byte(data), &event); err != nil {
 		return trace.Wrap(err, "decode stream event")
@@ -269,24 +269,24 @@
 	return nil
 }
 
-// check compares an answer with the expected text.
-func (c *client) check(call call, result *answer) {
+// checkText sets OutcomeWrongText if the text is not the expected one.
+func (c *client) checkText(call call, result *callResult) {
 	if c.config.Expected == nil {
 		return
 	}
 	expected := c.config.Expected(c.config.Model, call.prompt, call.maxTokens)
 	if result.text != expected {
 		result.outcome = OutcomeWrongText
-		result.detail = fmt.Sprintf("got %q, want %q", clip(result.text), clip(expected))
+		result.detail = fmt.Sprintf("got %q, want %q", truncate(result.text), truncate(expected))
 	}
 }
 
-// clipLength bounds the texts quoted in examples.
-const clipLength = 120
+// maxQuotedLength is the maximum length in bytes of texts quoted in examples.
+const maxQuotedLength = 120
 
-func clip(text string) string {
-	if len(text) <= clipLength {
+func truncate(text string) string {
+	if len(text) <= maxQuotedLength {
 		return text
 	}
-	return text[:clipLength] + "…"
+	return text[:maxQuotedLength] + "…"
 }
--- a/internal/lab/load/config.go
+++ b/internal/lab/load/config.go
@@ -7,12 +7,12 @@
 	"chutelock.dev/chutelock/internal/lab/arrivals"
 )
 
-// ExpectedText returns the text that an engine must answer to a prompt.
+// ExpectedText returns the text that an engine must generate for a prompt.
 type ExpectedText func(model, prompt string, maxTokens int) string
 
-// Config is one load run.
+// Config configures a load test.
 type Config struct {
-	// Targets are base URLs, used in turn.
+	// Targets are base URLs, used round-robin.
 	Targets []string
 	Key     string
 	Model   string
@@ -23,32 +23,32 @@
 	// Label makes this run's prompts differ from those of other runs.
 	Label    string
 	Duration time.Duration
-	// MaxRequests ends the run early; zero means no bound but Duration.
+	// MaxRequests ends the run early; zero means no limit other than Duration.
 	MaxRequests int
-	// MaxInFlight bounds the requests in flight; one more is not sent and is
-	// counted as OutcomeNotSent.
+	// MaxInFlight limits requests in flight; requests above it are counted as
+	// OutcomeNotSent.
 	MaxInFlight int
-	// Timeout bounds one request from its scheduled arrival.
+	// Timeout is the deadline of a request, from its scheduled arrival.
 	Timeout time.Duration
-	// Failover sends a request to the next target when one can't be reached or
-	// says that the request was not run, as a caller with a list of nodes does.
+	// Failover retries a request at the next target if the connection fails or
+	// the error response guarantees that the request did not run.
 	Failover bool
-	// Expected checks the answers; nil means that they aren't checked.
+	// Expected returns the text that a response is compared with; nil disables the check.
 	Expected ExpectedText
 }
 
 func (c Config) validate() error {
 	if len(c.Targets) == 0 {
-		return errors.New("no target")
+		return errors.New("no targets")
 	}
 	if c.Duration <= 0 || c.MaxInFlight <= 0 || c.Timeout <= 0 {
-		return errors.New("duration, in-flight bound and timeout must be positive")
+		return errors.New("duration, in-flight limit and timeout must be positive")
 	}
 	return nil
 }
 
-// targetsOf lists the targets that a request may be sent to, in order.
-func (c Config) targetsOf(number int) []string {
+// targetOrder returns the targets that a request may be sent to, in order of failover.
+func (c Config) targetOrder(number int) []string {
 	first := number % len(c.Targets)
 	if !c.Failover {
 		return c.Targets[first : first+1]
--- a/internal/lab/load/doc.go
+++ b/internal/lab/load/doc.go
@@ -1,7 +1,6 @@
-// Package load drives real processes that speak OpenAI's HTTP API with
-// open-loop traffic and measures what callers see.
+// Package load sends open-loop traffic to servers of the OpenAI HTTP API and
+// measures latencies and outcomes on the client side.
 //
-// Open loop: a request is sent at its scheduled arrival whether or not earlier
-// ones have been answered, and latencies count from the scheduled arrival, so
-// that a slow server can't slow its own measurement down.
+// Requests are sent at their scheduled arrival, however many are in flight, and
+// latencies count from the scheduled arrival, which avoids coordinated omission.
 package load
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -28,27 +28,28 @@
 	fmt.Fprint(w, end)
 }
 
-func TestRunTellsGoodAnswersFromBadOnes(t *testing.T) {
-	const done = "data: [DONE]\n\n"
+// Guards against responses counted with the wrong outcome.
+func TestRunClassifiesOutcomes(t *testing.T) {
+	const streamEnd = "data: [DONE]\n\n"
 	cases := map[string]struct {
 		stream  bool
 		answer  func(w http.ResponseWriter, prompt string)
 		outcome string
 	}{
-		"whole stream":    {true, func(w http.ResponseWriter, p string) { writeEvents(w, echo("", p, 0), done) }, load.OutcomeOK},
-		"crossed stream":  {true, func(w http.ResponseWriter, p string) { writeEvents(w, "other", done) }, load.OutcomeWrongText},
-		"cut stream":      {true, func(w http.ResponseWriter, p string) { writeEvents(w, echo("", p, 0), "") }, load.OutcomeTruncated},
+		"complete stream": {true, func(w http.ResponseWriter, p string) { writeEvents(w, echo("", p, 0), streamEnd) }, load.OutcomeOK},
+		"wrong text":      {true, func(w http.ResponseWriter, p string) { writeEvents(w, "other", streamEnd) }, load.OutcomeWrongText},
+		"cut-off stream":  {true, func(w http.ResponseWriter, p string) { writeEvents(w, echo("", p, 0), "") }, load.OutcomeTruncated},
 		"error in stream": {true, func(w http.ResponseWriter, p string) { writeEvents(w, "a", `data: {"error":{"code":"lost"}}`+"\n\n") }, "stream_lost"},
-		"refusal": {true, func(w http.ResponseWriter, p string) {
+		"error response": {true, func(w http.ResponseWriter, p string) {
 			w.WriteHeader(503)
 			fmt.Fprint(w, `{"error":{"code":"not_run"}}`)
 		}, "http_503_not_run"},
-		"refusal, no JSON": {true, func(w http.ResponseWriter, p string) { w.WriteHeader(502) }, "http_502_no_code"},
-		"never answered":   {true, func(w http.ResponseWriter, p string) { time.Sleep(2 * time.Second) }, load.OutcomeTimeout},
-		"whole answer": {false, func(w http.ResponseWriter, p string) {
+		"error, no JSON": {true, func(w http.ResponseWriter, p string) { w.WriteHeader(502) }, "http_502_no_code"},
+		"no response":    {true, func(w http.ResponseWriter, p string) { time.Sleep(2 * time.Second) }, load.OutcomeTimeout},
+		"full response": {false, func(w http.ResponseWriter, p string) {
 			_ = json.NewEncoder(w).Encode(map[string]any{"choices": []any{map[string]any{"text": echo("", p, 0)}}})
 		}, load.OutcomeOK},
-		"cut answer": {false, func(w http.ResponseWriter, p string) { fmt.Fprint(w, `{"choices":[{"text":`) }, load.OutcomeTruncated},
+		"cut-off response": {false, func(w http.ResponseWriter, p string) { fmt.Fprint(w, `{"choices":[{"text":`) }, load.OutcomeTruncated},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -72,7 +73,8 @@
 	}
 }
 
-func TestFailoverMovesOnlyWhatDidNotRun(t *testing.T) {
+// Guards against a retry of requests that may have run, which would run them twice.
+func TestFailoverOnlyForRequestsNotRun(t *testing.T) {
 	refusing := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(503)
 		fmt.Fprint(w, `{"error":{"code":"not_run"}}`)
@@ -93,7 +95,7 @@
 		outcome string
 		moved   int
 	}{
-		"refused":     {refusing.URL, load.OutcomeOK, 1},
+		"not run":     {refusing.URL, load.OutcomeOK, 1},
 		"unreachable": {closed.URL, load.OutcomeOK, 1},
 		"failed":      {failing.URL, "http_502_no_code", 0},
 	} {
--- a/internal/lab/load/runner.go
+++ b/internal/lab/load/runner.go
@@ -10,8 +10,8 @@
 	"chutelock.dev/chutelock/internal/lab/arrivals"
 )
 
-// Run sends the configured traffic and waits for all answers. Ending ctx stops
-// new requests and cancels those in flight.
+// Run sends the configured traffic and waits for all responses. Canceling ctx
+// stops new requests and cancels those in flight.
 func Run(ctx context.Context, config Config) (Summary, error) {
 	if err := config.validate(); err != nil {
 		return Summary{}, trace.Wrap(err, "load configuration")
@@ -28,14 +28,14 @@
 			break
 		}
 		call := call{
-			targets:   config.targetsOf(request.Number),
+			targets:   config.targetOrder(request.Number),
 			prompt:    request.Text(config.Label),
 			maxTokens: request.OutputTokens,
 			scheduled: start.Add(request.At),
 		}
 		_, accepted := pool.TrySubmit(func() { recorder.record(client.do(ctx, call)) })
 		if !accepted {
-			recorder.record(answer{outcome: OutcomeNotSent})
+			recorder.record(callResult{outcome: OutcomeNotSent})
 		}
 	}
 	pool.StopAndWait()
--- a/internal/lab/load/summary.go
+++ b/internal/lab/load/summary.go
@@ -7,28 +7,28 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Outcomes of a request. Refusals and errors of the server are counted as
-// "http_STATUS_CODE" or, in a stream, "stream_CODE".
+// Outcomes of a request. Error responses are counted as "http_STATUS_CODE" or,
+// within a stream, "stream_CODE".
 const (
 	OutcomeOK        = "ok"
-	OutcomeWrongText = "wrong_text" // a whole answer with another text than expected
-	OutcomeTruncated = "truncated"  // an answer that ended without its end mark
+	OutcomeWrongText = "wrong_text" // a complete response with an unexpected text
+	OutcomeTruncated = "truncated"  // a response that ended early
 	OutcomeTimeout   = "timeout"
 	OutcomeTransport = "transport_error"
-	OutcomeNotSent   = "not_sent" // the bound on requests in flight was reached
+	OutcomeNotSent   = "not_sent" // Config.MaxInFlight was reached
 )
 
-// Bounds of the histograms.
+// Range, in nanoseconds, and significant digits of the histograms.
 const (
 	lowestLatency  = int64(time.Microsecond)
 	highestLatency = int64(10 * time.Minute)
 	latencyDigits  = 3
 )
 
-// examplesKept bounds the bad answers that a summary names.
-const examplesKept = 20
+// maxExamples is the maximum number of examples in a summary.
+const maxExamples = 20
 
-// Quantiles of a latency, in milliseconds.
+// Quantiles holds quantiles of a latency, in milliseconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -39,7 +39,7 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// Example names one bad answer.
+// Example describes a request that did not end with OutcomeOK.
 type Example struct {
 	RequestID string `json:"request_id"`
 	Target    string `json:"target"`
@@ -47,12 +47,12 @@
 	Detail    string `json:"detail"`
 }
 
-// Summary is the result of a run. Latencies are of requests that ended OK.
+// Summary is the result of a run. Its latencies are of requests with OutcomeOK.
 type Summary struct {
 	Seed     uint64         `json:"seed"`
 	Requests int            `json:"requests"`
 	Outcomes map[string]int `json:"outcomes"`
-	// Moved counts the times that a request went on to another target.
+	// Moved counts failovers to another target.
 	Moved            int       `json:"moved"`
 	Tokens           int64     `json:"tokens"`
 	Seconds          float64   `json:"seconds"`
@@ -63,50 +63,50 @@
 	Examples         []Example `json:"examples,omitempty"`
 }
 
-// recorder collects results; it may be used concurrently. Its mutex is a leaf:
-// no other lock is taken under it.
+// recorder collects results and is safe for concurrent use. No other lock is
+// acquired while its mutex is held.
 type recorder struct {
-	mutex    sync.Mutex
-	first    *hdrhistogram.Histogram
-	between  *hdrhistogram.Histogram
-	total    *hdrhistogram.Histogram
-	outcomes map[string]int
-	tokens   int64
-	moved    int
-	examples []Example
+	mutex         sync.Mutex
+	firstToken    *hdrhistogram.Histogram
+	betweenTokens *hdrhistogram.Histogram
+	total         *hdrhistogram.Histogram
+	outcomes      map[string]int
+	tokens        int64
+	moved         int
+	examples      []Example
 }
 
 func newRecorder() *recorder {
 	return &recorder{
-		first:    hdrhistogram.New(lowestLatency, highestLatency, latencyDigits),
-		between:  hdrhistogram.New(lowestLatency, highestLatency, latencyDigits),
-		total:    hdrhistogram.New(lowestLatency, highestLatency, latencyDigits),
-		outcomes: map[string]int{},
+		firstToken:    hdrhistogram.New(lowestLatency, highestLatency, latencyDigits),
+		betweenTokens: hdrhistogram.New(lowestLatency, highestLatency, latencyDigits),
+		total:         hdrhistogram.New(lowestLatency, highestLatency, latencyDigits),
+		outcomes:      map[string]int{},
 	}
 }
 
-func (r *recorder) record(result answer) {
+func (r *recorder) record(result callResult) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.outcomes[result.outcome]++
 	r.moved += result.moved
 	if result.outcome != OutcomeOK {
-		r.keepExample(result)
+		r.addExample(result)
 		return
 	}
 	r.tokens += int64(len(result.tokenTimes))
 	recordLatency(r.total, result.ended.Sub(result.scheduled))
 	for i, at := range result.tokenTimes {
 		if i == 0 {
-			recordLatency(r.first, at.Sub(result.scheduled))
+			recordLatency(r.firstToken, at.Sub(result.scheduled))
 			continue
 		}
-		recordLatency(r.between, at.Sub(result.tokenTimes[i-1]))
+		recordLatency(r.betweenTokens, at.Sub(result.tokenTimes[i-1]))
 	}
 }
 
-func (r *recorder) keepExample(result answer) {
-	if len(r.examples) >= examplesKept || result.outcome == OutcomeNotSent {
+func (r *recorder) addExample(result callResult) {
+	if len(r.examples) >= maxExamples || result.outcome == OutcomeNotSent {
 		return
 	}
 	r.examples = append(r.examples, Example{
@@ -119,7 +119,7 @@
 
 func recordLatency(histogram *hdrhistogram.Histogram, latency time.Duration) {
 	value := min(max(int64(latency), lowestLatency), highestLatency)
-	_ = histogram.RecordValue(value) // in range by the line above
+	_ = histogram.RecordValue(value) // clamped to the range above
 }
 
 func (r *recorder) summary() Summary {
@@ -134,8 +134,8 @@
 		Outcomes:         r.outcomes,
 		Tokens:           r.tokens,
 		Moved:            r.moved,
-		TimeToFirstToken: quantiles(r.first),
-		BetweenTokens:    quantiles(r.between),
+		TimeToFirstToken: quantiles(r.firstToken),
+		BetweenTokens:    quantiles(r.betweenTokens),
 		Total:            quantiles(r.total),
 		Examples:         r.examples,
 	}
