--- a/internal/lab/ports/ports.go
+++ b/internal/lab/ports/ports.go
@@ -1,5 +1,5 @@
-// Package ports gives tests addresses of loopback that nobody else takes: also not tests of
-// another process that run at the same time, while a node that has such an address is down.
+// Package ports gives tests loopback addresses that no other process using the package gets,
+// even while the server at an address is down.
 package ports
 
 import (
@@ -10,35 +10,35 @@
 	"sync"
 )
 
-// Block is a range of ports that belongs to this process until it is closed or the process
-// ends. Its methods may be used concurrently.
+// Block is a range of ports reserved for this process until Close or the end of the process.
+// It is safe for concurrent use.
 type Block struct {
-	first, last int          // the ports to give
-	claim       net.Listener // on the port before the first
+	first, last int          // range of usable ports, last excluded
+	listener    net.Listener // on the port before first; reserves the block
 
 	mutex sync.Mutex // guards next
 	next  int
 }
 
-// Claim takes a block of so many ports out of those from first on and before last. What holds
-// it is a listener on its first port: two processes never have the same block.
+// Claim reserves a block of size ports in the range from first up to, but excluding, last. A
+// listener on its first port holds the reservation, so two processes never get the same block.
 //
-// The ports should lie below those that the kernel takes for outgoing connections, so that none
-// of these takes one between its choice and its use.
+// The range should be below the kernel's ephemeral ports, so that no outgoing connection takes
+// a port between Free and its use.
 func Claim(first, last, size int) (*Block, error) {
 	count := (last - first) / size
 	for i := range count {
 		start := first + (os.Getpid()+i)%count*size
-		claim, err := net.Listen("tcp4", loopback(start).String())
+		listener, err := net.Listen("tcp4", loopback(start).String())
 		if err == nil {
-			return &Block{first: start + 1, last: start + size, claim: claim, next: start + 1}, nil
+			return &Block{first: start + 1, last: start + size, listener: listener, next: start + 1}, nil
 		}
 	}
 	return nil, fmt.Errorf("ports: all %d blocks from %d to %d are taken", count, first, last)
 }
 
-// Free returns an address of the block that is free for TCP and UDP. It is given again only
-// once all others were.
+// Free returns an address of the block that is free for TCP and UDP. Addresses are returned
+// round-robin.
 func (b *Block) Free() (netip.AddrPort, error) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -55,8 +55,8 @@
 	return netip.AddrPort{}, fmt.Errorf("ports: no port from %d to %d is free", b.first, b.last)
 }
 
-// Close gives the block up.
-func (b *Block) Close() error { return b.claim.Close() }
+// Close releases the block.
+func (b *Block) Close() error { return b.listener.Close() }
 
 func loopback(port int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(port))
@@ -67,11 +67,11 @@
 	if err != nil {
 		return false
 	}
-	packets, err := net.ListenPacket("udp4", addr.String())
+	packetConn, err := net.ListenPacket("udp4", addr.String())
 	_ = listener.Close()
 	if err != nil {
 		return false
 	}
-	_ = packets.Close()
+	_ = packetConn.Close()
 	return true
 }
--- a/internal/lab/ports/ports_test.go
+++ b/internal/lab/ports/ports_test.go
@@ -13,12 +13,11 @@
 	blockSize = 50
 )
 
-// Tests of two processes side by side took each other's ports: their first ports were next to
-// each other, as their process ids are, and a node that was down for a while did not come back
+// Guards against concurrent test processes that get the same port, so that a server can't restart
 // ("bind: address already in use").
-func TestBlocksShareNoPort(t *testing.T) {
+func TestBlocksDoNotOverlap(t *testing.T) {
 	g := gomega.NewWithT(t)
-	given := map[netip.AddrPort]bool{}
+	seen := map[netip.AddrPort]bool{}
 	var blocks []*Block
 	for range 3 {
 		block, err := Claim(firstPort, lastPort, blockSize)
@@ -27,8 +26,8 @@
 		for range blockSize - 1 {
 			addr, err := block.Free()
 			g.Expect(err).NotTo(gomega.HaveOccurred())
-			g.Expect(given[addr]).To(gomega.BeFalse(), "%v", addr)
-			given[addr] = true
+			g.Expect(seen[addr]).To(gomega.BeFalse(), "%v", addr)
+			seen[addr] = true
 		}
 	}
 	for _, block := range blocks {
@@ -36,7 +35,8 @@
 	}
 }
 
-func TestABlockIsTakenOnceOnly(t *testing.T) {
+// Guards against a block that is reserved twice.
+func TestClaimRejectsTakenBlock(t *testing.T) {
 	g := gomega.NewWithT(t)
 	block, err := Claim(firstPort, lastPort, blockSize)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
