--- a/internal/lab/experiment/row.go
+++ b/internal/lab/experiment/row.go
@@ -138,7 +138,7 @@
 	{"online_done", "online done", func(r Row) float64 { return float64(r.Result.OnlineDone) }},
 	{"online_failed", "online failed", func(r Row) float64 { return float64(r.Result.OnlineFailed) }},
 	{"online_retried", "online retried", func(r Row) float64 { return float64(r.Result.OnlineRetried) }},
-	{"online_wrong", "online tokens out of order", func(r Row) float64 { return float64(r.Result.OnlineWrong) }},
+	{"online_wrong", "online tokens out of order", func(r Row) float64 { return float64(r.Result.OnlineOutOfOrder) }},
 	{"suspensions", "suspensions", func(r Row) float64 { return float64(r.Result.Suspensions) }},
 	{"cancellations", "cancellations", func(r Row) float64 { return float64(r.Result.Cancellations) }},
 	{"preemptions", "engine preemptions", func(r Row) float64 { return float64(r.Result.EnginePreemptions) }},
--- a/internal/lab/sim/bench_test.go
+++ b/internal/lab/sim/bench_test.go
@@ -7,7 +7,7 @@
 )
 
 func BenchmarkRunWithController(b *testing.B) {
-	config := small()
+	config := smallConfig()
 	b.ReportAllocs()
 	for i := range b.N {
 		if _, err := sim.Run(config, controller, uint64(i), nil); err != nil {
--- a/internal/lab/sim/bound.go
+++ b/internal/lab/sim/bound.go
@@ -6,38 +6,37 @@
 	"chutelock.dev/chutelock/internal/lab/arrivals"
 )
 
-// FluidBound is an upper bound on the batch tokens that any scheduler can
-// produce between the warm-up and the end beside the recorded online work. It
-// takes every step as full (MaxRunning streams), harm to online as allowed,
-// prefixes as cached, and work as divisible, so that only the step-time model,
-// the online work itself and the arrival of items limit it:
+// FluidBound returns an upper bound on the batch tokens that any scheduler can
+// produce after the warm-up in addition to the recorded online work. It assumes
+// full steps (MaxRunning streams), cached prefixes and divisible work, and
+// ignores harm to online requests. For each engine and second:
 //
 //	batch tokens × (base/slots + sequence + prefill tokens each × prefill)
 //	  ≤ time − online tokens × (base/slots + sequence) − online prefill × prefill
 //
-// for each engine and second, and no more than what has arrived.
+// Tokens are limited to those of items that have arrived.
 func FluidBound(config Config, seed uint64, recording *Recording) float64 {
-	bins := int(config.Duration / bin)
-	first := int(config.Warmup / bin)
+	bins := int(config.Duration / binWidth)
+	first := int(config.Warmup / binWidth)
 	offered := offeredTokens(config, seed, bins)
 	bound := offered[bins-1]
-	later := 0.0
+	capacity := 0.0
 	for second := bins - 1; second >= first; second-- {
-		later += freeTokens(config, recording, second)
-		before := 0.0
+		capacity += freeTokens(config, recording, second)
+		offeredBefore := 0.0
 		if second > 0 {
-			before = offered[second-1]
+			offeredBefore = offered[second-1]
 		}
-		// Everything offered before this second, and all capacity from it on.
-		bound = min(bound, before+later)
+		// All tokens offered before this second, plus all capacity from then on.
+		bound = min(bound, offeredBefore+capacity)
 		if second == first {
-			bound = min(bound, offered[bins-1], later)
+			bound = min(bound, offered[bins-1], capacity)
 		}
 	}
 	return bound
 }
 
-// freeTokens is what all engines could add in one second.
+// freeTokens returns the batch tokens that all engines could produce in a second.
 func freeTokens(config Config, recording *Recording, second int) float64 {
 	shape := config.Deployment.Engine
 	slotTime := shape.StepBase.Seconds()/float64(shape.MaxRunning) + shape.StepPerSequence.Seconds()
@@ -46,20 +45,20 @@
 	ownPerToken := prompts.OwnTokens.Mean() / max(1, prompts.OutputTokens.Mean())
 	total := 0.0
 	for _, bins := range recording.bins {
-		work := bins[second]
-		free := bin.Seconds() - float64(work.tokens)*slotTime - float64(work.prefilled)*prefill
+		online := bins[second]
+		free := binWidth.Seconds() - float64(online.outputTokens)*slotTime - float64(online.prefilledTokens)*prefill
 		total += max(0, free) / (slotTime + ownPerToken*prefill)
 	}
 	return total
 }
 
-// offeredTokens is the output tokens of all items that have arrived by the
-// end of each second.
+// offeredTokens returns, for each second, the output tokens of all items that
+// have arrived by its end.
 func offeredTokens(config Config, seed uint64, bins int) []float64 {
 	offered := make([]float64, bins)
-	for _, job := range arrivals.NewBatch(config.Batch, seed, time.Duration(bins)*bin) {
+	for _, job := range arrivals.NewBatch(config.Batch, seed, time.Duration(bins)*binWidth) {
 		for _, item := range job.Items {
-			for second := int(job.At / bin); second < bins; second++ {
+			for second := int(job.At / binWidth); second < bins; second++ {
 				offered[second] += float64(item.OutputTokens)
 			}
 		}
@@ -67,36 +66,36 @@
 	return offered
 }
 
-// FeasibleDeadlines counts the items whose deadline ends within the run and
-// that the fluid bound's capacity can finish in time, earliest deadline first.
-// Like the bound it ignores harm to online, so that it errs on the strict side.
+// FeasibleDeadlines returns how many items with a deadline within the run can
+// meet it with the capacity of FluidBound, earliest deadline first. Like the
+// bound it ignores harm to online requests, so it may count too many.
 func FeasibleDeadlines(config Config, seed uint64, recording *Recording) int {
 	jobs := arrivals.NewBatch(config.Batch, seed, config.Duration)
 	pool := newItemPool(true)
 	feasible, next := 0, 0
-	for second := range int(config.Duration / bin) {
-		for next < len(jobs) && jobs[next].At <= time.Duration(second)*bin {
+	for second := range int(config.Duration / binWidth) {
+		for next < len(jobs) && jobs[next].At <= time.Duration(second)*binWidth {
 			pool.addJob(jobs[next])
 			next++
 		}
-		feasible += pool.serve(freeTokens(config, recording, second), time.Duration(second)*bin, config.Duration)
+		feasible += pool.spendTokens(freeTokens(config, recording, second), time.Duration(second)*binWidth, config.Duration)
 	}
 	return feasible
 }
 
-// serve spends tokens on the items with the least slack and counts those that
-// are done in time for a deadline within the run.
-func (p *itemPool) serve(tokens float64, now, end time.Duration) int {
+// spendTokens runs items with a budget of tokens, earliest deadline first, and
+// returns how many of them meet a deadline within the run.
+func (p *itemPool) spendTokens(tokens float64, now, end time.Duration) int {
 	inTime := 0
 	for tokens > 0 {
-		served := p.take()
+		served := p.next()
 		if served == nil {
 			return inTime
 		}
-		missing := served.request.OutputTokens - served.progress
+		missing := served.request.OutputTokens - served.retainedTokens
 		if float64(missing) > tokens {
-			served.progress += int(tokens)
-			p.put(served)
+			served.retainedTokens += int(tokens)
+			p.enqueue(served)
 			return inTime
 		}
 		tokens -= float64(missing)
--- a/internal/lab/sim/clairvoyant.go
+++ b/internal/lab/sim/clairvoyant.go
@@ -4,34 +4,32 @@
 	"time"
 )
 
-// limitBatch sets aside batch streams for the step that starts now. It acts at
-// once and for free, which no real home can, and knows exactly what the step
-// holds, which no real home does: no step that online sees is longer than the
-// recorded run's bound, and no step with more online streams than the policy's
-// price allows runs batch at all.
+// limitBatch suspends batch streams for the coming step, so that a step with
+// online streams does not exceed the recorded step bound, nor has more batch
+// streams than Policy.Price allows. Suspending takes no time and costs nothing.
 func (e *emulatedEngine) limitBatch() {
 	now := e.simulation.now()
-	for _, id := range e.parked {
+	for _, id := range e.suspended {
 		if emitted, known := e.scheduler.Emitted(id); known {
-			_ = e.scheduler.Resume(now, id, emitted) // still suspended: nobody else resumes
+			_ = e.scheduler.Resume(now, id, emitted) // can't fail: only limitBatch resumes these
 		}
 	}
-	e.parked = e.parked[:0]
-	spare, slots := e.spareStep()
+	e.suspended = e.suspended[:0]
+	budget, slots := e.batchBudget()
 	for _, id := range e.batchStreams() {
 		cost := e.stepCost(id)
-		if cost <= spare && slots > 0 {
-			spare -= cost
+		if cost <= budget && slots > 0 {
+			budget -= cost
 			slots--
 			continue
 		}
 		if e.scheduler.Suspend(id) == nil {
-			e.parked = append(e.parked, id)
+			e.suspended = append(e.suspended, id)
 		}
 	}
 }
 
-// batchStreams lists the batch streams here, in order of admission.
+// batchStreams returns the engine's batch streams in order of submission.
 func (e *emulatedEngine) batchStreams() []string {
 	kept := e.batchOrder[:0]
 	for _, id := range e.batchOrder {
@@ -43,7 +41,7 @@
 	return kept
 }
 
-// stepCost is what a batch stream adds to a step.
+// stepCost returns the time that a batch stream adds to a step.
 func (e *emulatedEngine) stepCost(id string) time.Duration {
 	shape := e.simulation.config.Deployment.Engine
 	cost := shape.StepPerSequence
@@ -57,8 +55,8 @@
 	return cost + time.Duration(stream.item.request.OwnTokens)*shape.StepPerPrefillToken
 }
 
-// spareStep is the time and the slots that the coming step has for batch.
-func (e *emulatedEngine) spareStep() (time.Duration, int) {
+// batchBudget returns the time and the slots for batch streams in the coming step.
+func (e *emulatedEngine) batchBudget() (time.Duration, int) {
 	shape := e.simulation.config.Deployment.Engine
 	online, prefill := e.onlineLoad()
 	slots := shape.MaxRunning - online
@@ -73,10 +71,10 @@
 		slots = int(float64(slots) * min(1, max(0, 2-weight)))
 	}
 	work := time.Duration(online)*shape.StepPerSequence + time.Duration(min(prefill, shape.TokenBudget))*shape.StepPerPrefillToken
-	return e.simulation.plan.stepBound - shape.StepBase - work, slots
+	return e.simulation.baseline.stepBound - shape.StepBase - work, slots
 }
 
-// onlineLoad counts online streams, and the tokens that they have to prefill.
+// onlineLoad returns the number of online streams and the tokens they have to prefill.
 func (e *emulatedEngine) onlineLoad() (streams, prefill int) {
 	for id, to := range e.streams {
 		request, isOnline := to.(*onlineRequest)
@@ -91,5 +89,5 @@
 	return streams, prefill
 }
 
-// maxIdleStep bounds a step that no online request sees.
+// maxIdleStep is the maximum duration of a step without online streams.
 const maxIdleStep = time.Second
--- a/internal/lab/sim/clock.go
+++ b/internal/lab/sim/clock.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// timer is something to run at a virtual time.
+// timer is a function scheduled for a virtual time.
 type timer struct {
 	at    time.Duration
 	order uint64
 	run   func()
 }
 
-// clock runs timers in order of time, and of scheduling at equal times.
+// clock runs timers in order of their time, and at equal times in order of scheduling.
 type clock struct {
 	now    time.Duration
 	order  uint64
@@ -24,7 +24,7 @@
 	heap.Push(&c.timers, &timer{at: c.now + max(0, delay), order: c.order, run: run})
 }
 
-// runUntil runs all timers up to end.
+// runUntil runs all timers due up to and including end.
 func (c *clock) runUntil(end time.Duration) {
 	for len(c.timers) > 0 && c.timers[0].at <= end {
 		next := heap.Pop(&c.timers).(*timer)
--- a/internal/lab/sim/config.go
+++ b/internal/lab/sim/config.go
@@ -7,14 +7,14 @@
 	"chutelock.dev/chutelock/internal/standin/engine/scheduler"
 )
 
-// Zone is a place with engines and nodes.
+// Zone configures the engines and nodes of a zone.
 type Zone struct {
 	Name    string `koanf:"name" validate:"required"`
 	Engines int    `koanf:"engines" validate:"gte=0"`
 	Nodes   int    `koanf:"nodes" validate:"gte=1"`
 }
 
-// EngineShape is the step-time model and the memory of the engines.
+// EngineShape configures the capacity and the step-time model of engines.
 type EngineShape struct {
 	MaxRunning          int           `koanf:"max_running" validate:"gt=0"`
 	TokenBudget         int           `koanf:"token_budget" validate:"gt=0"`
@@ -26,7 +26,7 @@
 	PreemptSlots        bool          `koanf:"preempt_slots"`
 }
 
-func (s EngineShape) scheduler() scheduler.Config {
+func (s EngineShape) schedulerConfig() scheduler.Config {
 	return scheduler.Config{
 		MaxRunning:          s.MaxRunning,
 		TokenBudget:         s.TokenBudget,
@@ -39,48 +39,47 @@
 	}
 }
 
-// Network holds one-way latencies.
+// Network holds the one-way network latencies.
 type Network struct {
 	InZone       time.Duration `koanf:"in_zone" validate:"gte=0"`
 	BetweenZones time.Duration `koanf:"between_zones" validate:"gte=0"`
 	Client       time.Duration `koanf:"client" validate:"gte=0"`
 }
 
-// Reports says how the engines' load reports reach the nodes.
+// Reports configures the interval and the delay of the engines' load reports.
 type Reports struct {
 	Every time.Duration `koanf:"every" validate:"gt=0"`
 	Lag   time.Duration `koanf:"lag" validate:"gte=0"`
 }
 
-// Deployment is where traffic is served.
+// Deployment configures the simulated engines, nodes and network.
 type Deployment struct {
 	Name    string      `koanf:"name" validate:"required"`
 	Zones   []Zone      `koanf:"zones" validate:"min=1,dive"`
 	Engine  EngineShape `koanf:"engine"`
 	Network Network     `koanf:"network"`
 	Reports Reports     `koanf:"reports"`
-	// Takeover is the time from the death of a home node until the next home
-	// starts to admit, and from an engine's leaving until homes and gateways
-	// know of it.
+	// Takeover is the delay until another home replaces one that died, and until
+	// homes and gateways learn that an engine is leaving or dead.
 	Takeover time.Duration `koanf:"takeover" validate:"gt=0"`
-	// LeaseExpiry is the time until items of a dead home are given out again.
+	// LeaseExpiry is the delay until items of a dead home are available again.
 	LeaseExpiry time.Duration `koanf:"lease_expiry" validate:"gt=0"`
 }
 
-// FaultKind names a failure.
+// FaultKind is a kind of fault.
 type FaultKind string
 
-// The failures.
+// Kinds of faults.
 const (
-	FaultEngineDies   FaultKind = "engine_dies"   // at once, and comes back empty after For
-	FaultEngineLeaves FaultKind = "engine_leaves" // announced; ends after For, never comes back
-	FaultEngineSlow   FaultKind = "engine_slow"   // steps take Factor times as long
-	FaultReportsStop  FaultKind = "reports_stop"  // no load report of the engine
-	FaultTwoHomes     FaultKind = "two_homes"     // a second node admits to the engine too
-	FaultHomeDies     FaultKind = "home_dies"     // the home's batch role stops at once
+	FaultEngineDies   FaultKind = "engine_dies"   // crashes and restarts empty after For
+	FaultEngineLeaves FaultKind = "engine_leaves" // starts draining and stops for good after For
+	FaultEngineSlow   FaultKind = "engine_slow"   // steps take Factor times as long for For
+	FaultReportsStop  FaultKind = "reports_stop"  // the engine sends no load reports for For
+	FaultTwoHomes     FaultKind = "two_homes"     // a second home also admits to the engine for For
+	FaultHomeDies     FaultKind = "home_dies"     // the engine's home crashes
 )
 
-// Fault is a failure on the schedule.
+// Fault is a fault injected at a given time.
 type Fault struct {
 	At     time.Duration `koanf:"at" validate:"gte=0"`
 	For    time.Duration `koanf:"for" validate:"gte=0"`
@@ -89,15 +88,15 @@
 	Factor float64       `koanf:"factor" validate:"gte=0"`
 }
 
-// Config is one run without its policy and seed.
+// Config configures a run, except for its policy and seed.
 type Config struct {
 	Deployment Deployment      `koanf:"deployment"`
 	Online     arrivals.Online `koanf:"online"`
 	Batch      arrivals.Batch  `koanf:"batch"`
 	Faults     []Fault         `koanf:"faults" validate:"dive"`
-	// Routing of online requests for policies that don't set their own.
+	// Routing is the default of Policy.Routing.
 	Routing RoutingKind `koanf:"routing" validate:"omitempty,oneof=least_in_flight node"`
-	// Warmup is left out of all measures; Duration includes it.
+	// Warmup is excluded from measurements; Duration includes it.
 	Warmup   time.Duration `koanf:"warmup" validate:"gte=0"`
 	Duration time.Duration `koanf:"duration" validate:"gtfield=Warmup"`
 }
--- a/internal/lab/sim/doc.go
+++ b/internal/lab/sim/doc.go
@@ -1,11 +1,12 @@
-// Package sim emulates a whole deployment in virtual time: clients, nodes
-// with their gateway and home roles, the network, lagging load reports and
-// engines (internal/standin/engine/scheduler). The decisions come from the
-// node's own code, internal/admission/batch and (where a policy asks for it)
-// internal/routing; the rest is a model of the node's shells.
+// Package sim is a discrete-event simulation of a deployment: clients, nodes,
+// the network, delayed load reports and inference engines
+// (internal/standin/engine/scheduler). A node has two roles: a gateway for
+// online requests, and a home that admits batch work to some of the engines.
 //
-// A run is a pure function of its Config and seed. Simplifications, all in
-// favour of the comparison being about batch admission: a node's own work
-// takes no time, leases of batch items are prefetched (an admitted item costs
-// no call to the ledger), and a gateway does not queue.
+// Nodes decide with production code: internal/admission/batch and, for
+// RoutingNode, internal/routing. Everything else is a model.
+//
+// A run is deterministic for its Config, Policy, Recording and seed. To isolate
+// the effect of batch admission, nodes compute in zero time, leases of batch
+// items are acquired in zero time, and gateways do not queue.
 package sim
--- a/internal/lab/sim/engine.go
+++ b/internal/lab/sim/engine.go
@@ -10,16 +10,16 @@
 	"chutelock.dev/chutelock/internal/standin/engine/scheduler"
 )
 
-// receiver gets what an engine sends about one stream.
+// receiver handles an engine's events for one stream.
 type receiver interface {
-	receiverZone() int
-	token(index int)
-	finished(cached, prompt int)
-	broken()
-	batch() bool
+	zone() int
+	handleToken(index int)
+	handleFinished(cached, prompt int)
+	handleFailure()
+	isBatch() bool
 }
 
-// emulatedEngine runs the stand-in's scheduler in virtual time.
+// emulatedEngine runs the stand-in engine's scheduler in virtual time.
 type emulatedEngine struct {
 	simulation *simulation
 	name       string
@@ -28,15 +28,15 @@
 	scheduler  *scheduler.Scheduler
 	streams    map[string]receiver
 	stepping   bool
-	// incarnation rises when the engine dies, so that timers of the dead one
-	// do nothing.
-	incarnation int
-	dead        bool
-	leaving     bool
-	reportless  bool
-	slowdown    float64
-	// parked are batch streams that the clairvoyant set aside for one step.
-	parked     []string
+	// incarnation increases when the engine dies, which invalidates its pending
+	// step timer.
+	incarnation    int
+	dead           bool
+	leaving        bool
+	reportsStopped bool
+	slowdown       float64
+	// suspended has the batch streams that limitBatch suspended for this step.
+	suspended  []string
 	batchOrder []string
 }
 
@@ -46,44 +46,44 @@
 		name:       fmt.Sprintf("engine-%02d", index),
 		index:      index,
 		zone:       zone,
-		scheduler:  scheduler.New(s.config.Deployment.Engine.scheduler()),
+		scheduler:  scheduler.New(s.config.Deployment.Engine.schedulerConfig()),
 		streams:    map[string]receiver{},
 		slowdown:   1,
 	}
-	// Reports of different engines are not in step.
+	// Spread the reports of engines evenly over the interval.
 	offset := s.config.Deployment.Reports.Every * time.Duration(index) / time.Duration(s.config.engines())
 	s.after(offset, created.report)
 	return created
 }
 
-// submit queues a stream; the receiver is told at once, after the network's
-// latency, if the engine can't take it.
+// submit queues a stream. If the engine can't accept it, the receiver gets
+// handleFailure after the network latency.
 func (e *emulatedEngine) submit(sequence scheduler.Sequence, to receiver) {
 	if e.dead {
-		e.send(to, to.broken)
+		e.send(to, to.handleFailure)
 		return
 	}
 	if err := e.scheduler.Submit(e.simulation.now(), sequence); err != nil {
-		e.send(to, to.broken)
+		e.send(to, to.handleFailure)
 		return
 	}
 	e.streams[sequence.ID] = to
-	if to.batch() && e.simulation.policy.Kind == PolicyClairvoyant {
+	if to.isBatch() && e.simulation.policy.Kind == PolicyClairvoyant {
 		e.batchOrder = append(e.batchOrder, sequence.ID)
 	}
-	e.wake()
+	e.startStepping()
 }
 
 func (e *emulatedEngine) send(to receiver, deliver func()) {
-	e.simulation.after(e.simulation.latency(e.zone, to.receiverZone()), deliver)
+	e.simulation.after(e.simulation.latency(e.zone, to.zone()), deliver)
 }
 
 func (e *emulatedEngine) cancel(id string) {
 	delete(e.streams, id)
-	_ = e.scheduler.Cancel(id) // unknown: it has ended already
+	_ = e.scheduler.Cancel(id) // an unknown stream has already ended
 }
 
-// suspend says whether the stream was there to be suspended.
+// suspend reports whether the stream was suspended.
 func (e *emulatedEngine) suspend(id string) bool {
 	return !e.dead && e.scheduler.Suspend(id) == nil
 }
@@ -93,11 +93,11 @@
 	if e.dead || !known || e.scheduler.Resume(e.simulation.now(), id, emitted) != nil {
 		return false
 	}
-	e.wake()
+	e.startStepping()
 	return true
 }
 
-func (e *emulatedEngine) wake() {
+func (e *emulatedEngine) startStepping() {
 	if !e.stepping && !e.dead {
 		e.step()
 	}
@@ -116,7 +116,7 @@
 	finished := slices.Clone(result.Finished)
 	e.simulation.result.countStep(result)
 	if e.simulation.policy.Kind == PolicyNone {
-		e.simulation.record.work(e.index, e.simulation.clock.now, len(tokens), result.Prefilled)
+		e.simulation.recording.recordWork(e.index, e.simulation.clock.now, len(tokens), result.Prefilled)
 	}
 	incarnation := e.incarnation
 	duration := time.Duration(float64(result.Duration) * e.slowdown)
@@ -124,40 +124,40 @@
 		if e.incarnation != incarnation {
 			return
 		}
-		e.emit(tokens, finished)
+		e.deliver(tokens, finished)
 		e.step()
 	})
 }
 
-func (e *emulatedEngine) emit(tokens []scheduler.Token, finished []scheduler.Finished) {
+func (e *emulatedEngine) deliver(tokens []scheduler.Token, finished []scheduler.Finished) {
 	for _, token := range tokens {
 		if to := e.streams[token.ID]; to != nil {
-			e.simulation.result.countToken(to.batch())
-			e.send(to, func() { to.token(token.Index) })
+			e.simulation.result.countToken(to.isBatch())
+			e.send(to, func() { to.handleToken(token.Index) })
 		}
 	}
 	for _, done := range finished {
 		if to := e.streams[done.ID]; to != nil {
 			delete(e.streams, done.ID)
-			e.send(to, func() { to.finished(done.CachedTokens, done.PromptTokens) })
+			e.send(to, func() { to.handleFinished(done.CachedTokens, done.PromptTokens) })
 		}
 	}
 }
 
-// report sends the engine's load to all gateways and to its homes, late.
+// report sends the engine's load to all gateways and its homes after Reports.Lag.
 func (e *emulatedEngine) report() {
 	s := e.simulation
 	s.after(s.config.Deployment.Reports.Every, e.report)
-	if e.dead || e.reportless {
+	if e.dead || e.reportsStopped {
 		return
 	}
 	load := e.load()
 	s.after(s.config.Deployment.Reports.Lag, func() {
 		for _, node := range s.nodes {
-			node.gateway.reported(e.index, load)
+			node.gateway.handleReport(e.index, load)
 		}
-		for _, home := range s.homesOf(e.index) {
-			home.reported(load)
+		for _, home := range s.liveHomes(e.index) {
+			home.handleReport(load)
 		}
 	})
 }
@@ -177,7 +177,7 @@
 	}
 }
 
-// die loses all streams; their receivers see their connections break.
+// die drops all streams; their receivers get handleFailure.
 func (e *emulatedEngine) die() {
 	e.dead = true
 	e.stepping = false
@@ -186,14 +186,14 @@
 	e.streams = map[string]receiver{}
 	e.scheduler.Reset()
 	for _, id := range sortedKeys(lost) {
-		e.send(lost[id], lost[id].broken)
+		e.send(lost[id], lost[id].handleFailure)
 	}
 }
 
-func (e *emulatedEngine) revive() { e.dead = false }
+func (e *emulatedEngine) restart() { e.dead = false }
 
-// sequenceOf describes a request to the scheduler.
-func sequenceOf(id string, priority int, request arrivals.Request, blockTokens int) scheduler.Sequence {
+// newSequence returns the scheduler's description of a request.
+func newSequence(id string, priority int, request arrivals.Request, blockTokens int) scheduler.Sequence {
 	return scheduler.Sequence{
 		ID:           id,
 		Priority:     priority,
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -13,74 +13,74 @@
 	switch fault.Kind {
 	case FaultEngineDies:
 		engine.die()
-		s.after(s.config.Deployment.Takeover, func() { s.engineGone(engine) })
-		s.after(fault.For, func() { s.reviveEngine(engine) })
+		s.after(s.config.Deployment.Takeover, func() { s.removeEngine(engine) })
+		s.after(fault.For, func() { s.restartEngine(engine) })
 	case FaultEngineLeaves:
 		engine.leaving = true
-		s.after(s.config.Deployment.Takeover, func() { s.engineGone(engine) })
+		s.after(s.config.Deployment.Takeover, func() { s.removeEngine(engine) })
 		s.after(fault.For, engine.die)
 	case FaultEngineSlow:
 		engine.slowdown = max(1, fault.Factor)
 		s.after(fault.For, func() { engine.slowdown = 1 })
 	case FaultReportsStop:
-		engine.reportless = true
-		s.after(fault.For, func() { engine.reportless = false })
+		engine.reportsStopped = true
+		s.after(fault.For, func() { engine.reportsStopped = false })
 	case FaultTwoHomes:
-		s.addRival(engine)
-		s.after(fault.For, func() { s.removeRival(engine) })
+		s.addDuplicateHome(engine)
+		s.after(fault.For, func() { s.removeDuplicateHome(engine) })
 	case FaultHomeDies:
 		s.homes[engine.index].die()
-		s.after(s.config.Deployment.Takeover, func() { s.takeOver(engine) })
+		s.after(s.config.Deployment.Takeover, func() { s.replaceHome(engine) })
 	}
 }
 
-// engineGone is when homes and gateways have learnt that an engine is gone.
-func (s *simulation) engineGone(engine *emulatedEngine) {
-	for _, home := range s.homesOf(engine.index) {
-		home.gone()
+// removeEngine notifies homes and gateways that an engine is leaving or dead.
+func (s *simulation) removeEngine(engine *emulatedEngine) {
+	for _, home := range s.liveHomes(engine.index) {
+		home.release()
 	}
 	for _, node := range s.nodes {
 		node.gateway.setUnusable(engine.index, true)
 	}
 }
 
-// reviveEngine brings a dead engine back empty, with a home that starts anew.
-func (s *simulation) reviveEngine(engine *emulatedEngine) {
-	engine.revive()
+// restartEngine restarts a dead engine, empty and with a new home.
+func (s *simulation) restartEngine(engine *emulatedEngine) {
+	engine.restart()
 	for _, node := range s.nodes {
 		node.gateway.setUnusable(engine.index, false)
 	}
 	s.homes[engine.index].die()
-	s.takeOver(engine)
+	s.replaceHome(engine)
 }
 
-// takeOver gives the engine a new home at another node of its zone, if there
+// replaceHome assigns the engine a new home, at another node of its zone if there
 // is one.
-func (s *simulation) takeOver(engine *emulatedEngine) {
-	candidates := s.nodesOf(engine.zone)
+func (s *simulation) replaceHome(engine *emulatedEngine) {
+	candidates := s.nodesInZone(engine.zone)
 	chosen := candidates[(engine.index+1)%len(candidates)]
 	home, err := s.newHome(chosen, engine)
 	if err != nil {
-		return // the first home of the same policy was made, so this can't be
+		return // impossible: assignHomes succeeded with the same policy
 	}
 	s.homes[engine.index] = home
 }
 
-func (s *simulation) addRival(engine *emulatedEngine) {
-	candidates := s.nodesOf(engine.zone)
-	rival, err := s.newHome(candidates[(engine.index+1)%len(candidates)], engine)
+func (s *simulation) addDuplicateHome(engine *emulatedEngine) {
+	candidates := s.nodesInZone(engine.zone)
+	duplicate, err := s.newHome(candidates[(engine.index+1)%len(candidates)], engine)
 	if err != nil {
-		return // as in takeOver
+		return // impossible, as in replaceHome
 	}
-	s.rivals[engine.index] = rival
+	s.duplicateHomes[engine.index] = duplicate
 }
 
-func (s *simulation) removeRival(engine *emulatedEngine) {
-	rival := s.rivals[engine.index]
-	if rival == nil {
+func (s *simulation) removeDuplicateHome(engine *emulatedEngine) {
+	duplicate := s.duplicateHomes[engine.index]
+	if duplicate == nil {
 		return
 	}
-	rival.gone()
-	rival.dead = true
-	s.rivals[engine.index] = nil
+	duplicate.release()
+	duplicate.dead = true
+	s.duplicateHomes[engine.index] = nil
 }
--- a/internal/lab/sim/gateway.go
+++ b/internal/lab/sim/gateway.go
@@ -9,7 +9,7 @@
 	"chutelock.dev/chutelock/internal/routing"
 )
 
-// node is a chutelock node: a gateway, and the home of some engines.
+// node is a server with a gateway; it may also be the home of engines.
 type node struct {
 	simulation *simulation
 	index      int
@@ -21,16 +21,16 @@
 	return &node{simulation: s, index: index, zone: zone}
 }
 
-// gateway is the online path of a node. It routes by what it knows: its own
-// requests in flight and lagging reports.
+// gateway is a node's online role. It routes by its own requests in flight and
+// delayed load reports.
 type gateway struct {
-	node     *node
-	inFlight []int
-	reports  []engine.Load
-	cached   cachedEstimate
-	// unusable engines are known to be leaving or dead.
+	node         *node
+	inFlight     []int
+	reports      []engine.Load
+	cachedTokens cachedEstimate
+	// unusable marks engines known to be leaving or dead.
 	unusable []bool
-	// version counts changes of reports and unusable.
+	// version counts changes to reports and unusable.
 	version   int
 	placement placement
 }
@@ -46,7 +46,7 @@
 	return created
 }
 
-func (g *gateway) reported(index int, load engine.Load) {
+func (g *gateway) handleReport(index int, load engine.Load) {
 	g.reports[index] = load
 	g.version++
 }
@@ -56,16 +56,16 @@
 	g.version++
 }
 
-// onlineRequest is an online request on its way through a gateway.
+// onlineRequest is an online request handled by a gateway.
 type onlineRequest struct {
-	gateway  *gateway
-	request  arrivals.Request
-	engine   *emulatedEngine
-	attempt  int
-	received int // tokens handed to the client
-	lastAt   time.Duration
-	tried    []string
-	routed   *routing.Attempt // nil but under RoutingNode
+	gateway        *gateway
+	request        arrivals.Request
+	engine         *emulatedEngine
+	attempt        int
+	receivedTokens int // tokens delivered to the client
+	lastTokenAt    time.Duration
+	triedEngines   []string
+	routingAttempt *routing.Attempt // only set for RoutingNode
 }
 
 var _ receiver = (*onlineRequest)(nil)
@@ -84,33 +84,33 @@
 	r.engine = chosen
 	r.attempt++
 	g.inFlight[chosen.index]++
-	home := s.believedHome(g.node, chosen.index)
+	home := s.homeKnownTo(g.node, chosen.index)
 	if home != nil {
-		prefill := g.cached.prefill(r.request)
-		s.after(s.latency(g.node.zone, home.node.zone), func() { home.onlineStarted(r.id(), prefill) })
+		prefill := g.cachedTokens.prefill(r.request)
+		s.after(s.latency(g.node.zone, home.node.zone), func() { home.handleOnlineStarted(r.id(), prefill) })
 	}
-	sequence := sequenceOf(r.id(), int(engine.PriorityOnline), r.request, s.config.Deployment.Engine.BlockTokens)
-	sequence.ResumeFrom = r.received
+	sequence := newSequence(r.id(), int(engine.PriorityOnline), r.request, s.config.Deployment.Engine.BlockTokens)
+	sequence.ResumeFrom = r.receivedTokens
 	s.after(s.latency(g.node.zone, chosen.zone), func() {
-		s.record.arrival(chosen.index, r.request.Number)
+		s.recording.recordEngine(chosen.index, r.request.Number)
 		chosen.submit(sequence, r)
 	})
 }
 
 func (g *gateway) route(r *onlineRequest) *emulatedEngine {
 	s := g.node.simulation
-	if s.plan != nil && s.policy.Kind == PolicyClairvoyant {
-		if planned, ok := s.plan.engineOf[r.request.Number]; ok {
+	if s.baseline != nil && s.policy.Kind == PolicyClairvoyant {
+		if planned, ok := s.baseline.engineOf[r.request.Number]; ok {
 			return s.engines[planned]
 		}
 	}
 	return g.placement.place(r)
 }
 
-// believedHome is the home to which the node announces online requests.
-func (s *simulation) believedHome(from *node, engine int) *home {
-	if rival := s.rivals[engine]; rival != nil && from.index%2 == 1 {
-		return rival
+// homeKnownTo returns the home that a gateway notifies of online requests.
+func (s *simulation) homeKnownTo(gatewayNode *node, engine int) *home {
+	if duplicate := s.duplicateHomes[engine]; duplicate != nil && gatewayNode.index%2 == 1 {
+		return duplicate
 	}
 	return s.homes[engine]
 }
@@ -119,40 +119,41 @@
 	return fmt.Sprintf("o%d-%d", r.request.Number, r.attempt)
 }
 
-func (r *onlineRequest) receiverZone() int { return r.gateway.node.zone }
+func (r *onlineRequest) zone() int { return r.gateway.node.zone }
 
-func (r *onlineRequest) batch() bool { return false }
+func (r *onlineRequest) isBatch() bool { return false }
 
-func (r *onlineRequest) token(index int) {
+func (r *onlineRequest) handleToken(index int) {
 	s := r.gateway.node.simulation
-	if index != r.received {
-		s.result.OnlineWrong++
+	if index != r.receivedTokens {
+		s.result.OnlineOutOfOrder++
 		return
 	}
-	r.received++
+	r.receivedTokens++
 	at := s.clock.now + s.config.Deployment.Network.Client
 	if index == 0 {
 		r.gateway.placement.observe(r, routing.OutcomeFirstToken)
-		s.result.firstToken(r.request.At, at)
+		s.result.recordFirstToken(r.request.At, at)
 	} else {
-		s.result.nextToken(r.request.At, r.lastAt, at)
+		s.result.recordNextToken(r.request.At, r.lastTokenAt, at)
 	}
-	r.lastAt = at
+	r.lastTokenAt = at
 }
 
-func (r *onlineRequest) finished(cached, prompt int) {
+func (r *onlineRequest) handleFinished(cached, prompt int) {
 	s := r.gateway.node.simulation
 	r.gateway.placement.observe(r, routing.OutcomeFinished)
 	r.release()
-	r.gateway.cached.observe(cached)
-	s.result.onlineDone(r.request, s.clock.now+s.config.Deployment.Network.Client, cached, prompt)
+	r.gateway.cachedTokens.observe(cached)
+	s.result.recordOnlineDone(r.request, s.clock.now+s.config.Deployment.Network.Client, cached, prompt)
 }
 
-// broken sends the request to another engine, from where the client is.
-func (r *onlineRequest) broken() {
+// handleFailure retries the request at another engine, resuming after the tokens
+// already delivered.
+func (r *onlineRequest) handleFailure() {
 	r.gateway.placement.observe(r, routing.OutcomeFailed)
 	r.release()
-	r.tried = append(r.tried, r.engine.name)
+	r.triedEngines = append(r.triedEngines, r.engine.name)
 	r.gateway.setUnusable(r.engine.index, true)
 	r.gateway.node.simulation.result.OnlineRetried++
 	r.gateway.send(r)
@@ -162,8 +163,8 @@
 	s := r.gateway.node.simulation
 	r.gateway.inFlight[r.engine.index]--
 	id := r.id()
-	home := s.believedHome(r.gateway.node, r.engine.index)
+	home := s.homeKnownTo(r.gateway.node, r.engine.index)
 	if home != nil {
-		s.after(s.latency(r.gateway.node.zone, home.node.zone), func() { home.onlineFinished(id) })
+		s.after(s.latency(r.gateway.node.zone, home.node.zone), func() { home.handleOnlineFinished(id) })
 	}
 }
--- a/internal/lab/sim/home.go
+++ b/internal/lab/sim/home.go
@@ -8,37 +8,37 @@
 	"chutelock.dev/chutelock/internal/engine"
 )
 
-// home is the batch role of a node for one engine: it runs the policy and
-// does what it says.
+// home is a node's batch role for one engine: it runs the admission policy and
+// applies its actions.
 type home struct {
 	node    *node
 	engine  *emulatedEngine
 	policy  batch.Policy
 	streams map[string]*batchStream
-	// cached estimates the prefill of batch items.
-	cached cachedEstimate
-	dead   bool
+	// cachedTokens estimates the prefix cache hits of batch items.
+	cachedTokens cachedEstimate
+	dead         bool
 }
 
-// batchStream is an item at an engine.
+// batchStream is an attempt to run an item at an engine.
 type batchStream struct {
-	home     *home
-	item     *item
-	id       string
-	received int
-	ended    bool
+	home           *home
+	item           *item
+	id             string
+	receivedTokens int
+	ended          bool
 }
 
 var _ receiver = (*batchStream)(nil)
 
 func (s *simulation) newHome(node *node, engine *emulatedEngine) (*home, error) {
-	policy, err := s.policy.admission(s.config.Deployment.Engine)
+	policy, err := s.policy.newAdmission(s.config.Deployment.Engine)
 	if err != nil {
 		return nil, err
 	}
 	created := &home{node: node, engine: engine, policy: policy, streams: map[string]*batchStream{}}
-	if s.policy.Kind != PolicyNone && s.policy.batchEngine(engine.index, s.config.engines()) {
-		created.tickForever()
+	if s.policy.Kind != PolicyNone && s.policy.allowsBatch(engine.index, s.config.engines()) {
+		created.scheduleTicks()
 	}
 	return created, nil
 }
@@ -47,41 +47,41 @@
 	return h.node.simulation.latency(h.node.zone, h.engine.zone)
 }
 
-func (h *home) tickForever() {
+func (h *home) scheduleTicks() {
 	if h.dead {
 		return
 	}
 	h.tick()
-	h.node.simulation.after(tickEvery, h.tickForever)
+	h.node.simulation.after(tickInterval, h.scheduleTicks)
 }
 
 func (h *home) tick() { h.step(batch.Event{Kind: batch.EventTick}) }
 
-func (h *home) onlineStarted(id string, promptTokens int) {
+func (h *home) handleOnlineStarted(id string, promptTokens int) {
 	h.step(batch.Event{Kind: batch.EventOnlineStarted, Stream: id, PromptTokens: promptTokens})
 }
 
-func (h *home) onlineFinished(id string) {
+func (h *home) handleOnlineFinished(id string) {
 	h.step(batch.Event{Kind: batch.EventOnlineFinished, Stream: id})
 }
 
-func (h *home) reported(load engine.Load) {
+func (h *home) handleReport(load engine.Load) {
 	h.step(batch.Event{Kind: batch.EventLoad, Load: load})
 }
 
-// step hands an event to the policy and carries out its actions.
+// step passes an event to the policy and applies the resulting actions.
 func (h *home) step(event batch.Event) {
 	s := h.node.simulation
-	if h.dead || s.policy.Kind == PolicyNone || !s.policy.batchEngine(h.engine.index, len(s.engines)) {
+	if h.dead || s.policy.Kind == PolicyNone || !s.policy.allowsBatch(h.engine.index, len(s.engines)) {
 		return
 	}
 	event.Engine = h.engine.name
 	for _, action := range h.policy.Step(s.now(), event) {
-		h.act(action)
+		h.apply(action)
 	}
 }
 
-func (h *home) act(action batch.Action) {
+func (h *home) apply(action batch.Action) {
 	switch action.Kind {
 	case batch.ActionAdmit:
 		for range action.Count {
@@ -100,16 +100,16 @@
 
 func (h *home) admit() bool {
 	s := h.node.simulation
-	item := s.pool.take()
+	item := s.pool.next()
 	if item == nil {
 		return false
 	}
 	item.attempts++
 	stream := &batchStream{home: h, item: item, id: fmt.Sprintf("b%d-%d", item.request.Number, item.attempts)}
 	h.streams[stream.id] = stream
-	sequence := sequenceOf(stream.id, int(s.policy.priority()), item.request, s.config.Deployment.Engine.BlockTokens)
+	sequence := newSequence(stream.id, int(s.policy.batchPriority()), item.request, s.config.Deployment.Engine.BlockTokens)
 	s.after(h.latency(), func() { h.engine.submit(sequence, stream) })
-	started := batch.Event{Kind: batch.EventBatchStarted, Stream: stream.id, PromptTokens: h.cached.prefill(item.request)}
+	started := batch.Event{Kind: batch.EventBatchStarted, Stream: stream.id, PromptTokens: h.cachedTokens.prefill(item.request)}
 	if item.deadline > 0 {
 		started.Deadline = epoch.Add(item.deadline)
 	}
@@ -122,12 +122,12 @@
 	s.result.Suspensions++
 	s.after(h.latency(), func() {
 		if h.engine.suspend(id) {
-			s.after(h.latency(), func() { h.suspended(id) })
+			s.after(h.latency(), func() { h.handleSuspended(id) })
 		}
 	})
 }
 
-func (h *home) suspended(id string) {
+func (h *home) handleSuspended(id string) {
 	if h.streams[id] != nil {
 		h.step(batch.Event{Kind: batch.EventBatchEnded, Stream: id, Suspended: true})
 	}
@@ -141,7 +141,7 @@
 	}
 	s.after(h.latency(), func() {
 		if !h.engine.resume(id) {
-			s.after(h.latency(), stream.broken)
+			s.after(h.latency(), stream.handleFailure)
 		}
 	})
 	h.step(batch.Event{Kind: batch.EventBatchStarted, Stream: id})
@@ -155,28 +155,27 @@
 	}
 	s.result.Cancellations++
 	s.after(h.latency(), func() { h.engine.cancel(id) })
-	h.end(stream)
-	s.pool.giveBack(stream.item, s.result)
+	h.endStream(stream)
+	s.pool.requeue(stream.item, s.result)
 }
 
-// end takes a stream off the books and tells the policy.
-func (h *home) end(stream *batchStream) {
+// endStream removes a stream and notifies the policy.
+func (h *home) endStream(stream *batchStream) {
 	stream.ended = true
 	delete(h.streams, stream.id)
 	h.step(batch.Event{Kind: batch.EventBatchEnded, Stream: stream.id})
 }
 
-// gone ends the home's role for the engine, as when the engine is known to
-// leave or the role moved.
-func (h *home) gone() {
+// release ends the home's role for the engine and cancels all streams.
+func (h *home) release() {
 	h.step(batch.Event{Kind: batch.EventEngineGone})
 	for _, id := range sortedKeys(h.streams) {
 		h.cancel(id)
 	}
 }
 
-// die stops the home; its connections break, and its items are given out
-// again when their leases have expired.
+// die crashes the home. The engine cancels its streams when the connections
+// break, and its items are available again when their leases expire.
 func (h *home) die() {
 	s := h.node.simulation
 	h.dead = true
@@ -184,40 +183,40 @@
 		stream := h.streams[id]
 		stream.ended = true
 		s.after(h.latency(), func() { h.engine.cancel(id) })
-		s.after(s.config.Deployment.LeaseExpiry, func() { s.pool.giveBack(stream.item, s.result) })
+		s.after(s.config.Deployment.LeaseExpiry, func() { s.pool.requeue(stream.item, s.result) })
 	}
 	h.streams = map[string]*batchStream{}
 }
 
-func (b *batchStream) receiverZone() int { return b.home.node.zone }
+func (b *batchStream) zone() int { return b.home.node.zone }
 
-func (b *batchStream) batch() bool { return true }
+func (b *batchStream) isBatch() bool { return true }
 
-func (b *batchStream) token(int) {
+func (b *batchStream) handleToken(int) {
 	if b.ended {
 		return
 	}
-	b.received++
-	b.item.progressed(b.received, b.home.node.simulation.result)
+	b.receivedTokens++
+	b.item.recordProgress(b.receivedTokens, b.home.node.simulation.result)
 	b.home.step(batch.Event{Kind: batch.EventBatchToken, Stream: b.id})
 }
 
-func (b *batchStream) finished(cached, prompt int) {
+func (b *batchStream) handleFinished(cached, prompt int) {
 	if b.ended {
 		return
 	}
 	s := b.home.node.simulation
-	b.home.cached.observe(cached)
-	s.pool.finish(b.item, s.clock.now, s.result)
-	b.home.end(b)
+	b.home.cachedTokens.observe(cached)
+	s.pool.complete(b.item, s.clock.now, s.result)
+	b.home.endStream(b)
 }
 
-// broken hands the item back: the engine lost the stream or refused it.
-func (b *batchStream) broken() {
+// handleFailure requeues the item after the engine lost or rejected the stream.
+func (b *batchStream) handleFailure() {
 	if b.ended {
 		return
 	}
 	s := b.home.node.simulation
-	b.home.end(b)
-	s.pool.giveBack(b.item, s.result)
+	b.home.endStream(b)
+	s.pool.requeue(b.item, s.result)
 }
--- a/internal/lab/sim/placement.go
+++ b/internal/lab/sim/placement.go
@@ -8,20 +8,21 @@
 	"chutelock.dev/chutelock/internal/routing"
 )
 
-// RoutingKind names how gateways place online requests.
+// RoutingKind is a method of routing online requests.
 type RoutingKind string
 
+// Kinds of routing.
 const (
-	// RoutingLeastInFlight is a stand-in: the gateway's own requests in flight
-	// plus the lagging report's waiting online requests, at random among equals.
+	// RoutingLeastInFlight picks the engine with the fewest requests, at random
+	// among equals: the gateway's own in flight plus online requests reported waiting.
 	RoutingLeastInFlight RoutingKind = "least_in_flight"
-	// RoutingNode is the node's own internal/routing.
+	// RoutingNode uses internal/routing, as nodes do.
 	RoutingNode RoutingKind = "node"
 )
 
-// placement places a gateway's requests and learns from what came of them.
+// placement chooses engines for a gateway's requests and observes their outcomes.
 type placement interface {
-	// place returns nil when no engine can take the request.
+	// place returns nil if no engine can accept the request.
 	place(r *onlineRequest) *emulatedEngine
 	observe(r *onlineRequest, kind routing.OutcomeKind)
 }
@@ -39,7 +40,7 @@
 
 func (s *simulation) zoneName(zone int) string { return s.config.Deployment.Zones[zone].Name }
 
-// leastInFlight is RoutingLeastInFlight.
+// leastInFlight implements RoutingLeastInFlight.
 type leastInFlight struct{ gateway *gateway }
 
 func (l leastInFlight) observe(*onlineRequest, routing.OutcomeKind) {}
@@ -67,7 +68,7 @@
 	return best[s.random.IntN(len(best))]
 }
 
-// nodeRouting is RoutingNode.
+// nodeRouting implements RoutingNode.
 type nodeRouting struct {
 	gateway  *gateway
 	router   *routing.Router
@@ -75,22 +76,22 @@
 	version  int
 }
 
-// emulatedModel is the only model of a simulation.
+// emulatedModel is the name of the only model in a simulation.
 const emulatedModel = "model"
 
 func (n *nodeRouting) place(r *onlineRequest) *emulatedEngine {
 	s := n.gateway.node.simulation
-	n.refresh()
+	n.refreshSnapshot()
 	decision, err := n.router.Pick(s.now(), routing.Request{
 		Model:      emulatedModel,
 		Prefix:     prefixHashes(r.request, s.config.Deployment.Engine.BlockTokens),
-		Tried:      r.tried,
+		Tried:      r.triedEngines,
 		Repeatable: true,
 	}, n.snapshot)
 	if err != nil {
 		return nil
 	}
-	r.routed = decision.Attempt
+	r.routingAttempt = decision.Attempt
 	for _, candidate := range s.engines {
 		if candidate.name == decision.Endpoint.Name {
 			return candidate
@@ -99,8 +100,8 @@
 	return nil
 }
 
-// refresh makes a new snapshot if the gateway has learnt something since.
-func (n *nodeRouting) refresh() {
+// refreshSnapshot rebuilds the snapshot if reports or unusable have changed.
+func (n *nodeRouting) refreshSnapshot() {
 	g := n.gateway
 	if n.snapshot != nil && n.version == g.version {
 		return
@@ -121,10 +122,10 @@
 }
 
 func (n *nodeRouting) observe(r *onlineRequest, kind routing.OutcomeKind) {
-	if r.routed == nil {
+	if r.routingAttempt == nil {
 		return
 	}
 	n.router.Observe(n.gateway.node.simulation.now(), routing.Outcome{
-		Attempt: r.routed, Kind: kind, Fate: engine.FateUnknown, Tokens: r.received,
+		Attempt: r.routingAttempt, Kind: kind, Fate: engine.FateUnknown, Tokens: r.receivedTokens,
 	})
 }
--- a/internal/lab/sim/pool.go
+++ b/internal/lab/sim/pool.go
@@ -12,50 +12,49 @@
 	request  arrivals.Request
 	deadline time.Duration // zero means none
 	attempts int
-	// progress is the number of output tokens that stand, so far.
-	progress int
-	done     bool
-	doneAt   time.Duration
-	queued   bool
+	// retainedTokens is the number of output tokens not lost to a failed attempt.
+	retainedTokens int
+	done           bool
+	doneAt         time.Duration
+	queued         bool
 }
 
-// progressed notes that tokens of the item are there.
-func (i *item) progressed(tokens int, result *Result) {
-	if tokens > i.progress && !i.done {
-		result.retain(tokens - i.progress)
-		i.progress = tokens
+// recordProgress records that an attempt has produced that many tokens.
+func (i *item) recordProgress(tokens int, result *Result) {
+	if tokens > i.retainedTokens && !i.done {
+		result.addRetained(tokens - i.retainedTokens)
+		i.retainedTokens = tokens
 	}
 }
 
-// itemPool is the jobs' open items, as the ledger's leases would give them
-// out.
+// itemPool holds all batch items and the queue of those without a lease.
 type itemPool struct {
 	byDeadline bool
-	open       itemHeap
+	queue      itemHeap
 	all        []*item
 }
 
 func newItemPool(byDeadline bool) *itemPool {
-	return &itemPool{byDeadline: byDeadline, open: itemHeap{byDeadline: byDeadline}}
+	return &itemPool{byDeadline: byDeadline, queue: itemHeap{byDeadline: byDeadline}}
 }
 
 func (p *itemPool) addJob(job arrivals.Job) {
 	for _, request := range job.Items {
 		added := &item{request: request, deadline: job.Deadline}
 		p.all = append(p.all, added)
-		p.put(added)
+		p.enqueue(added)
 	}
 }
 
-func (p *itemPool) put(added *item) {
+func (p *itemPool) enqueue(added *item) {
 	added.queued = true
-	heap.Push(&p.open, added)
+	heap.Push(&p.queue, added)
 }
 
-// take returns the next item, or nil.
-func (p *itemPool) take() *item {
-	for len(p.open.items) > 0 {
-		next := heap.Pop(&p.open).(*item)
+// next dequeues the next item that is not done; it returns nil if there is none.
+func (p *itemPool) next() *item {
+	for len(p.queue.items) > 0 {
+		next := heap.Pop(&p.queue).(*item)
 		next.queued = false
 		if !next.done {
 			return next
@@ -64,29 +63,29 @@
 	return nil
 }
 
-// giveBack returns an item whose attempt came to nothing; its tokens are lost.
-func (p *itemPool) giveBack(returned *item, result *Result) {
+// requeue returns an item to the queue after a failed attempt; its tokens are lost.
+func (p *itemPool) requeue(returned *item, result *Result) {
 	if returned.done || returned.queued {
 		return
 	}
-	result.retain(-returned.progress)
-	returned.progress = 0
-	p.put(returned)
+	result.addRetained(-returned.retainedTokens)
+	returned.retainedTokens = 0
+	p.enqueue(returned)
 }
 
-// finish keeps the first result of an item.
-func (p *itemPool) finish(finished *item, now time.Duration, result *Result) {
+// complete marks an item as done; later results of the item count as duplicates.
+func (p *itemPool) complete(finished *item, now time.Duration, result *Result) {
 	if finished.done {
 		result.BatchDuplicates++
 		return
 	}
-	finished.progressed(finished.request.OutputTokens, result)
+	finished.recordProgress(finished.request.OutputTokens, result)
 	finished.done = true
 	finished.doneAt = now
 	result.BatchDone++
 }
 
-// countDeadlines counts items with a deadline before end, and those missed.
+// countDeadlines counts items with a deadline up to end, and missed deadlines.
 func (p *itemPool) countDeadlines(end time.Duration, result *Result) {
 	for _, counted := range p.all {
 		if counted.deadline == 0 || counted.deadline > end {
@@ -99,8 +98,8 @@
 	}
 }
 
-// itemHeap orders items by deadline, those without one last, and then by
-// number.
+// itemHeap orders items by number or, if byDeadline is set, by deadline first,
+// with items without a deadline last.
 type itemHeap struct {
 	byDeadline bool
 	items      []*item
--- a/internal/lab/sim/prefix.go
+++ b/internal/lab/sim/prefix.go
@@ -8,9 +8,8 @@
 	"chutelock.dev/chutelock/internal/lab/arrivals"
 )
 
-// prefixHashes names the full blocks of a prompt's shared part. The own part
-// is never asked for again, so it is left out of the cache, as it would only
-// be evicted there.
+// prefixHashes returns hashes of the full blocks of a prompt's shared prefix. The
+// rest of the prompt is unique, so caching it would only cause evictions.
 func prefixHashes(request arrivals.Request, blockTokens int) []uint64 {
 	if request.Family < 0 {
 		return nil
@@ -25,19 +24,19 @@
 	return hashes
 }
 
-// cachedEstimate estimates how many tokens of a prompt are in a prefix cache,
-// from the engines' answers, as a node can. Prompts of a service share
-// templates, so it is a number of tokens and not a share of the prompt.
+// cachedEstimate is a moving average of the cached prompt tokens that engines
+// report. It is a number, not a fraction, as prompts share templates of fixed
+// length.
 type cachedEstimate struct{ tokens float64 }
 
-// cachedWeight is the weight of a new observation.
+// cachedWeight is the weight of a new observation in the moving average.
 const cachedWeight = 0.05
 
 func (c *cachedEstimate) observe(cached int) {
 	c.tokens += cachedWeight * (float64(cached) - c.tokens)
 }
 
-// prefill estimates the tokens of a request that the engine must compute.
+// prefill estimates how many prompt tokens the engine must prefill.
 func (c *cachedEstimate) prefill(request arrivals.Request) int {
 	return max(1, request.PromptTokens()-int(c.tokens))
 }
--- a/internal/lab/sim/recording.go
+++ b/internal/lab/sim/recording.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// bin is the grain in which a recording keeps the engines' online work.
-const bin = time.Second
+// binWidth is the time resolution of recorded online work.
+const binWidth = time.Second
 
-// onlineWork is what an engine did for online in one bin.
+// onlineWork counts an engine's online tokens in one bin.
 type onlineWork struct {
-	tokens    int
-	prefilled int
+	outputTokens    int
+	prefilledTokens int
 }
 
-// Recording is what a run without batch work did: it gives the capacity that
-// is left, and tells the clairvoyant what will come.
+// Recording is the online work of a run without batch work, from which the
+// capacity left for batch work follows. PolicyClairvoyant replays its routing.
 type Recording struct {
-	engineOf map[int]int // first engine of each request
+	engineOf map[int]int // first engine of each request, by number
 	bins     [][]onlineWork
-	// stepBound is the longest step that the clairvoyant lets an online stream
-	// see.
+	// stepBound is the maximum duration of steps with online streams under
+	// PolicyClairvoyant.
 	stepBound time.Duration
 }
 
@@ -27,19 +27,19 @@
 		bins:     make([][]onlineWork, config.engines()),
 	}
 	for i := range recording.bins {
-		recording.bins[i] = make([]onlineWork, int(config.Duration/bin)+1)
+		recording.bins[i] = make([]onlineWork, int(config.Duration/binWidth)+1)
 	}
 	return recording
 }
 
-func (r *Recording) arrival(engine, number int) {
+func (r *Recording) recordEngine(engine, number int) {
 	if _, known := r.engineOf[number]; !known {
 		r.engineOf[number] = engine
 	}
 }
 
-func (r *Recording) work(engine int, at time.Duration, tokens, prefilled int) {
-	slot := &r.bins[engine][min(int(at/bin), len(r.bins[engine])-1)]
-	slot.tokens += tokens
-	slot.prefilled += prefilled
+func (r *Recording) recordWork(engine int, at time.Duration, tokens, prefilled int) {
+	slot := &r.bins[engine][min(int(at/binWidth), len(r.bins[engine])-1)]
+	slot.outputTokens += tokens
+	slot.prefilledTokens += prefilled
 }
--- a/internal/lab/sim/result.go
+++ b/internal/lab/sim/result.go
@@ -9,37 +9,37 @@
 	"chutelock.dev/chutelock/internal/standin/engine/scheduler"
 )
 
-// Bounds of the histograms, in nanoseconds.
+// Range, in nanoseconds, and significant digits of the histograms.
 const (
 	lowestLatency  = int64(time.Microsecond)
 	highestLatency = int64(5 * time.Minute)
 	latencyDigits  = 3
 )
 
-// Result is what a run measured between the warm-up and its end.
+// Result holds the measurements of a run after its warm-up.
 type Result struct {
 	Policy string
 	Seed   uint64
 
-	FirstToken    *hdrhistogram.Histogram // client's time to first token
+	FirstToken    *hdrhistogram.Histogram // time to first token, at the client
 	BetweenTokens *hdrhistogram.Histogram
 	Total         *hdrhistogram.Histogram
 
-	OnlineDone    int
-	OnlineFailed  int // no engine left to send it to
-	OnlineRetried int
-	OnlineWrong   int // tokens out of order; must be 0
-	OnlineTokens  int
-	PromptTokens  int // of finished online requests
-	CachedTokens  int
+	OnlineDone       int
+	OnlineFailed     int // no engine could accept the request
+	OnlineRetried    int
+	OnlineOutOfOrder int // tokens out of order; must be 0
+	OnlineTokens     int
+	PromptTokens     int // of finished online requests
+	CachedTokens     int
 
 	BatchItems      int
 	BatchDone       int
-	BatchDuplicates int // second results of an item, dropped
-	// BatchTokens is the output tokens that stand at the end, less those that
-	// stood at the end of the warm-up.
+	BatchDuplicates int // dropped results of items already done
+	// BatchTokens is the number of output tokens retained at the end, minus those
+	// retained at the end of the warm-up.
 	BatchTokens    int
-	BatchComputed  int // output tokens computed, lost ones included
+	BatchComputed  int // output tokens computed, including lost ones
 	DeadlineItems  int
 	DeadlineMissed int
 
@@ -51,9 +51,9 @@
 
 	Recording *Recording
 
-	measuring bool
-	retained  int
-	baseline  int
+	measuring       bool
+	retained        int
+	retainedAtStart int
 }
 
 func newResult(policy string, seed uint64) *Result {
@@ -68,15 +68,15 @@
 
 func (r *Result) startMeasuring() {
 	r.measuring = true
-	r.baseline = r.retained
+	r.retainedAtStart = r.retained
 }
 
 func (r *Result) stopMeasuring() {
 	r.measuring = false
-	r.BatchTokens = r.retained - r.baseline
+	r.BatchTokens = r.retained - r.retainedAtStart
 }
 
-func (r *Result) retain(tokens int) { r.retained += tokens }
+func (r *Result) addRetained(tokens int) { r.retained += tokens }
 
 func (r *Result) countStep(step scheduler.StepResult) {
 	if r.measuring {
@@ -96,19 +96,19 @@
 	}
 }
 
-func (r *Result) firstToken(sent, at time.Duration) {
+func (r *Result) recordFirstToken(sent, at time.Duration) {
 	if r.measuring {
 		recordLatency(r.FirstToken, at-sent)
 	}
 }
 
-func (r *Result) nextToken(_, previous, at time.Duration) {
+func (r *Result) recordNextToken(_, previous, at time.Duration) {
 	if r.measuring {
 		recordLatency(r.BetweenTokens, at-previous)
 	}
 }
 
-func (r *Result) onlineDone(request arrivals.Request, at time.Duration, cached, prompt int) {
+func (r *Result) recordOnlineDone(request arrivals.Request, at time.Duration, cached, prompt int) {
 	if !r.measuring {
 		return
 	}
@@ -120,5 +120,5 @@
 
 func recordLatency(histogram *hdrhistogram.Histogram, latency time.Duration) {
 	value := min(max(int64(latency), lowestLatency), highestLatency)
-	_ = histogram.RecordValue(value) // in range by the line above
+	_ = histogram.RecordValue(value) // clamped to the range above
 }
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -10,8 +10,8 @@
 	"chutelock.dev/chutelock/internal/lab/sim"
 )
 
-// small is a deployment of four engines with batch items that fit.
-func small() sim.Config {
+// smallConfig returns a deployment of four engines with enough capacity for all batch items.
+func smallConfig() sim.Config {
 	return sim.Config{
 		Deployment: sim.Deployment{
 			Name:  "small",
@@ -31,10 +31,10 @@
 }
 
 var (
-	nothing    = sim.Policy{Name: "without-batch", Kind: sim.PolicyNone}
-	priority   = sim.Policy{Name: "priority", Kind: sim.PolicyEnginePriority}
-	controller = sim.Policy{Name: "controller", Kind: sim.PolicyController, Share: 0.5}
-	redo       = sim.Policy{Name: "redo", Kind: sim.PolicyController, Share: 0.5, Redo: true}
+	withoutBatch = sim.Policy{Name: "without-batch", Kind: sim.PolicyNone}
+	priority     = sim.Policy{Name: "priority", Kind: sim.PolicyEnginePriority}
+	controller   = sim.Policy{Name: "controller", Kind: sim.PolicyController, Share: 0.5}
+	redo         = sim.Policy{Name: "redo", Kind: sim.PolicyController, Share: 0.5, Redo: true}
 )
 
 func run(t *testing.T, config sim.Config, policy sim.Policy, seed uint64) *sim.Result {
@@ -44,18 +44,20 @@
 	return result
 }
 
-func TestRunIsAFunctionOfItsSeed(t *testing.T) {
+// Guards against results that depend on anything but configuration, policy and seed.
+func TestRunIsDeterministic(t *testing.T) {
 	g := gomega.NewWithT(t)
-	first := run(t, small(), controller, 1)
-	again := run(t, small(), controller, 1)
-	g.Expect(again.FirstToken.Export()).To(gomega.Equal(first.FirstToken.Export()))
-	g.Expect(again.BetweenTokens.Export()).To(gomega.Equal(first.BetweenTokens.Export()))
-	g.Expect(again.BatchTokens).To(gomega.Equal(first.BatchTokens))
-	other := run(t, small(), controller, 2)
+	first := run(t, smallConfig(), controller, 1)
+	repeated := run(t, smallConfig(), controller, 1)
+	g.Expect(repeated.FirstToken.Export()).To(gomega.Equal(first.FirstToken.Export()))
+	g.Expect(repeated.BetweenTokens.Export()).To(gomega.Equal(first.BetweenTokens.Export()))
+	g.Expect(repeated.BatchTokens).To(gomega.Equal(first.BatchTokens))
+	other := run(t, smallConfig(), controller, 2)
 	g.Expect(other.FirstToken.Export()).NotTo(gomega.Equal(first.FirstToken.Export()))
 }
 
-func TestFaultsLoseNothing(t *testing.T) {
+// Guards against faults that lose or duplicate online requests, tokens or batch items.
+func TestFaultsLoseNoRequestsOrItems(t *testing.T) {
 	at := 2 * time.Second
 	for name, faults := range map[string][]sim.Fault{
 		"none":          nil,
@@ -73,50 +75,53 @@
 			t.Run(name+"/"+policy.Name, func(t *testing.T) {
 				t.Parallel()
 				g := gomega.NewWithT(t)
-				config := small()
+				config := smallConfig()
 				config.Faults = faults
 				result := run(t, config, policy, 3)
-				alone := run(t, config, nothing, 3)
-				g.Expect(result.OnlineWrong).To(gomega.BeZero())
+				baseline := run(t, config, withoutBatch, 3)
+				g.Expect(result.OnlineOutOfOrder).To(gomega.BeZero())
 				g.Expect(result.OnlineFailed).To(gomega.BeZero())
-				g.Expect(result.OnlineDone).To(gomega.BeNumerically("~", alone.OnlineDone, 5), "some are in progress at the end")
-				g.Expect(result.BatchDone).To(gomega.Equal(result.BatchItems), "every item completes, once")
-				g.Expect(alone.BatchDone).To(gomega.BeZero())
+				g.Expect(result.OnlineDone).To(gomega.BeNumerically("~", baseline.OnlineDone, 5), "some requests are in flight at the end")
+				g.Expect(result.BatchDone).To(gomega.Equal(result.BatchItems), "every item must complete exactly once")
+				g.Expect(baseline.BatchDone).To(gomega.BeZero())
 			})
 		}
 	}
 }
 
-func TestControllerStaysBetweenTheBaselines(t *testing.T) {
+// Guards against a controller that delays online requests as filling does, or starves batch work,
+// and against more batch tokens than the fluid bound.
+func TestControllerLatencyAndThroughput(t *testing.T) {
 	g := gomega.NewWithT(t)
-	config := small()
+	config := smallConfig()
 	config.Batch.Every = time.Second
 	config.Online.Bursts = []arrivals.Burst{{Start: 5 * time.Second, Every: 6 * time.Second, Length: 2 * time.Second, Factor: 3}}
-	alone := run(t, config, nothing, 4)
+	baseline := run(t, config, withoutBatch, 4)
 	filled := run(t, config, priority, 4)
 	controlled := run(t, config, controller, 4)
-	bound := sim.FluidBound(config, 4, alone.Recording)
+	bound := sim.FluidBound(config, 4, baseline.Recording)
 	g.Expect(controlled.FirstToken.ValueAtQuantile(99)).To(gomega.BeNumerically("<", filled.FirstToken.ValueAtQuantile(99)))
 	g.Expect(controlled.BatchTokens).To(gomega.BeNumerically(">", 0.3*bound))
 	for _, result := range []*sim.Result{filled, controlled} {
-		g.Expect(float64(result.BatchTokens)).To(gomega.BeNumerically("<=", 1.02*bound), "but for work in progress at both ends")
+		g.Expect(float64(result.BatchTokens)).To(gomega.BeNumerically("<=", 1.02*bound), "except for work in progress at start and end")
 	}
-	clairvoyant, err := sim.Run(config, sim.Policy{Name: "c", Kind: sim.PolicyClairvoyant, Price: 2}, 4, alone.Recording)
+	clairvoyant, err := sim.Run(config, sim.Policy{Name: "c", Kind: sim.PolicyClairvoyant, Price: 2}, 4, baseline.Recording)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(clairvoyant.BatchTokens).To(gomega.BeNumerically(">", 0))
 	_, err = sim.Run(config, sim.Policy{Name: "c", Kind: sim.PolicyClairvoyant}, 4, nil)
 	g.Expect(err).To(gomega.HaveOccurred())
 }
 
-func TestFeasibleDeadlinesCountWhatCapacityAllows(t *testing.T) {
+// Guards against infeasible deadlines counted as feasible.
+func TestFeasibleDeadlinesLimitedByCapacity(t *testing.T) {
 	g := gomega.NewWithT(t)
-	config := small()
+	config := smallConfig()
 	config.Batch.DeadlineMin, config.Batch.DeadlineMax = 15*time.Second, 16*time.Second
-	alone := run(t, config, nothing, 5)
-	g.Expect(sim.FeasibleDeadlines(config, 5, alone.Recording)).To(gomega.Equal(300))
+	baseline := run(t, config, withoutBatch, 5)
+	g.Expect(sim.FeasibleDeadlines(config, 5, baseline.Recording)).To(gomega.Equal(300))
 	met := run(t, config, controller, 5)
 	g.Expect(met.DeadlineItems).To(gomega.Equal(300))
 	g.Expect(met.DeadlineMissed).To(gomega.BeZero())
 	config.Batch.DeadlineMin, config.Batch.DeadlineMax = time.Second, time.Second
-	g.Expect(sim.FeasibleDeadlines(config, 5, alone.Recording)).To(gomega.BeNumerically("<", 300))
+	g.Expect(sim.FeasibleDeadlines(config, 5, baseline.Recording)).To(gomega.BeNumerically("<", 300))
 }
--- a/internal/lab/sim/simulation.go
+++ b/internal/lab/sim/simulation.go
@@ -9,19 +9,19 @@
 	"chutelock.dev/chutelock/internal/lab/arrivals"
 )
 
-// epoch is the wall time at which virtual time starts.
+// epoch is the start of virtual time.
 var epoch = time.Unix(1_700_000_000, 0)
 
-// tickEvery is how often homes are told that time passes.
-const tickEvery = 5 * time.Millisecond
+// tickInterval is the interval of a home's tick events.
+const tickInterval = 5 * time.Millisecond
 
-// harmGoal is the harm that batch work may do at the 99th percentile.
+// harmGoal is the allowed p99 latency with batch work, relative to that without.
 const harmGoal = 1.05
 
-// seedSimulation separates the simulation's own random choices from traffic.
+// seedSimulation keeps random choices of the simulation independent of traffic.
 const seedSimulation = 0x73696d
 
-// simulation is the state of one run. It is single-threaded.
+// simulation is the state of one run. It is not safe for concurrent use.
 type simulation struct {
 	clock
 	config  Config
@@ -29,29 +29,29 @@
 	random  *rand.Rand
 	engines []*emulatedEngine
 	nodes   []*node
-	// homes[i] is the home that gateways of even numbers believe in for engine
-	// i; rivals[i] is the one the others believe in, nil but under FaultTwoHomes.
-	homes  []*home
-	rivals []*home
-	pool   *itemPool
-	online *arrivals.OnlineStream
-	result *Result
-	plan   *Recording
-	record *Recording
+	// homes has the home of each engine. Under FaultTwoHomes, duplicateHomes has
+	// a second one, which gateways of odd-numbered nodes use; otherwise it has nil.
+	homes          []*home
+	duplicateHomes []*home
+	pool           *itemPool
+	online         *arrivals.OnlineStream
+	result         *Result
+	baseline       *Recording
+	recording      *Recording
 }
 
-// Run runs one policy on the traffic of a seed. The recording of a run of
-// PolicyNone on the same traffic is needed by PolicyClairvoyant only.
+// Run runs one policy on the traffic of a seed. The recording of a PolicyNone run
+// on the same traffic is required for PolicyClairvoyant only.
 func Run(config Config, policy Policy, seed uint64, recording *Recording) (*Result, error) {
 	s := &simulation{
-		config: config,
-		policy: policy,
-		random: rand.New(rand.NewPCG(seed, seedSimulation)),
-		pool:   newItemPool(policy.deadlineOrder()),
-		online: arrivals.NewOnline(config.Online, seed),
-		result: newResult(policy.Name, seed),
-		plan:   recording,
-		record: newRecording(config),
+		config:    config,
+		policy:    policy,
+		random:    rand.New(rand.NewPCG(seed, seedSimulation)),
+		pool:      newItemPool(policy.ordersByDeadline()),
+		online:    arrivals.NewOnline(config.Online, seed),
+		result:    newResult(policy.Name, seed),
+		baseline:  recording,
+		recording: newRecording(config),
 	}
 	if policy.Kind == PolicyClairvoyant && recording == nil {
 		return nil, trace.BadParameter("policy %q needs the recording of a run without batch work", policy.Name)
@@ -64,7 +64,7 @@
 	s.scheduleFaults()
 	s.after(config.Warmup, s.result.startMeasuring)
 	s.runUntil(config.Duration)
-	s.finish()
+	s.collectResult()
 	return s.result, nil
 }
 
@@ -84,12 +84,12 @@
 	}
 }
 
-// assignHomes gives each engine a home in its own zone, in turn.
+// assignHomes assigns engines round-robin to homes in their own zone.
 func (s *simulation) assignHomes() error {
 	s.homes = make([]*home, len(s.engines))
-	s.rivals = make([]*home, len(s.engines))
+	s.duplicateHomes = make([]*home, len(s.engines))
 	for _, engine := range s.engines {
-		candidates := s.nodesOf(engine.zone)
+		candidates := s.nodesInZone(engine.zone)
 		home, err := s.newHome(candidates[engine.index%len(candidates)], engine)
 		if err != nil {
 			return err
@@ -99,7 +99,7 @@
 	return nil
 }
 
-func (s *simulation) nodesOf(zone int) []*node {
+func (s *simulation) nodesInZone(zone int) []*node {
 	var found []*node
 	for _, node := range s.nodes {
 		if node.zone == zone {
@@ -142,16 +142,16 @@
 	s.pool.addJob(job)
 	s.result.BatchItems += len(job.Items)
 	for _, engine := range s.engines {
-		for _, home := range s.homesOf(engine.index) {
+		for _, home := range s.liveHomes(engine.index) {
 			home.tick()
 		}
 	}
 }
 
-// homesOf lists the live homes of an engine: usually one.
-func (s *simulation) homesOf(engine int) []*home {
+// liveHomes returns the homes of an engine that are not dead.
+func (s *simulation) liveHomes(engine int) []*home {
 	var live []*home
-	for _, home := range []*home{s.homes[engine], s.rivals[engine]} {
+	for _, home := range []*home{s.homes[engine], s.duplicateHomes[engine]} {
 		if home != nil && !home.dead {
 			live = append(live, home)
 		}
@@ -159,13 +159,13 @@
 	return live
 }
 
-func (s *simulation) finish() {
+func (s *simulation) collectResult() {
 	s.result.stopMeasuring()
 	for _, engine := range s.engines {
 		load := engine.scheduler.Load()
 		s.result.EnginePreemptions += int(load.Preempted)
 	}
 	s.pool.countDeadlines(s.config.Duration, s.result)
-	s.record.stepBound = time.Duration(harmGoal * float64(s.result.BetweenTokens.ValueAtQuantile(99)))
-	s.result.Recording = s.record
+	s.recording.stepBound = time.Duration(harmGoal * float64(s.result.BetweenTokens.ValueAtQuantile(99)))
+	s.result.Recording = s.recording
 }
