--- a/internal/lab/verify/verify.go
+++ b/internal/lab/verify/verify.go
@@ -1,5 +1,5 @@
-// Package verify compares a job's input with its results and with what the
-// engines' truth logs say was run.
+// Package verify checks a batch job's results against its input, and counts
+// repeated requests in the logs of the stand-in engines.
 package verify
 
 import (
@@ -12,24 +12,24 @@
 	"chutelock.dev/chutelock/internal/standin/truth"
 )
 
-// maxLine bounds a line of an input or output file, in bytes.
-const maxLine = 16 << 20
+// maxLineBytes is the maximum length of a line of input and output files.
+const maxLineBytes = 16 << 20
 
-// Summary counts what became of a job's items.
+// Summary counts the results of a job's items.
 type Summary struct {
 	Items      int `json:"items"`      // lines of the input
-	Results    int `json:"results"`    // items with a result of their own
-	Missing    int `json:"missing"`    // items without one
+	Results    int `json:"results"`    // items with at least one result
+	Missing    int `json:"missing"`    // items without a result
 	Duplicated int `json:"duplicated"` // results beyond an item's first
-	Foreign    int `json:"foreign"`    // results of items that are not in the input
-	Wrong      int `json:"wrong"`      // results with another text than the item's
+	Foreign    int `json:"foreign"`    // results of items not in the input
+	Wrong      int `json:"wrong"`      // results with a text other than the expected one
 	Failed     int `json:"failed"`     // items whose result is an error
-	// Repeated counts items that engines ran more than once; that is allowed
+	// Repeated counts items that engines accepted more than once, which is allowed
 	// for repeatable items after a failure.
 	Repeated int `json:"repeated"`
 }
 
-// Kept says whether every item has exactly one right result.
+// Kept reports whether every item has exactly one result, with the expected text.
 func (s Summary) Kept() bool {
 	return s.Items > 0 && s.Missing == 0 && s.Duplicated == 0 && s.Foreign == 0 && s.Wrong == 0 && s.Failed == 0
 }
@@ -54,8 +54,8 @@
 	} `json:"response"`
 }
 
-// text is the item's answer; ok is false when its result is an error.
-func (l outputLine) text() (string, bool) {
+// generatedText returns the text of the result, and whether the result is not an error.
+func (l outputLine) generatedText() (string, bool) {
 	if l.Response == nil || l.Response.StatusCode/100 != 2 || len(l.Response.Body.Choices) == 0 {
 		return "", false
 	}
@@ -63,12 +63,12 @@
 	return choice.Text + choice.Message.Content, true
 }
 
-// Job compares an input file with the output file and, if there is one, the
-// error file of its job.
+// Job compares a job's input file with its output file and, if there is one, its
+// error file.
 func Job(input io.Reader, outputs ...io.Reader) (Summary, error) {
 	var summary Summary
 	expected := map[string]string{}
-	err := eachLine(input, func(line []byte) error {
+	err := forEachLine(input, func(line []byte) error {
 		var item inputLine
 		if err := json.Unmarshal(line, &item); err != nil {
 			return trace.Wrap(err, "input line %d", summary.Items+1)
@@ -86,7 +86,7 @@
 	}
 	seen := make(map[string]bool, len(expected))
 	for _, output := range outputs {
-		if err := eachLine(output, func(line []byte) error { return summary.take(line, expected, seen) }); err != nil {
+		if err := forEachLine(output, func(line []byte) error { return summary.countResult(line, expected, seen) }); err != nil {
 			return summary, err
 		}
 	}
@@ -95,11 +95,11 @@
 	return summary, nil
 }
 
-// take counts one line of an output file.
-func (s *Summary) take(line []byte, expected map[string]string, seen map[string]bool) error {
+// countResult counts the result in a line of an output file.
+func (s *Summary) countResult(line []byte, expected map[string]string, seen map[string]bool) error {
 	var result outputLine
 	if err := json.Unmarshal(line, &result); err != nil {
-		return trace.Wrap(err, "result of an unknown item")
+		return trace.Wrap(err, "decode result line")
 	}
 	want, known := expected[result.CustomID]
 	if !known {
@@ -111,7 +111,7 @@
 		return nil
 	}
 	seen[result.CustomID] = true
-	text, ok := result.text()
+	text, ok := result.generatedText()
 	switch {
 	case !ok:
 		s.Failed++
@@ -121,26 +121,26 @@
 	return nil
 }
 
-// CountRepeated counts requests that engines took more than once, among those
-// whose id has the prefix.
+// CountRepeated returns how many requests whose ID has the prefix were accepted
+// more than once by engines.
 func CountRepeated(entries []truth.Entry, prefix string) int {
-	times := map[string]int{}
+	counts := map[string]int{}
 	repeated := 0
 	for _, entry := range entries {
 		if entry.Kind != truth.KindAccepted || len(entry.Request) < len(prefix) || entry.Request[:len(prefix)] != prefix {
 			continue
 		}
-		times[entry.Request]++
-		if times[entry.Request] == 2 {
+		counts[entry.Request]++
+		if counts[entry.Request] == 2 {
 			repeated++
 		}
 	}
 	return repeated
 }
 
-func eachLine(reader io.Reader, visit func([]byte) error) error {
+func forEachLine(reader io.Reader, visit func([]byte) error) error {
 	scanner := bufio.NewScanner(reader)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		if len(scanner.Bytes()) == 0 {
 			continue
--- a/internal/lab/verify/verify_test.go
+++ b/internal/lab/verify/verify_test.go
@@ -22,20 +22,21 @@
 	return fmt.Sprintf(`{"custom_id":%q,"response":{"status_code":200,"body":{"choices":[{"text":%q}]}}}`+"\n", item, text)
 }
 
-func right(item string) string { return resultOf(item, truth.ExpectedText("m", item, 3)) }
+func correctResult(item string) string { return resultOf(item, truth.ExpectedText("m", item, 3)) }
 
-func TestJobCountsEveryDefect(t *testing.T) {
+// Guards against missing, repeated or wrong results that go unnoticed.
+func TestJobCountsDefects(t *testing.T) {
 	for name, tc := range map[string]struct {
 		output string
 		want   Summary
 		kept   bool
 	}{
-		"kept":       {right("a") + right("b"), Summary{Items: 2, Results: 2}, true},
-		"missing":    {right("a"), Summary{Items: 2, Results: 1, Missing: 1}, false},
-		"duplicated": {right("a") + right("b") + right("a"), Summary{Items: 2, Results: 2, Duplicated: 1}, false},
-		"foreign":    {right("a") + right("b") + right("c"), Summary{Items: 2, Results: 2, Foreign: 1}, false},
-		"crossed":    {right("a") + resultOf("b", truth.ExpectedText("m", "a", 3)), Summary{Items: 2, Results: 2, Wrong: 1}, false},
-		"failed": {right("a") + `{"custom_id":"b","response":null,"error":{"code":"expired"}}`,
+		"complete":   {correctResult("a") + correctResult("b"), Summary{Items: 2, Results: 2}, true},
+		"missing":    {correctResult("a"), Summary{Items: 2, Results: 1, Missing: 1}, false},
+		"duplicated": {correctResult("a") + correctResult("b") + correctResult("a"), Summary{Items: 2, Results: 2, Duplicated: 1}, false},
+		"foreign":    {correctResult("a") + correctResult("b") + correctResult("c"), Summary{Items: 2, Results: 2, Foreign: 1}, false},
+		"wrong text": {correctResult("a") + resultOf("b", truth.ExpectedText("m", "a", 3)), Summary{Items: 2, Results: 2, Wrong: 1}, false},
+		"failed": {correctResult("a") + `{"custom_id":"b","response":null,"error":{"code":"expired"}}`,
 			Summary{Items: 2, Results: 2, Failed: 1}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -48,7 +49,8 @@
 	}
 }
 
-func TestCountRepeatedCountsRequestsOnce(t *testing.T) {
+// Guards against a request counted once per repetition, or one without the prefix counted at all.
+func TestCountRepeatedCountsEachRequestOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var entries []truth.Entry
 	for _, request := range []string{"batch_1", "batch_1", "batch_1", "batch_2", "x", "x"} {
