--- a/internal/lab/sim/clairvoyant.go
+++ b/internal/lab/sim/clairvoyant.go
@@ -7,7 +7,7 @@
 // limitBatch suspends batch streams for the coming step, so that a step with
 // online streams does not exceed the recorded step bound, nor has more batch
 // streams than Policy.Price allows. Suspending takes no time and costs nothing.
-func (e *emulatedEngine) limitBatch() {
+func (e *simEngine) limitBatch() {
 	now := e.simulation.now()
 	for _, id := range e.suspended {
 		if emitted, known := e.scheduler.Emitted(id); known {
@@ -30,7 +30,7 @@
 }
 
 // batchStreams returns the engine's batch streams in order of submission.
-func (e *emulatedEngine) batchStreams() []string {
+func (e *simEngine) batchStreams() []string {
 	kept := e.batchOrder[:0]
 	for _, id := range e.batchOrder {
 		if e.streams[id] != nil {
@@ -42,7 +42,7 @@
 }
 
 // stepCost returns the time that a batch stream adds to a step.
-func (e *emulatedEngine) stepCost(id string) time.Duration {
+func (e *simEngine) stepCost(id string) time.Duration {
 	shape := e.simulation.config.Deployment.Engine
 	cost := shape.StepPerSequence
 	if emitted, _ := e.scheduler.Emitted(id); emitted > 0 {
@@ -56,7 +56,7 @@
 }
 
 // batchBudget returns the time and the slots for batch streams in the coming step.
-func (e *emulatedEngine) batchBudget() (time.Duration, int) {
+func (e *simEngine) batchBudget() (time.Duration, int) {
 	shape := e.simulation.config.Deployment.Engine
 	online, prefill := e.onlineLoad()
 	slots := shape.MaxRunning - online
@@ -75,7 +75,7 @@
 }
 
 // onlineLoad returns the number of online streams and the tokens they have to prefill.
-func (e *emulatedEngine) onlineLoad() (streams, prefill int) {
+func (e *simEngine) onlineLoad() (streams, prefill int) {
 	for id, to := range e.streams {
 		request, isOnline := to.(*onlineRequest)
 		if !isOnline {
--- a/internal/lab/sim/clock.go
+++ b/internal/lab/sim/clock.go
@@ -7,21 +7,21 @@
 
 // timer is a function scheduled for a virtual time.
 type timer struct {
-	at    time.Duration
-	order uint64
-	run   func()
+	at       time.Duration
+	order    uint64
+	callback func()
 }
 
 // clock runs timers in order of their time, and at equal times in order of scheduling.
 type clock struct {
-	now    time.Duration
-	order  uint64
-	timers timerHeap
+	now       time.Duration
+	lastOrder uint64
+	timers    timerHeap
 }
 
-func (c *clock) after(delay time.Duration, run func()) {
-	c.order++
-	heap.Push(&c.timers, &timer{at: c.now + max(0, delay), order: c.order, run: run})
+func (c *clock) after(delay time.Duration, callback func()) {
+	c.lastOrder++
+	heap.Push(&c.timers, &timer{at: c.now + max(0, delay), order: c.lastOrder, callback: callback})
 }
 
 // runUntil runs all timers due up to and including end.
@@ -29,7 +29,7 @@
 	for len(c.timers) > 0 && c.timers[0].at <= end {
 		next := heap.Pop(&c.timers).(*timer)
 		c.now = next.at
-		next.run()
+		next.callback()
 	}
 	c.now = end
 }
--- a/internal/lab/sim/engine.go
+++ b/internal/lab/sim/engine.go
@@ -19,8 +19,8 @@
 	isBatch() bool
 }
 
-// emulatedEngine runs the stand-in engine's scheduler in virtual time.
-type emulatedEngine struct {
+// simEngine runs the stand-in engine's scheduler in virtual time.
+type simEngine struct {
 	simulation *simulation
 	name       string
 	index      int
@@ -40,8 +40,8 @@
 	batchOrder []string
 }
 
-func newEngine(s *simulation, index, zone int) *emulatedEngine {
-	created := &emulatedEngine{
+func newEngine(s *simulation, index, zone int) *simEngine {
+	created := &simEngine{
 		simulation: s,
 		name:       fmt.Sprintf("engine-%02d", index),
 		index:      index,
@@ -58,7 +58,7 @@
 
 // submit queues a stream. If the engine can't accept it, the receiver gets
 // handleFailure after the network latency.
-func (e *emulatedEngine) submit(sequence scheduler.Sequence, to receiver) {
+func (e *simEngine) submit(sequence scheduler.Sequence, to receiver) {
 	if e.dead {
 		e.send(to, to.handleFailure)
 		return
@@ -74,21 +74,21 @@
 	e.startStepping()
 }
 
-func (e *emulatedEngine) send(to receiver, deliver func()) {
+func (e *simEngine) send(to receiver, deliver func()) {
 	e.simulation.after(e.simulation.latency(e.zone, to.zone()), deliver)
 }
 
-func (e *emulatedEngine) cancel(id string) {
+func (e *simEngine) cancel(id string) {
 	delete(e.streams, id)
 	_ = e.scheduler.Cancel(id) // an unknown stream has already ended
 }
 
 // suspend reports whether the stream was suspended.
-func (e *emulatedEngine) suspend(id string) bool {
+func (e *simEngine) suspend(id string) bool {
 	return !e.dead && e.scheduler.Suspend(id) == nil
 }
 
-func (e *emulatedEngine) resume(id string) bool {
+func (e *simEngine) resume(id string) bool {
 	emitted, known := e.scheduler.Emitted(id)
 	if e.dead || !known || e.scheduler.Resume(e.simulation.now(), id, emitted) != nil {
 		return false
@@ -97,13 +97,13 @@
 	return true
 }
 
-func (e *emulatedEngine) startStepping() {
+func (e *simEngine) startStepping() {
 	if !e.stepping && !e.dead {
 		e.step()
 	}
 }
 
-func (e *emulatedEngine) step() {
+func (e *simEngine) step() {
 	if e.simulation.policy.Kind == PolicyClairvoyant {
 		e.limitBatch()
 	}
@@ -129,7 +129,7 @@
 	})
 }
 
-func (e *emulatedEngine) deliver(tokens []scheduler.Token, finished []scheduler.Finished) {
+func (e *simEngine) deliver(tokens []scheduler.Token, finished []scheduler.Finished) {
 	for _, token := range tokens {
 		if to := e.streams[token.ID]; to != nil {
 			e.simulation.result.countToken(to.isBatch())
@@ -145,7 +145,7 @@
 }
 
 // report sends the engine's load to all gateways and its homes after Reports.Lag.
-func (e *emulatedEngine) report() {
+func (e *simEngine) report() {
 	s := e.simulation
 	s.after(s.config.Deployment.Reports.Every, e.report)
 	if e.dead || e.reportsStopped {
@@ -162,7 +162,7 @@
 	})
 }
 
-func (e *emulatedEngine) load() engine.Load {
+func (e *simEngine) load() engine.Load {
 	load := e.scheduler.Load()
 	return engine.Load{
 		At:            e.simulation.now(),
@@ -178,7 +178,7 @@
 }
 
 // die drops all streams; their receivers get handleFailure.
-func (e *emulatedEngine) die() {
+func (e *simEngine) die() {
 	e.dead = true
 	e.stepping = false
 	e.incarnation++
@@ -190,7 +190,7 @@
 	}
 }
 
-func (e *emulatedEngine) restart() { e.dead = false }
+func (e *simEngine) restart() { e.dead = false }
 
 // newSequence returns the scheduler's description of a request.
 func newSequence(id string, priority int, request arrivals.Request, blockTokens int) scheduler.Sequence {
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -35,7 +35,7 @@
 }
 
 // removeEngine notifies homes and gateways that an engine is leaving or dead.
-func (s *simulation) removeEngine(engine *emulatedEngine) {
+func (s *simulation) removeEngine(engine *simEngine) {
 	for _, home := range s.liveHomes(engine.index) {
 		home.release()
 	}
@@ -45,7 +45,7 @@
 }
 
 // restartEngine restarts a dead engine, empty and with a new home.
-func (s *simulation) restartEngine(engine *emulatedEngine) {
+func (s *simulation) restartEngine(engine *simEngine) {
 	engine.restart()
 	for _, node := range s.nodes {
 		node.gateway.setUnusable(engine.index, false)
@@ -56,7 +56,7 @@
 
 // replaceHome assigns the engine a new home, at another node of its zone if there
 // is one.
-func (s *simulation) replaceHome(engine *emulatedEngine) {
+func (s *simulation) replaceHome(engine *simEngine) {
 	candidates := s.nodesInZone(engine.zone)
 	chosen := candidates[(engine.index+1)%len(candidates)]
 	home, err := s.newHome(chosen, engine)
@@ -66,7 +66,7 @@
 	s.homes[engine.index] = home
 }
 
-func (s *simulation) addDuplicateHome(engine *emulatedEngine) {
+func (s *simulation) addDuplicateHome(engine *simEngine) {
 	candidates := s.nodesInZone(engine.zone)
 	duplicate, err := s.newHome(candidates[(engine.index+1)%len(candidates)], engine)
 	if err != nil {
@@ -75,7 +75,7 @@
 	s.duplicateHomes[engine.index] = duplicate
 }
 
-func (s *simulation) removeDuplicateHome(engine *emulatedEngine) {
+func (s *simulation) removeDuplicateHome(engine *simEngine) {
 	duplicate := s.duplicateHomes[engine.index]
 	if duplicate == nil {
 		return
--- a/internal/lab/sim/gateway.go
+++ b/internal/lab/sim/gateway.go
@@ -60,7 +60,7 @@
 type onlineRequest struct {
 	gateway        *gateway
 	request        arrivals.Request
-	engine         *emulatedEngine
+	engine         *simEngine
 	attempt        int
 	receivedTokens int // tokens delivered to the client
 	lastTokenAt    time.Duration
@@ -97,7 +97,7 @@
 	})
 }
 
-func (g *gateway) route(r *onlineRequest) *emulatedEngine {
+func (g *gateway) route(r *onlineRequest) *simEngine {
 	s := g.node.simulation
 	if s.baseline != nil && s.policy.Kind == PolicyClairvoyant {
 		if planned, ok := s.baseline.engineOf[r.request.Number]; ok {
--- a/internal/lab/sim/home.go
+++ b/internal/lab/sim/home.go
@@ -12,7 +12,7 @@
 // applies its actions.
 type home struct {
 	node    *node
-	engine  *emulatedEngine
+	engine  *simEngine
 	policy  batch.Policy
 	streams map[string]*batchStream
 	// cachedTokens estimates the prefix cache hits of batch items.
@@ -31,7 +31,7 @@
 
 var _ receiver = (*batchStream)(nil)
 
-func (s *simulation) newHome(node *node, engine *emulatedEngine) (*home, error) {
+func (s *simulation) newHome(node *node, engine *simEngine) (*home, error) {
 	policy, err := s.policy.newAdmission(s.config.Deployment.Engine)
 	if err != nil {
 		return nil, err
--- a/internal/lab/sim/placement.go
+++ b/internal/lab/sim/placement.go
@@ -23,7 +23,7 @@
 // placement chooses engines for a gateway's requests and observes their outcomes.
 type placement interface {
 	// place returns nil if no engine can accept the request.
-	place(r *onlineRequest) *emulatedEngine
+	place(r *onlineRequest) *simEngine
 	observe(r *onlineRequest, kind routing.OutcomeKind)
 }
 
@@ -45,10 +45,10 @@
 
 func (l leastInFlight) observe(*onlineRequest, routing.OutcomeKind) {}
 
-func (l leastInFlight) place(*onlineRequest) *emulatedEngine {
+func (l leastInFlight) place(*onlineRequest) *simEngine {
 	g := l.gateway
 	s := g.node.simulation
-	var best []*emulatedEngine
+	var best []*simEngine
 	lowest := 0
 	for _, candidate := range s.engines[:s.policy.onlineEngines(len(s.engines))] {
 		if g.unusable[candidate.index] {
@@ -76,14 +76,14 @@
 	version  int
 }
 
-// emulatedModel is the name of the only model in a simulation.
-const emulatedModel = "model"
+// simModel is the name of the only model in a simulation.
+const simModel = "model"
 
-func (n *nodeRouting) place(r *onlineRequest) *emulatedEngine {
+func (n *nodeRouting) place(r *onlineRequest) *simEngine {
 	s := n.gateway.node.simulation
 	n.refreshSnapshot()
 	decision, err := n.router.Pick(s.now(), routing.Request{
-		Model:      emulatedModel,
+		Model:      simModel,
 		Prefix:     prefixHashes(r.request, s.config.Deployment.Engine.BlockTokens),
 		Tried:      r.triedEngines,
 		Repeatable: true,
@@ -111,7 +111,7 @@
 	n.snapshot = &fleet.Snapshot{Taken: s.now()}
 	for _, listed := range s.engines[:s.policy.onlineEngines(len(s.engines))] {
 		load := g.reports[listed.index]
-		load.Models = []string{emulatedModel}
+		load.Models = []string{simModel}
 		if load.At.IsZero() {
 			load.At = s.now().Add(-time.Minute)
 		}
--- a/internal/lab/sim/policy.go
+++ b/internal/lab/sim/policy.go
@@ -41,7 +41,7 @@
 	Routing     RoutingKind `koanf:"routing" validate:"omitempty,oneof=least_in_flight node"`
 	Streams     int         `koanf:"streams" validate:"gte=0"`
 	OnlineShare float64     `koanf:"online_share" validate:"gte=0,lte=1"`
-	// Share is the Share of the controller's batch.Config.
+	// Share is batch.Config.Share, for PolicyController.
 	Share float64 `koanf:"share" validate:"gte=0,lte=1"`
 	// Price is how many batch streams one online stream counts as, for
 	// PolicyClairvoyant.
--- a/internal/lab/sim/simulation.go
+++ b/internal/lab/sim/simulation.go
@@ -27,7 +27,7 @@
 	config  Config
 	policy  Policy
 	random  *rand.Rand
-	engines []*emulatedEngine
+	engines []*simEngine
 	nodes   []*node
 	// homes has the home of each engine. Under FaultTwoHomes, duplicateHomes has
 	// a second one, which gateways of odd-numbered nodes use; otherwise it has nil.
