--- a/internal/clock/use_test.go
+++ b/internal/clock/use_test.go
@@ -26,7 +26,7 @@
 	"batchwork/runner.go dates are compared":   "of closed jobs",
 	"batchwork/runner.go encodeAdvanced(":      "a date that other machines read",
 	"edge/edge.go connectionDeadline(":         "a connection's deadline",
-	"mirror/follow.go watchTime(":              "the time of day that watchers share",
+	"mirror/storereader.go watchHold(":         "the time of day that watchers share",
 	"system/core.go UnixMilli()":               "a date that other machines read",
 	"system/front.go bounded &&":               "a context's deadline",
 	"transport/node.go time.Until(deadline)":   "a context's deadline",
