--- a/cmd/chutelockctl/explainrequest.go
+++ b/cmd/chutelockctl/explainrequest.go
@@ -39,7 +39,7 @@
 		fmt.Fprintln(os.Stderr, "chutelockctl:", err)
 		return exitUnread
 	}
-	story := logstory.Tell(entries, flags.Arg(0))
+	story := logstory.Select(entries, flags.Arg(0))
 	if len(story) == 0 {
 		fmt.Fprintf(os.Stderr, "chutelockctl: no line names %q\n", flags.Arg(0))
 		return exitNotFound
--- a/cmd/chutelockctl/explainspan.go
+++ b/cmd/chutelockctl/explainspan.go
@@ -77,7 +77,7 @@
 	for i := range spans {
 		s := &spans[i]
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\n", s.From.Format("15:04:05.000"), s.Served, s.Late,
-			s.RefusedTotal(), s.HeldMost, s.Aborted, s.Left, s.Failed, s.ItemsOpen, s.ItemsRunning, s.ItemsSent, s.ItemsCut, cmp.Or(strings.Join(s.Drained, " "), "-"), byCause(s.Refused))
+			s.RefusedTotal(), s.MaxHeld, s.Aborted, s.Left, s.Failed, s.ItemsOpen, s.ItemsRunning, s.ItemsSent, s.ItemsPreempted, cmp.Or(strings.Join(s.Drained, " "), "-"), byCause(s.Refused))
 	}
 	return table.Flush()
 }
--- a/internal/batchwork/caller.go
+++ b/internal/batchwork/caller.go
@@ -118,7 +118,7 @@
 		case errors.Is(err, errChanged):
 			continue
 		case errors.Is(err, ErrOutdated):
-			clock.Pause(ctx, 4*retryPause)
+			clock.Sleep(ctx, 4*retryPause)
 			continue
 		case errors.Is(err, ErrNotTaken), errors.Is(err, ErrUnknown):
 			return c.sure(uncertain, ErrNotTaken)
@@ -336,7 +336,7 @@
 			leader, _ = c.options.Directory.Leader(asked.shard)
 		}
 		if leader == "" {
-			clock.Pause(ctx, retryPause)
+			clock.Sleep(ctx, retryPause)
 			continue
 		}
 		content, next, err := c.try(ctx, leader, asked)
@@ -349,7 +349,7 @@
 		}
 		if hint == "" {
 			c.options.Directory.Suspect(asked.shard, leader)
-			clock.Pause(ctx, retryPause)
+			clock.Sleep(ctx, retryPause)
 		}
 	}
 	if uncertain {
--- a/internal/batchwork/paced.go
+++ b/internal/batchwork/paced.go
@@ -36,7 +36,7 @@
 func (r *pacedReader) Read(buffer []byte) (int, error) {
 	if r.begun {
 		if interval := r.interval(); interval > 0 {
-			clock.Pause(r.ctx, untilMultiple(clock.Since(r.start), interval))
+			clock.Sleep(r.ctx, untilMultiple(clock.Since(r.start), interval))
 		}
 		if err := r.ctx.Err(); err != nil {
 			return 0, err
--- a/internal/batchwork/runner.go
+++ b/internal/batchwork/runner.go
@@ -211,7 +211,7 @@
 		case <-purge.C:
 			r.purge(ctx)
 		}
-		clock.Pause(ctx, rest)
+		clock.Sleep(ctx, rest)
 	}
 }
 
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -117,7 +117,7 @@
 	var best *Route
 	for i := range c.Routes {
 		route := &c.Routes[i]
-		if !route.matchesHost(host) || !strings.HasPrefix(path, route.Prefix) {
+		if !route.matchesHostname(host) || !strings.HasPrefix(path, route.Prefix) {
 			continue
 		}
 		if best == nil || len(route.Prefix) > len(best.Prefix) {
@@ -127,10 +127,10 @@
 	return best
 }
 
-// OfHost reports whether the route is for the host, given with or without a port.
-func (r *Route) OfHost(host string) bool { return r.matchesHost(stripPort(host)) }
+// MatchesHost reports whether the route is for the host, given with or without a port.
+func (r *Route) MatchesHost(host string) bool { return r.matchesHostname(stripPort(host)) }
 
-func (r *Route) matchesHost(name string) bool { return strings.EqualFold(r.Host, name) }
+func (r *Route) matchesHostname(name string) bool { return strings.EqualFold(r.Host, name) }
 
 func stripPort(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 {
@@ -156,8 +156,8 @@
 type Engine struct {
 	// ID changes with each start of the engine; see EngineID.
 	ID string
-	// Born is the engine's start time by its own clock; zero if unknown.
-	Born    time.Time
+	// Started is the engine's start time by its own clock; zero if unknown.
+	Started time.Time
 	Service string
 	Address string // "ip:port"
 	Zone    string
@@ -170,8 +170,8 @@
 	Drained bool
 	// Revision is the store's revision of the last change of the engine's entry.
 	Revision uint64
-	// ToldCold is the remaining cold time at the time the entry was written.
-	ToldCold time.Duration
+	// ReportedCold is the remaining cold time at the time the entry was written.
+	ReportedCold time.Duration
 	// ColdUntil is when the engine can take its full rate, as far as this node knows; zero
 	// if it is not known to be cold.
 	ColdUntil time.Time
--- a/internal/catalog/incarnation.go
+++ b/internal/catalog/incarnation.go
@@ -11,13 +11,13 @@
 
 // EngineID returns the ID of one incarnation of an engine: its instance name and, if known,
 // its start time. State kept by ID thus does not carry over to a restarted engine.
-func EngineID(instance string, born time.Time) string {
-	if born.IsZero() && !strings.Contains(instance, startSeparator) {
+func EngineID(instance string, started time.Time) string {
+	if started.IsZero() && !strings.Contains(instance, startSeparator) {
 		return instance
 	}
 	start := int64(0)
-	if !born.IsZero() {
-		start = born.UnixMilli()
+	if !started.IsZero() {
+		start = started.UnixMilli()
 	}
 	return instance + startSeparator + strconv.FormatInt(start, 10)
 }
--- a/internal/catalog/lapse_test.go
+++ b/internal/catalog/lapse_test.go
@@ -22,34 +22,34 @@
 
 func TestEntriesExpiredTogetherAreHeld(t *testing.T) {
 	g := gomega.NewWithT(t)
-	lapses := NewLapses()
-	lapses.Update(engineList(6), noneDrained, startTime)
-	engines, nextUpdate := lapses.Update(engineList(1), noneDrained, startTime)
+	tracker := NewExpiryTracker()
+	tracker.Update(engineList(6), noneDrained, startTime)
+	engines, nextUpdate := tracker.Update(engineList(1), noneDrained, startTime)
 	g.Expect(engines).To(gomega.HaveLen(6))
-	g.Expect(nextUpdate).To(gomega.Equal(startTime.Add(LapseHold)))
-	engines, _ = lapses.Update(engineList(2), noneDrained, startTime.Add(LapseHold/2))
+	g.Expect(nextUpdate).To(gomega.Equal(startTime.Add(ExpiryHold)))
+	engines, _ = tracker.Update(engineList(2), noneDrained, startTime.Add(ExpiryHold/2))
 	g.Expect(engines).To(gomega.HaveLen(6))
-	engines, nextUpdate = lapses.Update(engineList(2), noneDrained, startTime.Add(LapseHold))
+	engines, nextUpdate = tracker.Update(engineList(2), noneDrained, startTime.Add(ExpiryHold))
 	g.Expect(engines).To(gomega.HaveLen(2))
 	g.Expect(nextUpdate.IsZero()).To(gomega.BeTrue())
 }
 
 func TestSingleMissingEngineIsDropped(t *testing.T) {
 	g := gomega.NewWithT(t)
-	lapses := NewLapses()
-	lapses.Update(engineList(6), noneDrained, startTime)
-	engines, _ := lapses.Update(engineList(5), noneDrained, startTime)
+	tracker := NewExpiryTracker()
+	tracker.Update(engineList(6), noneDrained, startTime)
+	engines, _ := tracker.Update(engineList(5), noneDrained, startTime)
 	g.Expect(engines).To(gomega.HaveLen(5))
 }
 
 func TestLeavingEnginesAndReusedAddressesAreNotHeld(t *testing.T) {
 	g := gomega.NewWithT(t)
-	lapses := NewLapses()
+	tracker := NewExpiryTracker()
 	before := engineList(4)
 	before[0].Leaving = true
-	lapses.Update(before, noneDrained, startTime)
+	tracker.Update(before, noneDrained, startTime)
 	after := []Engine{{ID: "new", Service: "other", Address: "a1"}}
-	engines, _ := lapses.Update(after, noneDrained, startTime)
+	engines, _ := tracker.Update(after, noneDrained, startTime)
 	var ids []string
 	for _, engine := range engines {
 		ids = append(ids, engine.ID)
@@ -67,12 +67,12 @@
 	}
 	listed := append(append([]Engine{}, zoned[0:2]...), zoned[3:5]...) // z2's entries expired
 	drained := func(zone string) bool { return zone != "z2" }
-	lapses := NewLapses()
-	lapses.Update(zoned, drained, startTime)
-	engines, nextUpdate := lapses.Update(listed, drained, startTime)
+	tracker := NewExpiryTracker()
+	tracker.Update(zoned, drained, startTime)
+	engines, nextUpdate := tracker.Update(listed, drained, startTime)
 	g.Expect(engines).To(gomega.HaveLen(6))
-	g.Expect(nextUpdate).To(gomega.Equal(startTime.Add(LapseHold)))
-	engines, _ = lapses.Update(listed, noneDrained, startTime.Add(LapseHold/2))
+	g.Expect(nextUpdate).To(gomega.Equal(startTime.Add(ExpiryHold)))
+	engines, _ = tracker.Update(listed, noneDrained, startTime.Add(ExpiryHold/2))
 	g.Expect(engines).To(gomega.HaveLen(4))
 }
 
@@ -84,8 +84,8 @@
 		zoned[i].Zone = []string{"z0", "z1"}[i/4]
 	}
 	drained := func(zone string) bool { return zone == "z0" }
-	lapses := NewLapses()
-	lapses.Update(zoned, drained, startTime)
-	engines, _ := lapses.Update(zoned[4:], drained, startTime)
+	tracker := NewExpiryTracker()
+	tracker.Update(zoned, drained, startTime)
+	engines, _ := tracker.Update(zoned[4:], drained, startTime)
 	g.Expect(engines).To(gomega.HaveLen(2))
 }
--- a/internal/catalog/regions.go
+++ b/internal/catalog/regions.go
@@ -13,8 +13,8 @@
 // Allow reports whether the region is allowed.
 func (r Regions) Allow(region string) bool { return r == nil || slices.Contains(r, region) }
 
-// And returns the intersection of both sets.
-func (r Regions) And(other Regions) Regions {
+// Intersect returns the intersection of both sets.
+func (r Regions) Intersect(other Regions) Regions {
 	switch {
 	case r == nil:
 		return other
@@ -35,29 +35,29 @@
 	if tenant == nil {
 		return r.Regions
 	}
-	return r.Regions.And(tenant.Regions)
+	return r.Regions.Intersect(tenant.Regions)
 }
 
-// RegionsNow returns the regions of a tenant's request on a route by this version of the
+// CurrentRegions returns the regions of a tenant's request on a route by this version of the
 // configuration. initial are those in force when the request arrived; they still apply if the
 // tenant has been removed since.
-func (c *Configuration) RegionsNow(route *Route, tenant string, initial Regions) Regions {
+func (c *Configuration) CurrentRegions(route *Route, tenant string, initial Regions) Regions {
 	regions := route.Regions
 	if current := c.Route(route.Name); current != nil {
 		regions = current.Regions
 	}
 	if tenantRegions, restricted := c.tenantRegions[tenant]; restricted {
-		return regions.And(tenantRegions)
+		return regions.Intersect(tenantRegions)
 	}
 	if initial != nil && tenant != "" && c.Tenant(tenant) == nil {
-		return regions.And(initial)
+		return regions.Intersect(initial)
 	}
 	return regions
 }
 
-// KeptRegions returns, in order, the regions to which the jobs of any batch route and tenant
+// BatchRegions returns, in order, the regions to which the jobs of any batch route and tenant
 // are restricted; empty if none is.
-func (c *Configuration) KeptRegions() []string {
+func (c *Configuration) BatchRegions() []string {
 	if c == nil {
 		return nil
 	}
@@ -65,16 +65,16 @@
 	for _, regions := range c.tenantRegions {
 		sets[strings.Join(regions, "\x00")] = regions
 	}
-	kept := map[string]bool{}
+	batchRegions := map[string]bool{}
 	for i := range c.Routes {
 		if c.Routes[i].Kind != KindBatch {
 			continue
 		}
 		for _, regions := range sets {
-			for _, region := range c.Routes[i].Regions.And(regions) {
-				kept[region] = true
+			for _, region := range c.Routes[i].Regions.Intersect(regions) {
+				batchRegions[region] = true
 			}
 		}
 	}
-	return slices.Sorted(maps.Keys(kept))
+	return slices.Sorted(maps.Keys(batchRegions))
 }
--- a/internal/catalog/regions_test.go
+++ b/internal/catalog/regions_test.go
@@ -52,13 +52,13 @@
 		c.SetTenants([]Tenant{{Name: "t", Regions: tenant}, {Name: "free"}})
 		return c
 	}
-	g.Expect(version(nil, nil).RegionsNow(original, "t", Regions{"a"})).To(gomega.BeNil())
-	g.Expect(version(Regions{"c"}, nil).RegionsNow(original, "t", Regions{"a"})).To(gomega.Equal(Regions{"c"}))
-	g.Expect(version(Regions{"c", "d"}, Regions{"d"}).RegionsNow(original, "t", nil)).To(gomega.Equal(Regions{"d"}))
-	g.Expect(version(Regions{"c"}, Regions{"d"}).RegionsNow(original, "t", nil)).To(gomega.Equal(Regions{}))
-	g.Expect(version(nil, Regions{"d"}).RegionsNow(original, "free", Regions{"a"})).To(gomega.BeNil())
-	g.Expect(version(nil, Regions{"d"}).RegionsNow(original, "", nil)).To(gomega.BeNil(), "a public route without a tenant")
-	g.Expect(version(nil, nil).RegionsNow(original, "gone", Regions{"a"})).To(gomega.Equal(Regions{"a"}))
+	g.Expect(version(nil, nil).CurrentRegions(original, "t", Regions{"a"})).To(gomega.BeNil())
+	g.Expect(version(Regions{"c"}, nil).CurrentRegions(original, "t", Regions{"a"})).To(gomega.Equal(Regions{"c"}))
+	g.Expect(version(Regions{"c", "d"}, Regions{"d"}).CurrentRegions(original, "t", nil)).To(gomega.Equal(Regions{"d"}))
+	g.Expect(version(Regions{"c"}, Regions{"d"}).CurrentRegions(original, "t", nil)).To(gomega.Equal(Regions{}))
+	g.Expect(version(nil, Regions{"d"}).CurrentRegions(original, "free", Regions{"a"})).To(gomega.BeNil())
+	g.Expect(version(nil, Regions{"d"}).CurrentRegions(original, "", nil)).To(gomega.BeNil(), "a public route without a tenant")
+	g.Expect(version(nil, nil).CurrentRegions(original, "gone", Regions{"a"})).To(gomega.Equal(Regions{"a"}))
 	empty := &Configuration{}
-	g.Expect(empty.RegionsNow(original, "", nil)).To(gomega.Equal(Regions{"a", "b"}), "a removed route")
+	g.Expect(empty.CurrentRegions(original, "", nil)).To(gomega.Equal(Regions{"a", "b"}), "a removed route")
 }
--- a/internal/catalog/roster.go
+++ b/internal/catalog/roster.go
@@ -33,7 +33,7 @@
 		return
 	}
 	previous := r.entries[at].Engine
-	if previous != nil && entry.Engine != nil && entry.Engine.Born.Before(previous.Born) {
+	if previous != nil && entry.Engine != nil && entry.Engine.Started.Before(previous.Started) {
 		return
 	}
 	r.addCounts(previous, -1)
@@ -71,7 +71,7 @@
 		return
 	}
 	r.withEngine += sign
-	if !engine.Born.IsZero() {
+	if !engine.Started.IsZero() {
 		r.withStart += sign
 	}
 }
@@ -85,7 +85,7 @@
 	startRequired := 2*r.withStart > r.withEngine
 	engines := make([]Engine, 0, r.withEngine)
 	for _, entry := range r.entries {
-		if entry.Engine != nil && !(startRequired && entry.Engine.Born.IsZero()) {
+		if entry.Engine != nil && !(startRequired && entry.Engine.Started.IsZero()) {
 			engines = append(engines, *entry.Engine)
 		}
 	}
--- a/internal/catalog/roster_test.go
+++ b/internal/catalog/roster_test.go
@@ -10,7 +10,7 @@
 
 func startedEngine(instance string, second int64) *Engine {
 	start := time.Unix(second, 0)
-	return &Engine{ID: EngineID(instance, start), Born: start, Service: "s", Slots: 8}
+	return &Engine{ID: EngineID(instance, start), Started: start, Service: "s", Slots: 8}
 }
 
 func engineIDs(engines []Engine) (list []string) {
--- a/internal/catalog/tenants.go
+++ b/internal/catalog/tenants.go
@@ -9,9 +9,9 @@
 // Tenant is a customer, identified by its keys. Its limits apply to all nodes together.
 type Tenant struct {
 	Name string
-	// Priority overrides the priority of the routes if Ranked is set.
-	Priority int
-	Ranked   bool
+	// Priority overrides the priority of the routes if HasPriority is set.
+	Priority    int
+	HasPriority bool
 	// Rate and Burst bound the tenant's requests over all nodes: within any interval,
 	// Rate per second plus Burst. A Rate of 0 means no bound.
 	Rate  float64
@@ -47,8 +47,8 @@
 	}
 }
 
-// Keyed reports whether callers need a key on routes that are not public.
-func (c *Configuration) Keyed() bool { return c.keys != nil }
+// KeyRequired reports whether callers need a key on routes that are not public.
+func (c *Configuration) KeyRequired() bool { return c.keys != nil }
 
 // EachTenant iterates over the tenants in the order given to SetTenants.
 func (c *Configuration) EachTenant() iter.Seq[*Tenant] {
@@ -77,7 +77,7 @@
 
 // PriorityOf returns the priority of a tenant's requests on the route; tenant may be nil.
 func (r *Route) PriorityOf(tenant *Tenant) int {
-	if tenant != nil && tenant.Ranked {
+	if tenant != nil && tenant.HasPriority {
 		return tenant.Priority
 	}
 	return r.Priority
--- a/internal/catalog/warmth.go
+++ b/internal/catalog/warmth.go
@@ -26,9 +26,9 @@
 	return 2 << min(int(sinceWarm/rampStep), rampSteps-1)
 }
 
-// Warmth tracks how long engines stay cold, as far as this node knows. It does no I/O and is
+// ColdTracker tracks how long engines stay cold, as far as this node knows. It does no I/O and is
 // not safe for concurrent use.
-type Warmth struct {
+type ColdTracker struct {
 	states      map[string]coldState
 	initialized bool
 }
@@ -55,16 +55,16 @@
 	Cold   bool
 }
 
-// NewWarmth returns a Warmth without engines.
-func NewWarmth() *Warmth { return &Warmth{states: map[string]coldState{}} }
+// NewColdTracker returns a ColdTracker without engines.
+func NewColdTracker() *ColdTracker { return &ColdTracker{states: map[string]coldState{}} }
 
 // Update sets ColdUntil, PacedUntil and ColdMaybePast of the engines. It returns the changes
 // and when to call Update again if nothing changes before; zero if it need not be called.
-func (w *Warmth) Update(engines []Engine, services map[string]Service, now time.Time) (changes []ColdChange, nextUpdate time.Time) {
+func (t *ColdTracker) Update(engines []Engine, services map[string]Service, now time.Time) (changes []ColdChange, nextUpdate time.Time) {
 	states := map[string]coldState{}
 	for i := range engines {
 		engine := &engines[i]
-		state := w.nextState(engine, now)
+		state := t.nextState(engine, now)
 		service := services[engine.Service]
 		engine.ColdUntil = state.coldUntil(service)
 		engine.ColdMaybePast = state.maybePast && state.drainEnded.IsZero()
@@ -83,20 +83,20 @@
 			states[engine.ID] = state
 		}
 	}
-	w.states, w.initialized = states, w.initialized || len(engines) > 0
+	t.states, t.initialized = states, t.initialized || len(engines) > 0
 	return changes, nextUpdate
 }
 
 // nextState returns the state of an engine updated with its current entry.
-func (w *Warmth) nextState(engine *Engine, now time.Time) coldState {
-	state, seen := w.states[engine.ID]
-	if !seen || state.revision != engine.Revision || state.reported != engine.ToldCold {
+func (t *ColdTracker) nextState(engine *Engine, now time.Time) coldState {
+	state, seen := t.states[engine.ID]
+	if !seen || state.revision != engine.Revision || state.reported != engine.ReportedCold {
 		state.warmAt = time.Time{}
-		if engine.ToldCold == 0 && now.Before(state.reportedUntil()) {
+		if engine.ReportedCold == 0 && now.Before(state.reportedUntil()) {
 			state.warmAt = now
 		}
-		state.revision, state.reported, state.reportedAt = engine.Revision, engine.ToldCold, now
-		state.maybePast = !w.initialized
+		state.revision, state.reported, state.reportedAt = engine.Revision, engine.ReportedCold, now
+		state.maybePast = !t.initialized
 	}
 	if state.drained && !engine.Drained {
 		state.drainEnded = now
@@ -132,13 +132,13 @@
 	return until
 }
 
-// Warm ends the cold time that a revision of an engine's entry reports. It has no effect if
+// EndCold ends the cold time that a revision of an engine's entry reports. It has no effect if
 // this node knows when that cold time began.
-func (w *Warmth) Warm(id string, revision uint64) {
-	state, known := w.states[id]
+func (t *ColdTracker) EndCold(id string, revision uint64) {
+	state, known := t.states[id]
 	if !known || state.revision != revision || !state.maybePast {
 		return
 	}
 	state.reportedAt, state.maybePast = state.reportedAt.Add(-state.reported-rampSteps*rampStep), false
-	w.states[id] = state
+	t.states[id] = state
 }
--- a/internal/catalog/warmth_test.go
+++ b/internal/catalog/warmth_test.go
@@ -12,13 +12,13 @@
 	services = map[string]Service{"s": {ColdTime: 3 * time.Second, ColdRate: 8}, "free": {ColdTime: 3 * time.Second}}
 )
 
-// updateEngine updates w with one engine's entry and returns the updated engine.
-func updateEngine(w *Warmth, engine Engine, now time.Time) Engine {
+// updateEngine updates tracker with one engine's entry and returns the updated engine.
+func updateEngine(tracker *ColdTracker, engine Engine, now time.Time) Engine {
 	if engine.Service == "" {
 		engine.Service = "s"
 	}
 	list := []Engine{engine}
-	w.Update(list, services, now)
+	tracker.Update(list, services, now)
 	return list[0]
 }
 
@@ -28,39 +28,39 @@
 
 func TestColdTimeStartsWhenEntryIsFirstSeen(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := NewWarmth()
-	updateEngine(w, Engine{ID: "other"}, at(0))
-	e := updateEngine(w, Engine{ID: "e", Revision: 5, ToldCold: 2 * time.Second}, at(1))
+	tracker := NewColdTracker()
+	updateEngine(tracker, Engine{ID: "other"}, at(0))
+	e := updateEngine(tracker, Engine{ID: "e", Revision: 5, ReportedCold: 2 * time.Second}, at(1))
 	g.Expect(e.ColdUntil).To(gomega.Equal(at(3)))
 	g.Expect(e.ColdMaybePast).To(gomega.BeFalse())
-	again := updateEngine(w, Engine{ID: "e", Revision: 5, ToldCold: 2 * time.Second}, at(2))
+	again := updateEngine(tracker, Engine{ID: "e", Revision: 5, ReportedCold: 2 * time.Second}, at(2))
 	g.Expect(again.ColdUntil).To(gomega.Equal(at(3)), "an unchanged entry must not extend the cold time")
-	again = updateEngine(w, Engine{ID: "e", Revision: 6, ToldCold: 2 * time.Second}, at(9))
+	again = updateEngine(tracker, Engine{ID: "e", Revision: 6, ReportedCold: 2 * time.Second}, at(9))
 	g.Expect(again.ColdUntil).To(gomega.Equal(at(11)), "the engine became cold again")
-	again = updateEngine(w, Engine{ID: "e", Revision: 7}, at(10))
+	again = updateEngine(tracker, Engine{ID: "e", Revision: 7}, at(10))
 	g.Expect(again.ColdUntil).To(gomega.Equal(at(10)), "the entry reports the engine warm")
 	g.Expect(pacedAt(again, 10)).To(gomega.BeTrue(), "pacing continues while the rate ramps up")
-	again = updateEngine(w, Engine{ID: "e", Revision: 8}, at(20))
+	again = updateEngine(tracker, Engine{ID: "e", Revision: 8}, at(20))
 	g.Expect(again.ColdUntil.IsZero()).To(gomega.BeTrue())
-	g.Expect(updateEngine(w, Engine{ID: "new", Revision: 9}, at(21)).ColdUntil.IsZero()).To(gomega.BeTrue())
+	g.Expect(updateEngine(tracker, Engine{ID: "new", Revision: 9}, at(21)).ColdUntil.IsZero()).To(gomega.BeTrue())
 }
 
 func TestEnginesAreColdAfterZoneDrainEnds(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := NewWarmth()
-	updateEngine(w, Engine{ID: "e"}, at(0))
-	g.Expect(updateEngine(w, Engine{ID: "e", Drained: true}, at(1)).ColdUntil.IsZero()).To(gomega.BeTrue())
-	g.Expect(updateEngine(w, Engine{ID: "e"}, at(7)).ColdUntil).To(gomega.Equal(at(10.5)))
-	e := updateEngine(w, Engine{ID: "e", Revision: 8, ToldCold: time.Second}, at(8))
+	tracker := NewColdTracker()
+	updateEngine(tracker, Engine{ID: "e"}, at(0))
+	g.Expect(updateEngine(tracker, Engine{ID: "e", Drained: true}, at(1)).ColdUntil.IsZero()).To(gomega.BeTrue())
+	g.Expect(updateEngine(tracker, Engine{ID: "e"}, at(7)).ColdUntil).To(gomega.Equal(at(10.5)))
+	e := updateEngine(tracker, Engine{ID: "e", Revision: 8, ReportedCold: time.Second}, at(8))
 	g.Expect(e.ColdUntil).To(gomega.Equal(at(10.5)), "a late report must not shorten the cold time")
-	g.Expect(updateEngine(w, Engine{ID: "e", Revision: 9, ToldCold: 5 * time.Second}, at(9)).ColdUntil).To(gomega.Equal(at(14)))
+	g.Expect(updateEngine(tracker, Engine{ID: "e", Revision: 9, ReportedCold: 5 * time.Second}, at(9)).ColdUntil).To(gomega.Equal(at(14)))
 }
 
 func TestPaceFactorDoublesBeforePacingEnds(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := NewWarmth()
-	updateEngine(w, Engine{ID: "other"}, at(0))
-	e := updateEngine(w, Engine{ID: "e", Revision: 1, ToldCold: time.Second}, at(0))
+	tracker := NewColdTracker()
+	updateEngine(tracker, Engine{ID: "other"}, at(0))
+	e := updateEngine(tracker, Engine{ID: "e", Revision: 1, ReportedCold: time.Second}, at(0))
 	for _, tc := range []struct {
 		second float64
 		factor int
@@ -73,7 +73,7 @@
 
 func TestServiceWithoutColdRateIsNotPaced(t *testing.T) {
 	g := gomega.NewWithT(t)
-	e := updateEngine(NewWarmth(), Engine{ID: "e", Service: "free", Revision: 1, ToldCold: time.Second}, at(0))
+	e := updateEngine(NewColdTracker(), Engine{ID: "e", Service: "free", Revision: 1, ReportedCold: time.Second}, at(0))
 	g.Expect(e.ColdUntil).To(gomega.Equal(at(1)))
 	g.Expect(e.Paced(at(0))).To(gomega.BeFalse())
 }
@@ -82,30 +82,30 @@
 // against an outdated peer ending a cold time that this node saw begin.
 func TestOnlyColdTimeOfUnknownAgeCanBeEnded(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := NewWarmth()
-	entry := Engine{ID: "e", Revision: 3, ToldCold: 2 * time.Second}
-	g.Expect(updateEngine(w, entry, at(0)).ColdMaybePast).To(gomega.BeTrue())
-	w.Warm("e", 2)
-	g.Expect(pacedAt(updateEngine(w, entry, at(0.1)), 0.1)).To(gomega.BeTrue(), "another revision")
-	w.Warm("e", 3)
-	g.Expect(pacedAt(updateEngine(w, entry, at(0.2)), 0.2)).To(gomega.BeFalse())
+	tracker := NewColdTracker()
+	entry := Engine{ID: "e", Revision: 3, ReportedCold: 2 * time.Second}
+	g.Expect(updateEngine(tracker, entry, at(0)).ColdMaybePast).To(gomega.BeTrue())
+	tracker.EndCold("e", 2)
+	g.Expect(pacedAt(updateEngine(tracker, entry, at(0.1)), 0.1)).To(gomega.BeTrue(), "another revision")
+	tracker.EndCold("e", 3)
+	g.Expect(pacedAt(updateEngine(tracker, entry, at(0.2)), 0.2)).To(gomega.BeFalse())
 	entry.Revision = 4
-	g.Expect(pacedAt(updateEngine(w, entry, at(1)), 1)).To(gomega.BeTrue())
-	w.Warm("e", 4)
-	g.Expect(pacedAt(updateEngine(w, entry, at(1.1)), 1.1)).To(gomega.BeTrue(), "this node saw the cold time begin")
+	g.Expect(pacedAt(updateEngine(tracker, entry, at(1)), 1)).To(gomega.BeTrue())
+	tracker.EndCold("e", 4)
+	g.Expect(pacedAt(updateEngine(tracker, entry, at(1.1)), 1.1)).To(gomega.BeTrue(), "this node saw the cold time begin")
 }
 
 func TestUpdateReportsChangeOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := NewWarmth()
-	list := func() []Engine { return []Engine{{ID: "e", Service: "s", Revision: 1, ToldCold: time.Second}} }
-	changes, nextUpdate := w.Update(list(), services, at(0))
+	tracker := NewColdTracker()
+	list := func() []Engine { return []Engine{{ID: "e", Service: "s", Revision: 1, ReportedCold: time.Second}} }
+	changes, nextUpdate := tracker.Update(list(), services, at(0))
 	g.Expect(changes).To(gomega.HaveLen(1))
 	g.Expect(changes[0].Cold).To(gomega.BeTrue())
 	g.Expect(nextUpdate).To(gomega.Equal(at(1)))
-	changes, _ = w.Update(list(), services, at(0.5))
+	changes, _ = tracker.Update(list(), services, at(0.5))
 	g.Expect(changes).To(gomega.BeEmpty())
-	changes, nextUpdate = w.Update(list(), services, at(1))
+	changes, nextUpdate = tracker.Update(list(), services, at(1))
 	g.Expect(changes).To(gomega.HaveLen(1))
 	g.Expect(changes[0].Cold).To(gomega.BeFalse())
 	g.Expect(nextUpdate.IsZero()).To(gomega.BeTrue())
@@ -116,8 +116,8 @@
 // Without a cold rate there is no limit to lift, so becoming warm is no change.
 func TestServiceWithoutColdRateReportsNoChanges(t *testing.T) {
 	g := gomega.NewWithT(t)
-	list := []Engine{{ID: "e", Service: "free", Revision: 1, ToldCold: time.Second}}
-	changes, nextUpdate := NewWarmth().Update(list, services, at(0))
+	list := []Engine{{ID: "e", Service: "free", Revision: 1, ReportedCold: time.Second}}
+	changes, nextUpdate := NewColdTracker().Update(list, services, at(0))
 	g.Expect(changes).To(gomega.BeEmpty())
 	g.Expect(nextUpdate.IsZero()).To(gomega.BeTrue())
 }
@@ -125,11 +125,11 @@
 // Guards against a peer ending the cold time after a drain that this node saw end.
 func TestColdTimeAfterDrainIsNotMaybePast(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := NewWarmth()
-	entry := Engine{ID: "e", Revision: 3, ToldCold: 2 * time.Second, Drained: true}
-	g.Expect(updateEngine(w, entry, at(0)).ColdMaybePast).To(gomega.BeTrue())
+	tracker := NewColdTracker()
+	entry := Engine{ID: "e", Revision: 3, ReportedCold: 2 * time.Second, Drained: true}
+	g.Expect(updateEngine(tracker, entry, at(0)).ColdMaybePast).To(gomega.BeTrue())
 	entry.Drained = false
-	back := updateEngine(w, entry, at(1))
+	back := updateEngine(tracker, entry, at(1))
 	g.Expect(back.ColdUntil).To(gomega.Equal(at(4.5)))
 	g.Expect(back.ColdMaybePast).To(gomega.BeFalse())
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// Skip simulates a suspension, for tests.
-func (c *Clock) Skip(lasted time.Duration) { c.suspended.Add(int64(lasted)) }
+// SimulateSuspension simulates a suspension, for tests.
+func (c *Clock) SimulateSuspension(lasted time.Duration) { c.suspended.Add(int64(lasted)) }
 
 // system is the clock of the package-level functions.
 var system = New(readSystem)
@@ -120,5 +120,5 @@
 // Until returns the time until a time from Now.
 func Until(at time.Time) time.Duration { return at.Sub(Now()) }
 
-// Skip simulates a suspension on the process's clock, for tests.
-func Skip(lasted time.Duration) { system.Skip(lasted) }
+// SimulateSuspension simulates a suspension on the process's clock, for tests.
+func SimulateSuspension(lasted time.Duration) { system.SimulateSuspension(lasted) }
--- a/internal/clock/pause.go
+++ b/internal/clock/pause.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Pause waits for the duration or until ctx is done, whichever comes first.
-func Pause(ctx context.Context, duration time.Duration) {
+// Sleep waits for the duration or until ctx is done, whichever comes first.
+func Sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
--- a/internal/edge/caller.go
+++ b/internal/edge/caller.go
@@ -28,7 +28,7 @@
 // An unknown key is rejected for good only if the configuration is current. Otherwise the
 // key may be newer than the configuration, and the caller is told to retry.
 func (e *Edge) authenticate(w http.ResponseWriter, r *http.Request, configuration *catalog.Configuration, anonymous bool) (caller, bool) {
-	if !configuration.Keyed() {
+	if !configuration.KeyRequired() {
 		return caller{}, true
 	}
 	key, presence := apikey.Read(r.Header)
@@ -70,7 +70,7 @@
 func callAllowsAnonymous(configuration *catalog.Configuration, host string) bool {
 	for i := range configuration.Routes {
 		route := &configuration.Routes[i]
-		if route.Public && route.Kind == catalog.KindBatch && route.OfHost(host) {
+		if route.Public && route.Kind == catalog.KindBatch && route.MatchesHost(host) {
 			return true
 		}
 	}
--- a/internal/forward/suspended_test.go
+++ b/internal/forward/suspended_test.go
@@ -22,14 +22,14 @@
 	newEngine := func(id string) catalog.Engine {
 		server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 			if arrived.Add(1) == 1 {
-				clock.Skip(suspension)
+				clock.SimulateSuspension(suspension)
 			}
 			panic(http.ErrAbortHandler)
 		}))
 		t.Cleanup(server.Close)
 		return catalog.Engine{ID: id, Service: "s", Address: strings.TrimPrefix(server.URL, "http://"), Slots: 8}
 	}
-	defer clock.Skip(-suspension)
+	defer clock.SimulateSuspension(-suspension)
 	snapshot := catalog.NewSnapshot(nil, []catalog.Engine{newEngine("a"), newEngine("b")})
 	f := &Forwarder{Pool: upstream.NewPool(testDialect{}), Balancer: balance.New(func() *catalog.Snapshot { return snapshot }), Usable: snapshot.Usable}
 	route := &catalog.Route{Name: "r", Attempts: 3, Repeatable: true, Target: time.Second, Backends: []catalog.Backend{{Service: "s", Weight: 1}}}
--- a/internal/ledger/replica/options.go
+++ b/internal/ledger/replica/options.go
@@ -43,8 +43,8 @@
 	FS vfs.FS
 	// Reserve is the free disk space below which nothing is accepted.
 	Reserve uint64
-	// Scarce is the free disk space below which Scarce says so; 0 means Reserve.
-	Scarce uint64
+	// LowSpaceThreshold is the free disk space below which LowSpace reports true; 0 means Reserve.
+	LowSpaceThreshold uint64
 	// DiskBytes is the size of the disk; 0 means large.
 	DiskBytes uint64
 	// Shards and Copies are the same on all nodes. Shards can't be changed
--- a/internal/ledger/replica/service.go
+++ b/internal/ledger/replica/service.go
@@ -109,7 +109,7 @@
 
 func (s *Service) diskOptions() storage.Options {
 	return storage.Options{
-		Folder: s.options.Folder, FS: s.options.FS, Reserve: s.options.Reserve, Scarce: s.options.Scarce, DiskBytes: s.options.DiskBytes,
+		Folder: s.options.Folder, FS: s.options.FS, Reserve: s.options.Reserve, LowSpaceThreshold: s.options.LowSpaceThreshold, DiskBytes: s.options.DiskBytes,
 	}
 }
 
@@ -279,10 +279,10 @@
 	return store != nil && !store.Full() && store.Failure() == nil
 }
 
-// Scarce says that this node's disk is so full that nothing new should be begun.
-func (s *Service) Scarce() bool {
+// LowSpace reports whether the free space of this node's disk is too low to start new work.
+func (s *Service) LowSpace() bool {
 	store := s.disk()
-	return store != nil && store.Scarce()
+	return store != nil && store.LowSpace()
 }
 
 // idleFactor is how many times less often a node looks after its replicas that has none: in
--- a/internal/ledger/storage/store.go
+++ b/internal/ledger/storage/store.go
@@ -44,9 +44,9 @@
 	// Reserve is the free space in bytes below which Full reports true; 0 means
 	// DefaultReserve.
 	Reserve uint64
-	// Scarce is the free space in bytes below which the Scarce method reports
+	// LowSpaceThreshold is the free space in bytes below which LowSpace reports
 	// true; it is at least Reserve.
-	Scarce uint64
+	LowSpaceThreshold uint64
 	// DiskBytes is the disk's size, to which the sizes of write-ahead logs and
 	// compactions are adapted; 0 means a large disk.
 	DiskBytes uint64
@@ -92,7 +92,7 @@
 	if options.Reserve == 0 {
 		options.Reserve = DefaultReserve
 	}
-	options.Scarce = max(options.Scarce, options.Reserve)
+	options.LowSpaceThreshold = max(options.LowSpaceThreshold, options.Reserve)
 	s := &Store{options: options, failed: make(chan struct{}), stop: make(chan struct{})}
 	if err := s.openAndVerify(); err != nil {
 		return nil, trace.Wrap(classify(err), "open the ledger folder %s", options.Folder)
@@ -257,9 +257,9 @@
 // Full reports whether free space is too low to accept new entries.
 func (s *Store) Full() bool { return s.full.Load() }
 
-// Scarce reports whether free space is below Options.Scarce: no new work should
+// LowSpace reports whether free space is below Options.LowSpaceThreshold: no new work should
 // be started, so that work in progress can complete.
-func (s *Store) Scarce() bool { return s.lowSpace.Load() }
+func (s *Store) LowSpace() bool { return s.lowSpace.Load() }
 
 // Failed returns a channel that is closed when the store can't write any more;
 // Failure returns the reason.
@@ -382,7 +382,7 @@
 	if errors.Is(err, vfs.ErrUnsupported) {
 		return
 	}
-	s.setLowSpace(err != nil || usage.AvailBytes < s.options.Scarce, usage.AvailBytes)
+	s.setLowSpace(err != nil || usage.AvailBytes < s.options.LowSpaceThreshold, usage.AvailBytes)
 	full := err != nil || usage.AvailBytes < s.options.Reserve
 	if s.full.Swap(full) == full {
 		return
@@ -396,6 +396,6 @@
 
 func (s *Store) setLowSpace(low bool, available uint64) {
 	if s.lowSpace.Swap(low) != low {
-		eventLowSpace.Info("folder", s.options.Folder, "scarce", low, "available", available, "bound", s.options.Scarce)
+		eventLowSpace.Info("folder", s.options.Folder, "scarce", low, "available", available, "bound", s.options.LowSpaceThreshold)
 	}
 }
--- a/internal/logstory/span.go
+++ b/internal/logstory/span.go
@@ -16,18 +16,18 @@
 	Late   int `json:"late"`
 	// Refused counts the requests that the system itself refused, by cause.
 	Refused map[string]int `json:"refused,omitempty"`
-	// HeldMost is the maximum time that a refused request was held.
-	HeldMost time.Duration `json:"held_most"`
+	// MaxHeld is the maximum time that a refused request was held.
+	MaxHeld time.Duration `json:"held_most"`
 	// Aborted counts the streams that were aborted, and Left the callers that
 	// disconnected before their response was complete.
 	Aborted int `json:"aborted"`
 	Left    int `json:"left"`
 	// Failed counts the failed attempts at engines.
 	Failed int `json:"failed_attempts"`
-	// ItemsSent counts the runs of items that were started, and ItemsCut those
+	// ItemsSent counts the runs of items that were started, and ItemsPreempted those
 	// preempted by online requests.
-	ItemsSent int `json:"items_sent"`
-	ItemsCut  int `json:"items_cut"`
+	ItemsSent      int `json:"items_sent"`
+	ItemsPreempted int `json:"items_cut"`
 	// ItemsOpen and ItemsRunning are the last values logged by the batch leader.
 	ItemsOpen    int `json:"items_open"`
 	ItemsRunning int `json:"items_running"`
@@ -60,7 +60,7 @@
 	"attempt-failed":   func(s *Span, _ Entry) { s.Failed++ },
 	"item-sent":        func(s *Span, _ Entry) { s.ItemsSent++ },
 	eventZoneDrains:    func(*Span, Entry) {},
-	"batch-yielded":    func(s *Span, e Entry) { s.ItemsCut += e.intField("cut") },
+	"batch-yielded":    func(s *Span, e Entry) { s.ItemsPreempted += e.intField("cut") },
 	"batch-state": func(s *Span, e Entry) {
 		s.ItemsOpen, s.ItemsRunning = e.intField("open"), e.intField("running")
 	},
@@ -68,7 +68,7 @@
 
 func (s *Span) addRefusal(e Entry, key string) {
 	cause, _ := e.Fields[key].(string)
-	s.HeldMost = max(s.HeldMost, e.durationField("held"))
+	s.MaxHeld = max(s.MaxHeld, e.durationField("held"))
 	if s.Refused == nil {
 		s.Refused = map[string]int{}
 	}
--- a/internal/logstory/span_test.go
+++ b/internal/logstory/span_test.go
@@ -33,8 +33,8 @@
 		{From: at(1), Served: 2, Late: 1},
 		{
 			From: at(3), Refused: map[string]int{"balance: no engine has room": 2, "no configuration is known yet": 1},
-			HeldMost: 21 * time.Millisecond,
-			ItemsCut: 3, ItemsOpen: 20, ItemsRunning: 7, ItemsSent: 1, Drained: []string{"hall-a", "hall-b", "hall-c"},
+			MaxHeld:        21 * time.Millisecond,
+			ItemsPreempted: 3, ItemsOpen: 20, ItemsRunning: 7, ItemsSent: 1, Drained: []string{"hall-a", "hall-b", "hall-c"},
 		},
 		{From: at(5), Left: 1, Drained: []string{"hall-a", "hall-b"}},
 		{From: at(6), Left: 1},
--- a/internal/logstory/story.go
+++ b/internal/logstory/story.go
@@ -102,9 +102,9 @@
 	return false
 }
 
-// Tell returns the entries with the identifier and their context, sorted by time.
+// Select returns the entries with the identifier and their context, sorted by time.
 // Clock differences between processes are not corrected.
-func Tell(entries []Entry, id string) []Entry {
+func Select(entries []Entry, id string) []Entry {
 	entries = sortByTime(entries)
 	included := map[int]bool{}
 	var matches []int
@@ -155,7 +155,7 @@
 	return context
 }
 
-// Write writes the result of Tell as a table: the time since the first entry with the
+// Write writes the result of Select as a table: the time since the first entry with the
 // identifier, the process, the event, and the fields by key. Names of context events
 // are in parentheses.
 func Write(out io.Writer, story []Entry) error {
--- a/internal/logstory/story_test.go
+++ b/internal/logstory/story_test.go
@@ -22,7 +22,7 @@
 	g := gomega.NewWithT(t)
 	entries, err := Read(strings.NewReader(lines), "file")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	story := Tell(entries, "r1")
+	story := Select(entries, "r1")
 	var names []string
 	for _, entry := range story {
 		names = append(names, entry.Name)
@@ -33,7 +33,7 @@
 	g.Expect(Write(&out, story)).To(gomega.Succeed())
 	g.Expect(out.String()).To(gomega.ContainSubstring("(engine-aside)"))
 	g.Expect(out.String()).To(gomega.MatchRegexp(`\+200\.0 ms +front-1 +request-refused +request=r1 verdict=not-run`))
-	g.Expect(Tell(entries, "unknown")).To(gomega.BeEmpty())
+	g.Expect(Select(entries, "unknown")).To(gomega.BeEmpty())
 }
 
 func TestReadNamesProcessByStartedLine(t *testing.T) {
@@ -54,7 +54,7 @@
 `), "file")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	var names []string
-	for _, entry := range Tell(entries, "r1") {
+	for _, entry := range Select(entries, "r1") {
 		names = append(names, entry.Name)
 	}
 	g.Expect(names).To(gomega.Equal([]string{"engine-cold", "engine-paced", "request-served"}))
--- a/internal/mirror/agent.go
+++ b/internal/mirror/agent.go
@@ -253,4 +253,4 @@
 	}
 }
 
-func (a *Agent) pause(duration time.Duration) { clock.Pause(a.running, duration) }
+func (a *Agent) pause(duration time.Duration) { clock.Sleep(a.running, duration) }
--- a/internal/mirror/suspended_test.go
+++ b/internal/mirror/suspended_test.go
@@ -30,7 +30,7 @@
 	const pause = 20 * time.Second
 	for name, pauseProcess := range map[string]func(){
 		"frozen":    func() { time.Sleep(pause) },
-		"suspended": func() { clock.Skip(pause) },
+		"suspended": func() { clock.SimulateSuspension(pause) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -50,7 +50,7 @@
 					t.Fatal(err)
 				}
 				if name == "suspended" {
-					defer clock.Skip(-pause)
+					defer clock.SimulateSuspension(-pause)
 				}
 				if age := reader.Age(kind); age < pause-pullWait-pullSlack {
 					t.Errorf("the reported age is %v", age)
--- a/internal/poison/guard.go
+++ b/internal/poison/guard.go
@@ -171,7 +171,7 @@
 	g.rechecks[f]++
 	g.hasRechecks.Store(true)
 	g.tasks.Go(func() {
-		clock.Pause(g.running, recheckDelay)
+		clock.Sleep(g.running, recheckDelay)
 		if g.finishRecheck(f) && g.options.EngineCrashed(g.running, lost.Engine) {
 			g.recordCrash(f, lost)
 		}
--- a/internal/poison/publish.go
+++ b/internal/poison/publish.go
@@ -11,7 +11,7 @@
 // publishLoop sends changed records to peers.
 func (g *Guard) publishLoop() {
 	for g.wait(g.publishReady, 0) {
-		clock.Pause(g.running, batchDelay)
+		clock.Sleep(g.running, batchDelay)
 		records, toDataNodes := g.takeUnpublished()
 		if len(records) == 0 {
 			continue
@@ -39,7 +39,7 @@
 		g.unpublished[records[i].Fingerprint] = true
 	}
 	g.mutex.Unlock()
-	clock.Pause(g.running, retryDelay)
+	clock.Sleep(g.running, retryDelay)
 	signal(g.publishReady)
 }
 
@@ -70,7 +70,7 @@
 			delay = retryDelay
 			continue
 		}
-		clock.Pause(g.running, delay)
+		clock.Sleep(g.running, delay)
 		delay = min(2*delay, maxRetryDelay)
 		signal(g.syncReady)
 	}
--- a/internal/system/core.go
+++ b/internal/system/core.go
@@ -174,7 +174,7 @@
 		Shards: shards, Copies: c.settings.Ledger.Replicas(), ZoneLosses: c.settings.Ledger.ZoneLosses,
 		Regions: c.regionNames(), LeastCopies: 2*c.settings.Ledger.Losses + 1, ReplaceAfter: replaceAfter, BootstrapWait: bootstrapWait,
 		RepairInterval: repairInterval, DirectoryInterval: directoryTime, ReplaceLeaving: true,
-		DiskBytes: disk.size, RetainBytes: disk.retain, Reserve: disk.reserve, Scarce: disk.scarce,
+		DiskBytes: disk.size, RetainBytes: disk.retain, Reserve: disk.reserve, LowSpaceThreshold: disk.scarce,
 	}
 }
 
--- a/internal/system/facts.go
+++ b/internal/system/facts.go
@@ -54,9 +54,9 @@
 	listed   []catalog.Engine
 	listedAt uint64
 	unusable unusableEntries
-	lapses   *catalog.Lapses
+	lapses   *catalog.ExpiryTracker
 	again    time.Time
-	warmth   *catalog.Warmth
+	warmth   *catalog.ColdTracker
 	// learnt says whether it is known which requests are held back; nil is yes.
 	learnt func() bool
 	// unlearntSince is when the configuration was first kept back for that.
@@ -78,7 +78,7 @@
 
 func newFacts(adapter *Adapter, settings *config.Node) *facts {
 	f := &facts{adapter: adapter, settings: settings, changes: make(chan struct{}, 1),
-		roster: catalog.NewRoster(), lapses: catalog.NewLapses(), warmth: catalog.NewWarmth()}
+		roster: catalog.NewRoster(), lapses: catalog.NewExpiryTracker(), warmth: catalog.NewColdTracker()}
 	f.dirty = map[string]bool{adapter.ConfigurationKind: true, adapter.EnginesKind: true}
 	f.snapshot.Store(catalog.NewSnapshot(nil, nil))
 	return f
--- a/internal/system/front.go
+++ b/internal/system/front.go
@@ -79,7 +79,7 @@
 		Forwarder: &forward.Forwarder{
 			Pool: f.pool, Balancer: f.balancer, Usable: f.facts.usable, Zone: settings.Node.Zone, Region: settings.Node.Region,
 			Regions: func(request *forward.Request, route *catalog.Route) catalog.Regions {
-				return f.facts.Snapshot().Configuration.RegionsNow(route, request.Tenant, request.Regions)
+				return f.facts.Snapshot().Configuration.CurrentRegions(route, request.Tenant, request.Regions)
 			},
 			Observe: newRequestMetrics(common.registry).observe,
 			Refresh: f.refreshLoad, Chosen: f.reportChoice, Guard: f.guard,
--- a/internal/system/learnt_test.go
+++ b/internal/system/learnt_test.go
@@ -15,7 +15,7 @@
 func TestAFirstConfigurationWaitsForWhatIsHeldBack(t *testing.T) {
 	for name, until := range map[string]func(learnt *bool){
 		"heard":         func(learnt *bool) { *learnt = true },
-		"not for long":  func(*bool) { clock.Skip(learnTime) },
+		"not for long":  func(*bool) { clock.SimulateSuspension(learnTime) },
 		"needs not ask": nil,
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -32,7 +32,7 @@
 				g.Expect(f.again.IsZero()).To(gomega.BeFalse(), "it is looked at again")
 				until(&learnt)
 				if !learnt {
-					defer clock.Skip(-learnTime)
+					defer clock.SimulateSuspension(-learnTime)
 				}
 			}
 			f.read("config")
--- a/internal/system/poison.go
+++ b/internal/system/poison.go
@@ -65,7 +65,7 @@
 // that crashed is there for some heartbeats more.
 func (c *core) engineEnded(ctx context.Context, engine catalog.Engine) bool {
 	snapshot := c.facts.Snapshot()
-	if newer, found := snapshot.Engine(catalog.Instance(engine.ID)); found && newer.Born.After(engine.Born) {
+	if newer, found := snapshot.Engine(catalog.Instance(engine.ID)); found && newer.Started.After(engine.Started) {
 		return true // it has started anew since
 	}
 	if known, found := snapshot.Engine(engine.ID); !found || known.Leaving {
--- a/internal/system/regions.go
+++ b/internal/system/regions.go
@@ -26,7 +26,7 @@
 		before = catalog.Regions{region}
 	}
 	return func(route *catalog.Route, tenant string) catalog.Regions {
-		return c.facts.Snapshot().Configuration.RegionsNow(route, tenant, before)
+		return c.facts.Snapshot().Configuration.CurrentRegions(route, tenant, before)
 	}
 }
 
@@ -37,7 +37,7 @@
 		return true
 	}
 	snapshot := c.facts.Snapshot()
-	regions := snapshot.Configuration.RegionsNow(route, tenant, nil)
+	regions := snapshot.Configuration.CurrentRegions(route, tenant, nil)
 	if regions == nil {
 		return true
 	}
@@ -53,7 +53,7 @@
 		if route == nil {
 			return true
 		}
-		regions := c.facts.Snapshot().Configuration.RegionsNow(route, tenant, nil)
+		regions := c.facts.Snapshot().Configuration.CurrentRegions(route, tenant, nil)
 		return regions == nil || (region != "" && regions.Allow(region))
 	}
 }
@@ -63,7 +63,7 @@
 	configuration := f.facts.Snapshot().Configuration
 	within := batchwork.Within{Regions: job.Regions, Version: configuration.Version}
 	if route := configuration.Route(job.Route); route != nil {
-		within.Regions = configuration.RegionsNow(route, job.Tenant, job.Regions)
+		within.Regions = configuration.CurrentRegions(route, job.Tenant, job.Regions)
 	}
 	var best uint64
 	for _, region := range within.Regions {
--- a/internal/system/shardwork.go
+++ b/internal/system/shardwork.go
@@ -100,7 +100,7 @@
 		LocalRuns: d.settings.Batch.LocalRuns, Guard: d.guard,
 	})
 	batchwork.RegisterServer(batchwork.ServerOptions{
-		Shard: local.replica, Machine: machine, Scarce: d.ledger.Scarce, Receiver: port,
+		Shard: local.replica, Machine: machine, Scarce: d.ledger.LowSpace, Receiver: port,
 		Stays:    d.stays(d.ledger.Region(shard)),
 		Replicas: func() []transport.Address { return d.ledger.Replicas(shard) },
 	})
@@ -124,7 +124,7 @@
 		configuration := d.facts.Snapshot().Configuration
 		news := configuration != seen
 		if news {
-			seen, needed = configuration, configuration.KeptRegions()
+			seen, needed = configuration, configuration.BatchRegions()
 		}
 		if news && len(needed) > 0 {
 			eventRegions.Info("regions", needed, "version", seen.Version)
--- a/internal/system/slowstart.go
+++ b/internal/system/slowstart.go
@@ -69,7 +69,7 @@
 		services = configuration.Services
 	}
 	for id, revision := range f.warmNews.take() {
-		f.warmth.Warm(id, revision)
+		f.warmth.EndCold(id, revision)
 	}
 	changes, again := f.warmth.Update(engines, services, now)
 	for _, change := range changes {
--- a/internal/upstream/suspended_test.go
+++ b/internal/upstream/suspended_test.go
@@ -42,8 +42,8 @@
 	if opened.Load() != 1 {
 		t.Fatalf("opened %d connections, want 1 that is reused", opened.Load())
 	}
-	clock.Skip(time.Minute)
-	defer clock.Skip(-time.Minute)
+	clock.SimulateSuspension(time.Minute)
+	defer clock.SimulateSuspension(-time.Minute)
 	exchange("c")
 	if opened.Load() != 2 {
 		t.Error("a connection was reused after its idle timeout")
