--- a/internal/ledger/replica/options.go
+++ b/internal/ledger/replica/options.go
@@ -43,9 +43,9 @@
 	FS vfs.FS
 	// Reserve is the free disk space in bytes below which writes are refused.
 	Reserve uint64
-	// Scarce is the free disk space in bytes below which Service.Scarce returns
+	// LowSpaceThreshold is the free disk space in bytes below which Service.LowSpace returns
 	// true; 0 means Reserve.
-	Scarce uint64
+	LowSpaceThreshold uint64
 	// DiskBytes is the size of the disk; 0 means that it is unknown and large.
 	DiskBytes uint64
 	// Shards and Copies must be equal on all nodes. Shards can't change once the
--- a/internal/ledger/replica/service.go
+++ b/internal/ledger/replica/service.go
@@ -109,7 +109,7 @@
 
 func (s *Service) diskOptions() storage.Options {
 	return storage.Options{
-		Folder: s.options.Folder, FS: s.options.FS, Reserve: s.options.Reserve, Scarce: s.options.Scarce, DiskBytes: s.options.DiskBytes,
+		Folder: s.options.Folder, FS: s.options.FS, Reserve: s.options.Reserve, LowSpaceThreshold: s.options.LowSpaceThreshold, DiskBytes: s.options.DiskBytes,
 	}
 }
 
@@ -279,10 +279,10 @@
 	return store != nil && !store.Full() && store.Failure() == nil
 }
 
-// Scarce reports whether free disk space is so low that no new work should start.
-func (s *Service) Scarce() bool {
+// LowSpace reports whether free disk space is so low that no new work should start.
+func (s *Service) LowSpace() bool {
 	store := s.disk()
-	return store != nil && store.Scarce()
+	return store != nil && store.LowSpace()
 }
 
 // idleFactor lengthens the intervals of background tasks on nodes without replicas,
