--- a/internal/system/adapter.go
+++ b/internal/system/adapter.go
@@ -11,23 +11,23 @@
 	"chutelock.dev/chutelock/internal/upstream"
 )
 
-// Adapter translates between a node and its platform.
+// Adapter has the stores, names and formats of a platform.
 type Adapter struct {
 	Store    mirror.Reader
 	Registry mirror.Registry
-	// Ledger is where the ledger's shard directory lies.
+	// Ledger stores the ledger's shard directory.
 	Ledger platform.Store
-	// Evacuations tells operators how far the emptying of a data node is.
+	// Evacuations reports the progress of evacuations to operators.
 	Evacuations Evacuations
-	// Poison keeps records of requests under which engines ended.
+	// Poison stores the records of requests that crashed engines.
 	Poison poison.Store
 
 	Engines upstream.Dialect
 	Callers edge.Dialect
-	// ReadyPath is what the platform asks on the readiness address.
+	// ReadyPath is the path of the platform's readiness probes.
 	ReadyPath string
 
-	// Kinds of objects, and how their contents are read.
+	// Kinds of objects, and functions that decode their contents.
 	ConfigurationKind string
 	ConfigurationName string
 	EnginesKind       string
@@ -35,21 +35,21 @@
 	ZoneDrainsKind    string
 	PoisonKind        string
 	Configuration     func(content []byte) (*catalog.Configuration, error)
-	// EnginePlace reads of an engine's entry which nodes are to know it.
+	// EnginePlace returns which nodes mirror an engine's entry.
 	EnginePlace func(content []byte) mirror.Place
-	// Engine reads an engine's entry; it fails if the entry names no engine to use.
+	// Engine decodes an engine's entry; it fails if the entry has no usable engine.
 	Engine func(entry mirror.Object) (*catalog.Engine, error)
-	// ZoneDrains lists the zones whose engines are to get nothing new.
+	// ZoneDrains lists the drained zones, whose engines get no new requests.
 	ZoneDrains func(objects []mirror.Object) []string
-	// PoisonRecords reads records of requests under which engines ended.
+	// PoisonRecords decodes the records of requests that crashed engines.
 	PoisonRecords func(objects []mirror.Object) []poison.Record
 }
 
-// Evacuations reports on data nodes that are to be emptied.
+// Evacuations stores the state of the evacuations of data nodes.
 type Evacuations interface {
-	// Report writes the state of an evacuation: done once nothing that counts
-	// lies on the node any more.
+	// Report writes the state of an evacuation, which is done once no replica is
+	// left on the node.
 	Report(ctx context.Context, node string, done bool) error
-	// Reported reads the state from an evacuation's object.
+	// Reported decodes the state from an evacuation's object.
 	Reported(content []byte) (reported, done bool)
 }
--- a/internal/system/core.go
+++ b/internal/system/core.go
@@ -26,46 +26,45 @@
 )
 
 var (
-	eventStarted       = telemetry.Define(1011, "started", "A node on a platform of objects started.")
-	eventListenerEnded = telemetry.Define(1016, "listener-ended", "A server stopped taking connections though the node goes on; it has to be restarted.")
-	eventStopped       = telemetry.Define(1012, "stopped", "A node on a platform of objects ended its planned stop.")
-	eventReloaded      = telemetry.Define(1014, "settings-reloaded", "The settings file was read again; says what was applied and whether the rest needs a restart.")
-	eventStops         = telemetry.Define(1013, "stopping", "A planned stop began; the node is not ready from now on.")
+	eventStarted        = telemetry.Define(1011, "started", "A node started.")
+	eventListenerFailed = telemetry.Define(1016, "listener-ended", "A server stopped accepting connections while the node keeps running; the node has to be restarted.")
+	eventStopped        = telemetry.Define(1012, "stopped", "A node completed its planned shutdown.")
+	eventReloaded       = telemetry.Define(1014, "settings-reloaded", "The settings file was reloaded; gives what was applied and whether a restart is needed for the rest.")
+	eventStopping       = telemetry.Define(1013, "stopping", "A planned shutdown began; the node reports that it is not ready.")
 )
 
 const (
-	// evacuationFresh is the time within which data nodes know that one of them
-	// is to be emptied.
-	evacuationFresh = 8 * time.Second
-	// The ledger's times; a lost replica is replaced as soon as another node
-	// can take its place.
-	replaceAfter   = 1500 * time.Millisecond
-	repairInterval = 150 * time.Millisecond
-	bootstrapWait  = 3 * time.Second
-	directoryTime  = 700 * time.Millisecond
-	// shards is the number of the ledger's shards; those of regions come beside it.
-	shards = 1
-	// pruneInterval is the time between two looks at resting connections.
+	// maxEvacuationStaleness bounds how late data nodes learn of an evacuation.
+	maxEvacuationStaleness = 8 * time.Second
+	// Intervals and timeouts of the ledger. A lost replica is replaced as soon as
+	// another node is available.
+	replaceAfter      = 1500 * time.Millisecond
+	repairInterval    = 150 * time.Millisecond
+	bootstrapWait     = 3 * time.Second
+	directoryInterval = 700 * time.Millisecond
+	// globalShards is the number of the ledger's shards without those of regions.
+	globalShards = 1
+	// pruneInterval is the time between two checks for idle connections.
 	pruneInterval = time.Second
 )
 
-// publicKey authenticates peers where no key is configured; see config.Peers.
+// publicKey is the peers' key if none is configured; see config.Peers.
 var publicKey = []byte("chutelock peers without a secret")
 
-// core is what all nodes have.
+// core is the part that front nodes and data nodes share.
 type core struct {
 	settings *config.Node
 	adapter  *Adapter
 	registry *prometheus.Registry
 	peers    *transport.Node
 	agent    *mirror.Agent
-	facts    *facts
+	catalog  *catalogTracker
 	pool     *upstream.Pool
 	balancer *balance.Balancer
 	guard    *poison.Guard
 	ledger   *replica.Service
-	// ports part the messages about the shards of batch work.
-	ports *batchwork.Ports
+	// shardPorts separates the messages of the shards of batch work.
+	shardPorts *batchwork.Ports
 
 	metrics *http.Server // nil without an address
 	stop    chan struct{}
@@ -84,20 +83,20 @@
 	if err != nil {
 		return nil, trace.Wrap(err, "listen for peers")
 	}
-	c.ports = batchwork.NewPorts(c.peers, c.peers)
-	c.facts = newFacts(adapter, settings)
+	c.shardPorts = batchwork.NewPorts(c.peers, c.peers)
+	c.catalog = newCatalogTracker(adapter, settings)
 	c.agent = mirror.New(c.mirrorOptions(dataNode))
-	c.facts.agent = c.agent
+	c.catalog.agent = c.agent
 	c.guard = c.newGuard(dataNode)
-	c.facts.learnt = c.guard.Loaded
-	c.handlePoison(dataNode)
+	c.catalog.poisonLoaded = c.guard.Loaded
+	c.registerPoisonHandlers(dataNode)
 	c.pool = upstream.NewPool(adapter.Engines)
-	c.balancer = balance.New(c.facts.Snapshot)
+	c.balancer = balance.New(c.catalog.Snapshot)
 	c.pool.Connected = c.balancer.Connected
 	c.registerGauges(c.commonGauges())
-	c.registerPoison()
+	c.registerPoisonMetrics()
 	if settings.Platform.Drain > 0 {
-		c.registry.MustRegister(drainMetrics{c})
+		c.registry.MustRegister(drainCollector{c})
 	}
 	return c, nil
 }
@@ -122,7 +121,7 @@
 		Kinds: []mirror.Kind{
 			{Name: c.adapter.ConfigurationKind, MaxStaleness: c.settings.Platform.Apply},
 			{Name: c.adapter.EnginesKind, MaxStaleness: c.settings.Platform.Leave, Place: c.adapter.EnginePlace},
-			{Name: c.adapter.PoisonKind, MaxStaleness: poisonFresh},
+			{Name: c.adapter.PoisonKind, MaxStaleness: maxPoisonStaleness},
 		},
 		Store: c.adapter.Store, Registry: c.adapter.Registry, Sender: c.peers, Receiver: c.peers,
 		Changed: c.mirrorChanged,
@@ -131,59 +130,59 @@
 		options.Kinds = append(options.Kinds, mirror.Kind{Name: c.adapter.ZoneDrainsKind, MaxStaleness: c.settings.Platform.Drain})
 	}
 	if dataNode {
-		options.Kinds = append(options.Kinds, mirror.Kind{Name: c.adapter.EvacuationsKind, MaxStaleness: evacuationFresh})
+		options.Kinds = append(options.Kinds, mirror.Kind{Name: c.adapter.EvacuationsKind, MaxStaleness: maxEvacuationStaleness})
 	}
-	options.Seeds = addresses(c.settings.Peers.Seeds)
+	options.Seeds = toAddresses(c.settings.Peers.Seeds)
 	return options
 }
 
-// mirrorChanged takes that objects of a kind changed; it doesn't block.
+// mirrorChanged passes a change of a kind to the guard or the catalog; it does not block.
 func (c *core) mirrorChanged(kind string) {
 	if kind == c.adapter.PoisonKind {
-		waited := !c.guard.Loaded()
-		c.learnPoison()
-		if !waited {
+		wasLoading := !c.guard.Loaded()
+		c.loadPoisonRecords()
+		if !wasLoading {
 			return
 		}
-		kind = "" // the configuration may have waited for it
+		kind = "" // the configuration may have been waiting for the records
 	}
-	c.facts.changed(kind)
+	c.catalog.changed(kind)
 }
 
-func addresses(listed []string) []transport.Address {
-	result := make([]transport.Address, 0, len(listed))
-	for _, address := range listed {
+func toAddresses(values []string) []transport.Address {
+	result := make([]transport.Address, 0, len(values))
+	for _, address := range values {
 		result = append(result, transport.Address(address))
 	}
 	return result
 }
 
-// Reload implements Node: seeds are applied, everything else needs a restart.
+// Reload implements Node. Only seeds are applied; other changes need a restart.
 func (c *core) Reload(settings *config.Node) {
-	c.agent.SetSeeds(addresses(settings.Peers.Seeds))
-	rest := *settings
-	rest.Peers.Seeds = c.settings.Peers.Seeds
+	c.agent.SetSeeds(toAddresses(settings.Peers.Seeds))
+	unapplied := *settings
+	unapplied.Peers.Seeds = c.settings.Peers.Seeds
 	eventReloaded.Info("node", c.settings.Node.Name, "seeds", settings.Peers.Seeds,
-		"restart_needed", !reflect.DeepEqual(&rest, c.settings))
+		"restart_needed", !reflect.DeepEqual(&unapplied, c.settings))
 }
 
 func (c *core) ledgerOptions(view *members) replica.Options {
 	disk := newDiskBudget(uint64(c.settings.Data.Size) << 20)
 	return replica.Options{
 		Sender: c.peers, Receiver: c.peers, Members: view, Store: c.adapter.Ledger, Registry: c.registry,
-		Shards: shards, Copies: c.settings.Ledger.Replicas(), ZoneLosses: c.settings.Ledger.ZoneLosses,
+		Shards: globalShards, Copies: c.settings.Ledger.Replicas(), ZoneLosses: c.settings.Ledger.ZoneLosses,
 		Regions: c.regionNames(), LeastCopies: 2*c.settings.Ledger.Losses + 1, ReplaceAfter: replaceAfter, BootstrapWait: bootstrapWait,
-		RepairInterval: repairInterval, DirectoryInterval: directoryTime, ReplaceLeaving: true,
+		RepairInterval: repairInterval, DirectoryInterval: directoryInterval, ReplaceLeaving: true,
 		DiskBytes: disk.size, RetainBytes: disk.retain, Reserve: disk.reserve, Scarce: disk.scarce,
 	}
 }
 
 func (c *core) start() error {
 	c.peers.Serve()
-	c.run(func() { c.facts.follow(c.stop) })
-	c.run(c.prune)
+	c.spawn(func() { c.catalog.followChanges(c.stop) })
+	c.spawn(c.prune)
 	if c.settings.Platform.Drain > 0 {
-		c.run(c.tellDrains)
+		c.spawn(c.logDrainProgress)
 	}
 	c.guard.Start()
 	c.agent.Start()
@@ -193,7 +192,7 @@
 	return c.serveMetrics()
 }
 
-func (c *core) run(task func()) {
+func (c *core) spawn(task func()) {
 	c.tasks.Add(1)
 	go func() {
 		defer c.tasks.Done()
@@ -201,8 +200,8 @@
 	}()
 }
 
-// rest waits; false if the node stops meanwhile.
-func (c *core) rest(pause time.Duration) bool {
+// sleep pauses and reports whether the node is still running.
+func (c *core) sleep(pause time.Duration) bool {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
@@ -213,7 +212,7 @@
 	}
 }
 
-// prune closes connections to engines that rested too long or are gone.
+// prune closes connections that have been idle too long or whose engine left.
 func (c *core) prune() {
 	ticker := time.NewTicker(pruneInterval)
 	defer ticker.Stop()
@@ -222,7 +221,7 @@
 		case <-c.stop:
 			return
 		case <-ticker.C:
-			snapshot := c.facts.Snapshot()
+			snapshot := c.catalog.Snapshot()
 			c.pool.Prune(clock.Now(), func(_, instance string) bool {
 				engine, found := snapshot.Engine(instance)
 				return found && !engine.Leaving
@@ -245,16 +244,16 @@
 	eventStopped.Info("node", c.settings.Node.Name)
 }
 
-// route finds the present route of a batch job.
+// route returns the current route of a batch job; nil if there is none.
 func (c *core) route(host, path string) *catalog.Route {
-	route := c.facts.Snapshot().Configuration.Match(host, path)
+	route := c.catalog.Snapshot().Configuration.Match(host, path)
 	if route == nil || route.Kind != catalog.KindBatch {
 		return nil
 	}
 	return route
 }
 
-// serve answers on an address until the server is shut down.
+// serve listens on an address and serves it in the background.
 func serve(address string, server *http.Server) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -262,26 +261,27 @@
 	}
 	go func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			eventListenerEnded.Error(err, "address", address)
+			eventListenerFailed.Error(err, "address", address)
 		}
 	}()
 	return nil
 }
 
 // EventSettingsRefused is logged by the program that reads the settings file.
-var EventSettingsRefused = telemetry.Define(1015, "settings-refused", "The settings file was read again and is wrong; what was in force stays.")
+var EventSettingsRefused = telemetry.Define(1015, "settings-refused", "The reloaded settings file is invalid; the settings in force are kept.")
 
-// Node is an assembled node.
+// Node is a front node or a data node.
 type Node interface {
-	// Start opens the node's ports and lets it work.
+	// Start opens the node's ports and starts its tasks.
 	Start() error
-	// Reload applies a settings file that was read again.
+	// Reload applies a reloaded settings file.
 	Reload(settings *config.Node)
-	// Drain is the planned stop; it ends with ctx at the latest.
+	// Drain shuts the node down gracefully, at the latest when ctx ends.
 	Drain(ctx context.Context)
 }
 
-// Open assembles the node that the settings describe.
+// Open returns the node that the settings describe: a data node if they have a
+// data folder, else a front node.
 func Open(settings *config.Node, adapter *Adapter) (Node, error) {
 	if settings.Data.Folder != "" {
 		return openData(settings, adapter)
--- a/internal/system/data.go
+++ b/internal/system/data.go
@@ -19,26 +19,26 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// data is a data node.
+// data is a data node, which has replicas of the ledger and runs batch items.
 type data struct {
 	*core
-	works  *works
-	runner *batchwork.Runner // of shard 0
-	// executor runs items for a leader on another node.
-	executor *batchwork.Executor
-	answers  paces  // of load reports
-	sum      cached // of them
+	shardWork *shardWorkSet
+	runner    *batchwork.Runner // of shard 0
+	// executor runs items for the leader of a shard on another node.
+	executor        *batchwork.Executor
+	responseLimiter peerRateLimiter // of responses to load reports
+	encodedSum      encodedCache    // of the responses
 
 	quotas *quotaExchange
 
-	regionJobs, astrayJobs *prometheus.GaugeVec
+	regionJobs, misplacedJobs *prometheus.GaugeVec
 
 	exchangeMutex sync.Mutex // guards exchange; a leaf
 	exchange      *loadshare.Exchange
-	shareDue      chan struct{} // of capacity 1: there is news of load
+	shareDue      chan struct{} // of capacity 1: the load has changed
 
-	cancel  context.CancelFunc
-	running context.Context
+	cancel context.CancelFunc
+	ctx    context.Context
 }
 
 func openData(settings *config.Node, adapter *Adapter) (*data, error) {
@@ -47,50 +47,50 @@
 		return nil, err
 	}
 	d := &data{
-		core: common, works: newWorks(),
+		core: common, shardWork: newShardWorkSet(),
 		exchange: loadshare.NewExchange(common.self()), shareDue: make(chan struct{}, 1),
 	}
-	d.running, d.cancel = context.WithCancel(context.Background())
+	d.ctx, d.cancel = context.WithCancel(context.Background())
 	options := common.ledgerOptions(&members{self: common.self(), agent: common.agent, evacuating: d.evacuating})
 	options.Folder = filepath.Join(settings.Data.Folder, "ledger")
-	options.NewMachine = func(id ledger.ShardID) ledger.StateMachine { return d.works.machine(id) }
+	options.NewMachine = func(id ledger.ShardID) ledger.StateMachine { return d.shardWork.machine(id) }
 	if d.ledger, err = replica.Open(options); err != nil {
 		return nil, err
 	}
 	d.executor = batchwork.NewExecutor(batchwork.ExecutorOptions{
-		Pool: d.pool, Usable: d.facts.usableForBatch, EngineID: d.facts.engineID, Knows: d.facts.enginesKnown, Permitted: d.permitted, Sender: d.peers, Receiver: d.peers,
+		Pool: d.pool, Usable: d.catalog.usableForBatch, EngineID: d.catalog.engineID, Knows: d.catalog.enginesKnown, Permitted: d.permitted, Sender: d.peers, Receiver: d.peers,
 		Guard: d.guard,
 	})
 	for _, region := range d.regionNames() {
-		port := d.ports.For(ledger.RegionShard(region))
+		port := d.shardPorts.For(ledger.RegionShard(region))
 		d.executor.Also(port, port)
 	}
-	d.runner = d.openWork(0)
+	d.runner = d.openShardWork(0)
 	d.registerGauges(map[string]gauge{
 		"chutelock_batch_items_open":     {"Items that are not final, at a replica.", func() float64 { return float64(d.openItems()) }},
 		"chutelock_batch_items_running":  {"Items that run for this node as the leader.", func() float64 { return float64(d.runningItems()) }},
 		"chutelock_batch_items_executed": {"Items that this node runs for another one that leads.", func() float64 { return float64(d.executor.Running()) }},
 	})
 	d.regionJobs = newRegionGauge(d.registry, "chutelock_batch_region_jobs", "Jobs at this node's replica of a region's shard, while any route or tenant is restricted; no region: of shard 0.")
-	d.astrayJobs = newRegionGauge(d.registry, "chutelock_batch_jobs_astray", "Those of them that lie where they may not by the newest configuration.")
-	d.peers.HandleDatagram(kindLoadReport, d.takeLoadReport)
-	d.peers.HandleDatagram(kindLoadAsk, d.takeLoadAsk)
-	d.peers.HandleDatagram(kindLoadShare, d.takeLoadShare)
-	d.quotas = newQuotaExchange(settings, d.peers, d.facts.Snapshot)
+	d.misplacedJobs = newRegionGauge(d.registry, "chutelock_batch_jobs_astray", "Those of them that lie where they may not by the newest configuration.")
+	d.peers.HandleDatagram(kindLoadReport, d.handleLoadReport)
+	d.peers.HandleDatagram(kindLoadQuery, d.handleLoadQuery)
+	d.peers.HandleDatagram(kindLoadShare, d.handleLoadShare)
+	d.quotas = newQuotaExchange(settings, d.peers, d.catalog.Snapshot)
 	d.registerGauges(map[string]gauge{
 		"chutelock_limits_zones_unheard": {"Zones that leave counts of limits unanswered: room is kept for their part.", d.quotas.silentZoneCount},
 	})
-	d.peers.HandleDatagram(kindQuotaReport, d.quotas.takeReport)
-	d.peers.HandleDatagram(kindQuotaShare, d.quotas.takeShare)
-	granting := newGranting(settings, d.peers, d.agent.Nodes, d.facts.Snapshot)
-	d.peers.HandleDatagram(kindPermitAsk, granting.takeAsk)
-	d.registerGauges(granting.gauges())
+	d.peers.HandleDatagram(kindQuotaReport, d.quotas.handleReport)
+	d.peers.HandleDatagram(kindQuotaShare, d.quotas.handleShare)
+	permits := newPermitServer(settings, d.peers, d.agent.Nodes, d.catalog.Snapshot)
+	d.peers.HandleDatagram(kindPermitAsk, permits.handleAsk)
+	d.registerGauges(permits.gauges())
 	return d, nil
 }
 
 // executors lists the data nodes that may run items at engines of a zone for this
-// one: those of the zone, in an order that all leaders share, so that their
-// connections to engines stay.
+// node: those of the zone, in the same order for all leaders, so that connections
+// to engines are reused.
 func (d *data) executors(zone string) []transport.Address {
 	evacuating := d.evacuating()
 	nodes := slices.DeleteFunc(d.agent.Nodes(), func(n mirror.Node) bool {
@@ -106,7 +106,7 @@
 	return addresses
 }
 
-// executorRank is not that of the zone's load relay: each has its own work.
+// executorRank differs from the rank of load relays, to spread the two tasks.
 func executorRank(zone string, node mirror.Node) uint64 {
 	return membership.RendezvousScore("executor of "+zone, node.Name)
 }
@@ -116,20 +116,20 @@
 	if err := d.start(); err != nil {
 		return err
 	}
-	d.run(func() { d.runner.Run(d.running) })
-	d.run(func() { d.reportEvacuations(d.running) })
+	d.spawn(func() { d.runner.Run(d.ctx) })
+	d.spawn(func() { d.reportEvacuations(d.ctx) })
 	if len(d.settings.Zones) > 0 {
-		d.run(d.followShards)
+		d.spawn(d.manageShards)
 	}
-	d.run(d.shareLoad)
+	d.spawn(d.shareLoad)
 	return nil
 }
 
-// Drain implements Node: what runs is committed, then leadership moves.
+// Drain implements Node. Running items are committed, then leadership is transferred.
 func (d *data) Drain(ctx context.Context) {
-	eventStops.Info("node", d.settings.Node.Name)
+	eventStopping.Info("node", d.settings.Node.Name)
 	d.executor.Close()
-	for _, runner := range d.works.runners() {
+	for _, runner := range d.shardWork.runners() {
 		runner.Stop()
 	}
 	_ = d.ledger.Drain(ctx)
@@ -138,14 +138,14 @@
 }
 
 func (d *data) openItems() (open int) {
-	for _, one := range d.works.all() {
-		open += one.machine.Open()
+	for _, work := range d.shardWork.all() {
+		open += work.machine.Open()
 	}
 	return open
 }
 
 func (d *data) runningItems() (running int) {
-	for _, runner := range d.works.runners() {
+	for _, runner := range d.shardWork.runners() {
 		running += runner.Running()
 	}
 	return running
--- a/internal/system/diskbudget.go
+++ b/internal/system/diskbudget.go
@@ -1,31 +1,31 @@
 package system
 
-// diskBudget shares a data node's disk out, in bytes.
+// diskBudget divides a data node's disk, in bytes.
 type diskBudget struct {
 	size uint64
-	// retain is how much of the log is kept for slow followers; the log may be
-	// twice that before it is cut.
+	// retain is how much of the log is kept for slow followers; the log is
+	// truncated at twice that size.
 	retain uint64
-	// reserve is the free space below which nothing is accepted, so that the
-	// store can still compact what it has.
+	// reserve is the free space below which no write is accepted, so that the
+	// store can still compact.
 	reserve uint64
-	// scarce is the free space below which no new job is taken, so that those
-	// that were can be completed.
+	// scarce is the free space below which no new job is accepted, so that
+	// accepted jobs can be completed.
 	scarce uint64
 }
 
 const (
-	retainMost  = 8 << 20
-	reserveMost = 24 << 20
-	scarceMost  = 96 << 20
+	maxRetain  = 8 << 20
+	maxReserve = 24 << 20
+	maxScarce  = 96 << 20
 )
 
-// newDiskBudget shares out a disk of the size; 0 means that it is large.
+// newDiskBudget returns the budget for a disk of a size; 0 stands for a large disk.
 func newDiskBudget(size uint64) diskBudget {
 	if size == 0 {
-		return diskBudget{retain: retainMost, reserve: reserveMost, scarce: scarceMost}
+		return diskBudget{retain: maxRetain, reserve: maxReserve, scarce: maxScarce}
 	}
 	return diskBudget{
-		size: size, retain: min(size/32, retainMost), reserve: min(size/8, reserveMost), scarce: min(size*3/10, scarceMost),
+		size: size, retain: min(size/32, maxRetain), reserve: min(size/8, maxReserve), scarce: min(size*3/10, maxScarce),
 	}
 }
--- a/internal/system/doc.go
+++ b/internal/system/doc.go
@@ -1,5 +1,5 @@
-// Package system assembles a node for a platform whose store holds the
-// configuration and the engines as objects: a front node serves callers, a
-// data node keeps replicas of the ledger and runs batch items. It only wires;
-// the platform's own names and formats come in as an Adapter.
+// Package system assembles nodes from the other packages: front nodes, which serve
+// callers, and data nodes, which store replicas of the ledger and run batch items.
+// The platform's store has the configuration and the engines as objects; an Adapter
+// defines their names and formats.
 package system
--- a/internal/system/drains.go
+++ b/internal/system/drains.go
@@ -12,61 +12,61 @@
 	"chutelock.dev/chutelock/internal/telemetry"
 )
 
-var eventDrainProgress = telemetry.Define(7204, "zone-drain-progress", "How many requests this node has under way at engines of drained zones: when it is first seen, again at growing distances, and once there are none, or no zone is drained any more.")
+var eventDrainProgress = telemetry.Define(7204, "zone-drain-progress", "The number of this node's requests in flight at engines of drained zones; logged when there are some, again at growing intervals, and once there are none or no zone is drained.")
 
 const (
-	// drainInterval is the time between two looks at what is under way in drained
-	// zones, and the least between two lines on it; drainIntervalMost is the most
-	// between two lines, as a stream may go on for minutes.
-	drainInterval     = time.Second
-	drainIntervalMost = 32 * time.Second
+	// drainLogInterval is the time between two checks of the requests in flight in
+	// drained zones, and the minimum between two log lines; maxDrainLogInterval is
+	// the maximum between two lines, as a stream may last for minutes.
+	drainLogInterval    = time.Second
+	maxDrainLogInterval = 32 * time.Second
 )
 
-// drainWatch decides when to tell of what is under way in drained zones. It is pure.
-type drainWatch struct {
-	told  time.Time
-	pause time.Duration // until the next line; 0 while nothing is under way
+// drainLogSchedule decides when to log the requests in drained zones. It does no I/O.
+type drainLogSchedule struct {
+	lastLogged time.Time
+	interval   time.Duration // until the next line; 0 while nothing is in flight
 }
 
-// due takes how many requests are under way, and says whether that is to be told.
-func (w *drainWatch) due(underWay int, now time.Time) bool {
+// due reports whether to log the number of requests in flight now.
+func (s *drainLogSchedule) due(inFlight int, now time.Time) bool {
 	switch {
-	case underWay == 0:
-		ended := w.pause > 0
-		w.pause = 0
+	case inFlight == 0:
+		ended := s.interval > 0
+		s.interval = 0
 		return ended
-	case w.pause == 0:
-		w.pause = drainInterval
-	case now.Sub(w.told) < w.pause:
+	case s.interval == 0:
+		s.interval = drainLogInterval
+	case now.Sub(s.lastLogged) < s.interval:
 		return false
 	default:
-		w.pause = min(2*w.pause, drainIntervalMost)
+		s.interval = min(2*s.interval, maxDrainLogInterval)
 	}
-	w.told = now
+	s.lastLogged = now
 	return true
 }
 
-// tellDrains tells how far drained zones are, until the node stops.
-func (c *core) tellDrains() {
-	var watch drainWatch
-	for c.rest(drainInterval) {
-		zones := c.facts.drainedZones()
-		underWay := c.balancer.OwnByZone(zones)
+// logDrainProgress logs the requests in flight in drained zones until the node stops.
+func (c *core) logDrainProgress() {
+	var schedule drainLogSchedule
+	for c.sleep(drainLogInterval) {
+		zones := c.catalog.drainedZones()
+		inFlight := c.balancer.OwnByZone(zones)
 		online, batch := 0, 0
-		for _, counts := range underWay {
+		for _, counts := range inFlight {
 			online += counts[balance.ClassOnline]
 			batch += counts[balance.ClassBatch]
 		}
-		if watch.due(online+batch, clock.Now()) {
-			eventDrainProgress.Info("zones", zones, "online", online, "batch", batch, "by_zone", byZone(zones, underWay))
+		if schedule.due(online+batch, clock.Now()) {
+			eventDrainProgress.Info("zones", zones, "online", online, "batch", batch, "by_zone", formatByZone(zones, inFlight))
 		}
 	}
 }
 
-func byZone(zones []string, underWay map[string]balance.Counts) string {
+func formatByZone(zones []string, inFlight map[string]balance.Counts) string {
 	var parts []string
 	for _, zone := range zones {
-		counts := underWay[zone]
+		counts := inFlight[zone]
 		parts = append(parts, fmt.Sprintf("%s: %d online, %d batch", zone, counts[balance.ClassOnline], counts[balance.ClassBatch]))
 	}
 	return strings.Join(parts, "; ")
@@ -79,23 +79,23 @@
 		"Requests that this node has under way at engines of a drained zone; a leader counts all runs of items.", []string{"zone", "class"}, nil)
 )
 
-// drainMetrics implements prometheus.Collector.
-type drainMetrics struct{ *core }
+// drainCollector implements prometheus.Collector.
+type drainCollector struct{ *core }
 
 // Describe implements prometheus.Collector.
-func (m drainMetrics) Describe(into chan<- *prometheus.Desc) {
-	into <- descZoneDrained
-	into <- descDrainRequests
+func (c drainCollector) Describe(descs chan<- *prometheus.Desc) {
+	descs <- descZoneDrained
+	descs <- descDrainRequests
 }
 
 // Collect implements prometheus.Collector.
-func (m drainMetrics) Collect(into chan<- prometheus.Metric) {
-	zones := m.facts.drainedZones()
-	underWay := m.balancer.OwnByZone(zones)
+func (c drainCollector) Collect(metrics chan<- prometheus.Metric) {
+	zones := c.catalog.drainedZones()
+	inFlight := c.balancer.OwnByZone(zones)
 	for _, zone := range zones {
-		into <- prometheus.MustNewConstMetric(descZoneDrained, prometheus.GaugeValue, 1, zone)
-		for class, count := range underWay[zone] {
-			into <- prometheus.MustNewConstMetric(descDrainRequests, prometheus.GaugeValue, float64(count), zone, balance.Class(class).String())
+		metrics <- prometheus.MustNewConstMetric(descZoneDrained, prometheus.GaugeValue, 1, zone)
+		for class, count := range inFlight[zone] {
+			metrics <- prometheus.MustNewConstMetric(descDrainRequests, prometheus.GaugeValue, float64(count), zone, balance.Class(class).String())
 		}
 	}
 }
--- a/internal/system/evacuation.go
+++ b/internal/system/evacuation.go
@@ -8,19 +8,19 @@
 	"chutelock.dev/chutelock/internal/telemetry"
 )
 
-var eventEvacuation = telemetry.Define(4201, "evacuation-reported", "The state of a data node that is to be emptied was written to the platform's store.")
+var eventEvacuation = telemetry.Define(4201, "evacuation-reported", "The state of a data node's evacuation was written to the platform's store.")
 
-var eventEvacuationAsk = telemetry.Define(4202, "evacuation-not-known", "It is not known whether a region's shard has left a data node that is to be emptied; it is asked for again.")
+var eventEvacuationUnknown = telemetry.Define(4202, "evacuation-not-known", "It is not known whether a region's shard still has a replica on a data node that is being evacuated; the query is retried.")
 
 const (
 	evacuationInterval = 200 * time.Millisecond
-	// idleEvacuationInterval is the same for a node that does not lead.
+	// idleEvacuationInterval is the interval of a node that is not the leader.
 	idleEvacuationInterval = time.Second
 	evacuationTimeout      = time.Second
 )
 
-// evacuating lists the data nodes that are to be emptied, also those that are
-// reported as empty: they are about to be taken away.
+// evacuating returns the names of the data nodes under evacuation, including those
+// already reported as done: they are about to be removed.
 func (d *data) evacuating() map[string]bool {
 	nodes := map[string]bool{}
 	objects, _ := d.agent.Objects(d.adapter.EvacuationsKind)
@@ -30,7 +30,7 @@
 	return nodes
 }
 
-// reportEvacuations writes how far evacuations are, where this node leads.
+// reportEvacuations writes the states of evacuations while this node is the leader.
 func (d *data) reportEvacuations(ctx context.Context) {
 	ticker := time.NewTicker(evacuationInterval)
 	defer ticker.Stop()
@@ -55,30 +55,30 @@
 			if done {
 				continue
 			}
-			emptied := evacuated(status, object.Name, d.settings.Ledger.Replicas()) && d.regionsEmptied(ctx, object.Name)
-			if reported && !emptied {
+			complete := evacuated(status, object.Name, d.settings.Ledger.Replicas()) && d.regionsEvacuated(ctx, object.Name)
+			if reported && !complete {
 				continue
 			}
-			bounded, cancel := context.WithTimeout(ctx, evacuationTimeout)
-			err := d.adapter.Evacuations.Report(bounded, object.Name, emptied)
+			callCtx, cancel := context.WithTimeout(ctx, evacuationTimeout)
+			err := d.adapter.Evacuations.Report(callCtx, object.Name, complete)
 			cancel()
-			eventEvacuation.Info("node", object.Name, "done", emptied, "failure", err)
+			eventEvacuation.Info("node", object.Name, "done", complete, "failure", err)
 		}
 	}
 }
 
-// regionsEmptied says that none of the replicas of regions' shards lies on the node, and
-// that enough sound ones lie elsewhere: all their leaders say so.
-func (d *data) regionsEmptied(ctx context.Context, node string) bool {
+// regionsEvacuated reports whether the leaders of all regions' shards confirm that no
+// replica is on the node and that enough healthy ones are elsewhere.
+func (d *data) regionsEvacuated(ctx context.Context, node string) bool {
 	ctx, cancel := context.WithTimeout(ctx, evacuationTimeout)
 	defer cancel()
 	for _, shard := range d.ledger.Regional() {
 		if !d.ledger.Enough(shard) && !d.ledger.Led(shard) {
-			continue // there is no such shard yet
+			continue // the shard does not exist yet
 		}
 		placed, err := d.ledger.AskPlaced(ctx, shard, node)
 		if err != nil {
-			eventEvacuationAsk.Error(err, "node", node, "region", d.ledger.Region(shard))
+			eventEvacuationUnknown.Error(err, "node", node, "region", d.ledger.Region(shard))
 			return false
 		}
 		if placed.Holds || placed.Sound < 2*d.settings.Ledger.Losses+1 {
@@ -88,23 +88,23 @@
 	return true
 }
 
-// evacuated says that no replica lies on the node, and that enough sound ones
-// lie elsewhere.
-func evacuated(status replica.Status, node string, replicas int) bool {
+// evacuated reports whether no replica of the shards without a region is on the
+// node, and enough voters are elsewhere.
+func evacuated(status replica.Status, node string, replicaCount int) bool {
 	for _, shard := range status.Shards {
 		if shard.Shard.Regional() {
-			continue // its leader is asked
+			continue // see regionsEvacuated
 		}
-		sound := 0
-		for _, one := range shard.Replicas {
-			if one.Node == node {
+		healthy := 0
+		for _, r := range shard.Replicas {
+			if r.Node == node {
 				return false
 			}
-			if one.State == "voter" {
-				sound++
+			if r.State == "voter" {
+				healthy++
 			}
 		}
-		if sound < replicas {
+		if healthy < replicaCount {
 			return false
 		}
 	}
--- a/internal/system/evacuation_test.go
+++ b/internal/system/evacuation_test.go
@@ -8,9 +8,9 @@
 	"chutelock.dev/chutelock/internal/ledger/replica"
 )
 
-// A data node is emptied only once as many sound voters lie elsewhere as the
-// allowed losses take; three of five would not do.
-func TestANodeIsEmptiedOnceAllReplicasAreElsewhere(t *testing.T) {
+// Guards against reporting an evacuation as done while a replica is on the node or
+// too few voters are elsewhere.
+func TestEvacuatedRequiresAllVotersElsewhere(t *testing.T) {
 	g := gomega.NewWithT(t)
 	voters := func(states ...string) replica.Status {
 		shard := replica.ShardStatus{}
@@ -21,8 +21,8 @@
 	}
 	five := voters("voter", "voter", "voter", "voter", "voter")
 	g.Expect(evacuated(five, "z", 5)).To(gomega.BeTrue())
-	g.Expect(evacuated(five, "a", 5)).To(gomega.BeFalse(), "a replica lies on it")
-	g.Expect(evacuated(voters("voter", "voter", "voter"), "z", 5)).To(gomega.BeFalse(), "three of five")
-	g.Expect(evacuated(voters("voter", "voter", "voter", "voter", "silent"), "z", 5)).To(gomega.BeFalse(), "one is silent")
+	g.Expect(evacuated(five, "a", 5)).To(gomega.BeFalse(), "has a replica")
+	g.Expect(evacuated(voters("voter", "voter", "voter"), "z", 5)).To(gomega.BeFalse(), "three voters of five")
+	g.Expect(evacuated(voters("voter", "voter", "voter", "voter", "silent"), "z", 5)).To(gomega.BeFalse(), "one replica is silent")
 	g.Expect(evacuated(voters("voter", "voter", "voter"), "z", 3)).To(gomega.BeTrue())
 }
--- a/internal/system/front.go
+++ b/internal/system/front.go
@@ -22,36 +22,36 @@
 )
 
 const (
-	// headerTimeout bounds the reading of a request's head.
+	// headerTimeout bounds the reading of a request's headers.
 	headerTimeout = 5 * time.Second
-	// idleTimeout closes callers' connections that rest.
+	// idleTimeout is how long callers' idle connections are kept open.
 	idleTimeout = time.Minute
-	// headerBytesMost bounds a head before the configuration's own bound.
-	headerBytesMost = 64 << 10
-	// leaveTime is how long a stopping node goes on taking connections: the
-	// platform notices within two of its questions that it is not ready.
-	leaveTime = 2500 * time.Millisecond
-	// drainMargin is kept of the time for a planned stop.
+	// maxHeaderBytes bounds a request's headers before the configured limit applies.
+	maxHeaderBytes = 64 << 10
+	// lameDuckPeriod is how long a stopping node keeps accepting connections: the
+	// platform notices within two readiness probes that it is not ready.
+	lameDuckPeriod = 2500 * time.Millisecond
+	// drainMargin is the part of the shutdown deadline kept for closing servers.
 	drainMargin = 700 * time.Millisecond
-	// drainPoll is how often a stopping node looks for open requests.
-	drainPoll = 20 * time.Millisecond
+	// drainPollInterval is how often a stopping node checks for requests in flight.
+	drainPollInterval = 20 * time.Millisecond
 )
 
-// front is a front node.
+// front is a front node, which serves callers.
 type front struct {
 	*core
-	edge      *edge.Edge
-	callers   *http.Server
-	readiness *http.Server
-	draining  atomic.Bool
-	limits    *limits
-	chosen    chan struct{} // of capacity 1: an engine was chosen
+	edge         *edge.Edge
+	callers      *http.Server
+	readiness    *http.Server
+	draining     atomic.Bool
+	quota        *quotaEnforcer
+	engineChosen chan struct{} // of capacity 1: an engine was chosen
 
-	choiceMutex sync.Mutex // guards what is below; the balancer's is taken under it
+	choiceMutex sync.Mutex // guards the fields below; acquired before the balancer's
 	choice      *loadshare.Choice
-	reported    balance.Report    // the last load report
-	reportsTo   transport.Address // where it went
-	nextSum     chan struct{}     // closes when a sum comes
+	lastReport  balance.Report    // the last load sent
+	relay       transport.Address // the data node that gets load reports
+	sumReceived chan struct{}     // closed when a sum arrives
 }
 
 func openFront(settings *config.Node, adapter *Adapter) (*front, error) {
@@ -59,71 +59,71 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &front{core: common, choice: loadshare.NewChoice(settings.Node.Zone), nextSum: make(chan struct{}), chosen: make(chan struct{}, 1)}
-	nobody := func() map[string]bool { return nil }
-	options := common.ledgerOptions(&members{self: common.self(), agent: common.agent, evacuating: nobody})
-	options.Store = nil // a front places no shards; peers tell it who leads
+	f := &front{core: common, choice: loadshare.NewChoice(settings.Node.Zone), sumReceived: make(chan struct{}), engineChosen: make(chan struct{}, 1)}
+	noNodes := func() map[string]bool { return nil }
+	options := common.ledgerOptions(&members{self: common.self(), agent: common.agent, evacuating: noNodes})
+	options.Store = nil // a front node places no shards; it learns leaders from peers
 	if f.ledger, err = replica.Open(options); err != nil {
 		return nil, err
 	}
-	f.limits = newLimits(settings.Quota, f.peers, f.reportReceiver)
+	f.quota = newQuotaEnforcer(settings.Quota, f.peers, f.currentRelay)
 	f.edge = &edge.Edge{
-		Admit: f.limits.admit, Withdraw: f.limits.withdraw,
+		Admit: f.quota.admit, Withdraw: f.quota.withdraw,
 		Dialect:              adapter.Callers,
 		MemoryBudget:         edge.NewMemoryBudget(int64(settings.Memory.Limit) << 20),
-		Snapshot:             f.facts.Snapshot,
+		Snapshot:             f.catalog.Snapshot,
 		ConfigurationCurrent: func() bool { return f.configurationAge() <= settings.Platform.Apply },
 		ConfigurationExpired: func() bool {
 			return settings.Platform.Revoke > 0 && f.configurationAge() > settings.Platform.Revoke
 		},
 		Forwarder: &forward.Forwarder{
-			Pool: f.pool, Balancer: f.balancer, Usable: f.facts.usable, Zone: settings.Node.Zone, Region: settings.Node.Region,
+			Pool: f.pool, Balancer: f.balancer, Usable: f.catalog.usable, Zone: settings.Node.Zone, Region: settings.Node.Region,
 			Regions: func(request *forward.Request, route *catalog.Route) catalog.Regions {
-				return f.facts.Snapshot().Configuration.RegionsNow(route, request.Tenant, request.Regions)
+				return f.catalog.Snapshot().Configuration.RegionsNow(route, request.Tenant, request.Regions)
 			},
 			Observe: newRequestMetrics(common.registry).observe,
-			Refresh: f.refreshLoad, Chosen: f.reportChoice, Guard: f.guard,
+			Refresh: f.refreshLoad, Chosen: f.reportEngineChosen, Guard: f.guard,
 		},
 		Jobs: batchwork.NewCaller(batchwork.CallerOptions{
-			Directory: f.ledger, Sender: f.peers, Near: f.nearReplica, Within: f.within, LiesWithin: f.liesWithin,
+			Directory: f.ledger, Sender: f.peers, Near: f.nearReplica, Within: f.jobPlacement, LiesWithin: f.inShardRegion,
 		}),
 	}
 	f.callers = &http.Server{
-		Handler: f.edge, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: headerBytesMost,
+		Handler: f.edge, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc(adapter.ReadyPath, f.serveReady)
 	f.readiness = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
-	f.peers.HandleDatagram(kindLoadSum, f.takeLoadSum)
-	f.peers.HandleDatagram(kindQuotaSum, f.limits.takeSum)
-	permits := newPermits(f.peers, f.agent.Nodes, f.facts.warm)
+	f.peers.HandleDatagram(kindLoadSum, f.handleLoadSum)
+	f.peers.HandleDatagram(kindQuotaSum, f.quota.handleSum)
+	permits := newPermitClient(f.peers, f.agent.Nodes, f.catalog.noteWarm)
 	f.balancer.Permit = permits.permit
-	f.peers.HandleDatagram(kindPermitAnswer, permits.takeAnswer)
+	f.peers.HandleDatagram(kindPermitAnswer, permits.handleAnswer)
 	f.registerGauges(permits.gauges())
 	return f, nil
 }
 
 // nearReplica picks the replica of the ledger in this node's zone, or else in its
-// region: bytes between them are costly, and results are read more often than they are
-// written.
+// region: results are read more often than written, and traffic between zones and
+// regions is costly.
 func (f *front) nearReplica(replicas []transport.Address) (transport.Address, bool) {
 	if len(replicas) == 0 {
 		return "", false
 	}
 	leader, _ := f.ledger.Leader(0)
-	return nearest(f.agent.Nodes(), replicas, leader, f.self())
+	return nearestReplica(f.agent.Nodes(), replicas, leader, f.self())
 }
 
-// nearest returns the replica in a node's own zone, or the first by name in its region;
-// false if there is none. Where the leader is in the region, too, only the zone is near:
-// a replica of another zone has nothing before the leader, which it asks.
-func nearest(nodes []mirror.Node, replicas []transport.Address, leader transport.Address, self mirror.Node) (transport.Address, bool) {
+// nearestReplica returns the replica in a node's own zone, or the first by name in its
+// region; false if there is none. If the leader is in the region, only the zone counts:
+// a replica in another zone is no nearer than the leader, which it has to ask.
+func nearestReplica(nodes []mirror.Node, replicas []transport.Address, leader transport.Address, self mirror.Node) (transport.Address, bool) {
 	var inRegion *mirror.Node
-	leads := false
+	leaderInRegion := false
 	for i := range nodes {
 		node := &nodes[i]
 		if node.Region == self.Region {
-			leads = leads || node.Address == leader
+			leaderInRegion = leaderInRegion || node.Address == leader
 		}
 		if !slices.Contains(replicas, node.Address) {
 			continue
@@ -135,19 +135,19 @@
 			inRegion = node
 		}
 	}
-	if inRegion == nil || leads {
+	if inRegion == nil || leaderInRegion {
 		return "", false
 	}
 	return inRegion.Address, true
 }
 
-// configurationAge is how long ago the configuration in force was known to be the
-// newest.
+// configurationAge returns the time since the configuration in force was known to be
+// the newest.
 func (f *front) configurationAge() time.Duration { return f.agent.Age(f.adapter.ConfigurationKind) }
 
-// ready says whether the node wants callers.
+// ready reports whether the node accepts callers' requests.
 func (f *front) ready() bool {
-	return !f.draining.Load() && f.facts.Snapshot().Configuration != nil && f.facts.drainsKnown()
+	return !f.draining.Load() && f.catalog.Snapshot().Configuration != nil && f.catalog.drainsKnown()
 }
 
 func (f *front) serveReady(w http.ResponseWriter, _ *http.Request) {
@@ -163,7 +163,7 @@
 	if err := f.start(); err != nil {
 		return err
 	}
-	f.run(f.reportLoad)
+	f.spawn(f.reportLoad)
 	if f.settings.Listen.Readiness != "" {
 		if err := serve(f.settings.Listen.Readiness, f.readiness); err != nil {
 			return err
@@ -172,19 +172,19 @@
 	return serve(f.settings.Listen.Callers, f.callers)
 }
 
-// Drain implements Node: the node is not ready at once, takes requests until
-// that is known, finishes them and ends.
+// Drain implements Node. The node reports that it is not ready, accepts requests for
+// lameDuckPeriod, completes them and stops.
 func (f *front) Drain(ctx context.Context) {
-	eventStops.Info("node", f.settings.Node.Name, "in_flight", f.edge.InFlight())
+	eventStopping.Info("node", f.settings.Node.Name, "in_flight", f.edge.InFlight())
 	f.draining.Store(true)
 	f.callers.SetKeepAlivesEnabled(false)
 	started := clock.Now()
 	deadline, bounded := ctx.Deadline()
-	ticker := time.NewTicker(drainPoll)
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		<-ticker.C
-		if f.edge.InFlight() == 0 && clock.Since(started) >= leaveTime {
+		if f.edge.InFlight() == 0 && clock.Since(started) >= lameDuckPeriod {
 			break
 		}
 		if bounded && time.Until(deadline) < drainMargin {
--- a/internal/system/loadexchange.go
+++ b/internal/system/loadexchange.go
@@ -8,48 +8,49 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// takeLoadReport takes a front node's report and answers it now and then.
-func (d *data) takeLoadReport(from transport.Address, payload []byte) {
-	if d.takeReport(from, payload) && d.answers.due(from, clock.Now()) {
-		_ = d.peers.Datagram(from, kindLoadSum, d.sum.get(clock.Now(), d.loadSum))
+// handleLoadReport records a front node's load and responds with the sum, at a bounded rate.
+func (d *data) handleLoadReport(from transport.Address, payload []byte) {
+	if d.receiveReport(from, payload) && d.responseLimiter.allow(from, clock.Now()) {
+		_ = d.peers.Datagram(from, kindLoadSum, d.encodedSum.get(clock.Now(), d.loadSum))
 	}
 }
 
-// takeLoadAsk takes a front node's report and answers it with the newest sum.
-func (d *data) takeLoadAsk(from transport.Address, payload []byte) {
-	if d.takeReport(from, payload) {
+// handleLoadQuery records a front node's load and responds with the current sum.
+func (d *data) handleLoadQuery(from transport.Address, payload []byte) {
+	if d.receiveReport(from, payload) {
 		_ = d.peers.Datagram(from, kindLoadSum, d.loadSum())
 	}
 }
 
-func (d *data) takeReport(from transport.Address, payload []byte) bool {
+func (d *data) receiveReport(from transport.Address, payload []byte) bool {
 	report, err := balance.UnmarshalReport(payload)
 	if err != nil {
-		eventBadMessage.Error(err, "peer", from)
+		eventMessageInvalid.Error(err, "peer", from)
 		return false
 	}
 	d.exchangeMutex.Lock()
 	d.exchange.Report(from, report, clock.Now())
 	d.exchangeMutex.Unlock()
-	d.takeLoad(from, report)
+	d.updatePeerLoad(from, report)
 	return true
 }
 
-// takeLoadShare takes what another data node knows of front nodes, or runs.
-func (d *data) takeLoadShare(from transport.Address, payload []byte) {
+// handleLoadShare records another data node's share: its own load and that of the
+// front nodes that report to it.
+func (d *data) handleLoadShare(from transport.Address, payload []byte) {
 	share, err := loadshare.UnmarshalShare(payload)
 	if err != nil {
-		eventBadMessage.Error(err, "peer", from)
+		eventMessageInvalid.Error(err, "peer", from)
 		return
 	}
 	d.exchangeMutex.Lock()
 	d.exchange.Share(from, share, clock.Now())
 	d.exchangeMutex.Unlock()
-	d.takeLoad(from, share.Load)
+	d.updatePeerLoad(from, share.Load)
 }
 
-// takeLoad counts a peer's load, and lets batch work make way for it.
-func (d *data) takeLoad(from transport.Address, load balance.Report) {
+// updatePeerLoad records a peer's load and preempts batch items if necessary.
+func (d *data) updatePeerLoad(from transport.Address, load balance.Report) {
 	d.balancer.PeerLoad(string(from), load)
 	d.yield()
 	select {
@@ -58,7 +59,7 @@
 	}
 }
 
-// loadSum encodes the answer to front nodes' reports.
+// loadSum returns the encoded response to front nodes' reports.
 func (d *data) loadSum() []byte {
 	now := clock.Now()
 	d.exchangeMutex.Lock()
@@ -68,8 +69,8 @@
 	return sum.Marshal()
 }
 
-// shareLoad sends this data node's share to those who need it, whenever there is
-// news of load.
+// shareLoad sends this data node's share to its receivers whenever the load has
+// changed.
 func (d *data) shareLoad() {
 	for {
 		select {
@@ -78,7 +79,7 @@
 		case <-d.shareDue:
 		}
 		d.sendShares()
-		if !d.rest(loadshare.UrgentInterval) {
+		if !d.sleep(loadshare.UrgentInterval) {
 			return
 		}
 	}
@@ -98,7 +99,7 @@
 	d.exchangeMutex.Unlock()
 	for _, peer := range lapsed {
 		d.balancer.PeerGone(string(peer))
-		eventShareGone.Info("peer", peer)
+		eventShareExpired.Info("peer", peer)
 	}
 	if len(receivers) == 0 {
 		return
@@ -106,9 +107,9 @@
 	encoded := share.Marshal()
 	zones := zonesOf(nodes)
 	for _, receiver := range receivers {
-		// A share that can't be sent is like a lost one; the next is due soon.
+		// An unsent share counts as lost; the next one follows soon.
 		_ = d.peers.Datagram(receiver, kindLoadShare, encoded)
-		d.quotas.share(receiver, zones[receiver])
+		d.quotas.sendShare(receiver, zones[receiver])
 	}
 }
 
--- a/internal/system/loadexchange_test.go
+++ b/internal/system/loadexchange_test.go
@@ -9,21 +9,21 @@
 
 var start = time.Unix(1_000_000, 0)
 
-func TestAnswersToAFrontNodeKeepTheirInterval(t *testing.T) {
+func TestLoadResponsesRateLimitedPerPeer(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var answers paces
-	g.Expect(answers.due("a", start)).To(gomega.BeTrue())
-	g.Expect(answers.due("a", start.Add(answerInterval/2))).To(gomega.BeFalse())
-	g.Expect(answers.due("b", start.Add(answerInterval/2))).To(gomega.BeTrue(), "another node has its own")
-	g.Expect(answers.due("a", start.Add(answerInterval))).To(gomega.BeTrue())
+	var limiter peerRateLimiter
+	g.Expect(limiter.allow("a", start)).To(gomega.BeTrue())
+	g.Expect(limiter.allow("a", start.Add(responseInterval/2))).To(gomega.BeFalse())
+	g.Expect(limiter.allow("b", start.Add(responseInterval/2))).To(gomega.BeTrue(), "limited per peer")
+	g.Expect(limiter.allow("a", start.Add(responseInterval))).To(gomega.BeTrue())
 }
 
-func TestASumServesManyAnswers(t *testing.T) {
+func TestEncodedSumReusedUntilMaxAge(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var sum cached
-	made := 0
-	encode := func() []byte { made++; return []byte{byte(made)} }
+	var sum encodedCache
+	encodings := 0
+	encode := func() []byte { encodings++; return []byte{byte(encodings)} }
 	g.Expect(sum.get(start, encode)).To(gomega.Equal([]byte{1}))
-	g.Expect(sum.get(start.Add(sumInterval/2), encode)).To(gomega.Equal([]byte{1}))
-	g.Expect(sum.get(start.Add(sumInterval), encode)).To(gomega.Equal([]byte{2}))
+	g.Expect(sum.get(start.Add(maxSumAge/2), encode)).To(gomega.Equal([]byte{1}))
+	g.Expect(sum.get(start.Add(maxSumAge), encode)).To(gomega.Equal([]byte{2}))
 }
--- a/internal/system/loadreport.go
+++ b/internal/system/loadreport.go
@@ -12,49 +12,49 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// Datagrams between nodes about load; see package loadshare.
+// Datagrams about load and quotas; see packages loadshare and quota.
 const (
 	kindLoadReport  transport.Kind = transport.KindLoad + iota // a front node's balance.Report
 	kindLoadSum                                                // loadshare.Sum
 	kindLoadShare                                              // loadshare.Share
-	kindLoadAsk                                                // a balance.Report that is answered at once
+	kindLoadQuery                                              // a front node's balance.Report; answered at once
 	kindQuotaReport                                            // a front node's quota.Report; answered at once
 	kindQuotaSum                                               // quota.Sum
 	kindQuotaShare                                             // quota.Share
 )
 
 const (
-	// urgentInterval is the least time between two reports of a front node: one
-	// that has to take slots back from batch work doesn't wait for the next.
+	// urgentInterval is the minimum time between two reports of a front node; one
+	// that preempts batch items is not delayed until the next ReportInterval.
 	urgentInterval = loadshare.UrgentInterval
-	// answerInterval is the least time between two answers to a front node, and
-	// sumInterval between two sums.
-	answerInterval = loadshare.ReportInterval / 2
-	sumInterval    = loadshare.ReportInterval / 4
-	// askTimeout is how long a request waits for the newest sum. Within a zone an
-	// answer takes a millisecond or two; it is little of a request's target.
-	askTimeout = 15 * time.Millisecond
-	// settleTime is how long a new leader waits for load reports: data nodes and
-	// front nodes hear of it from their peers, and then within an interval.
+	// responseInterval is the minimum time between two responses to a front node's
+	// reports, and maxSumAge that between two encodings of the sum.
+	responseInterval = loadshare.ReportInterval / 2
+	maxSumAge        = loadshare.ReportInterval / 4
+	// responseTimeout bounds how long a request waits for a sum or a permit. It is a
+	// small part of a request's latency target.
+	responseTimeout = 15 * time.Millisecond
+	// settleTime is how long a new leader waits for load reports, so that data nodes
+	// and front nodes learn of it and report.
 	settleTime = 4 * loadshare.ReportInterval
-	// pacesMost bounds the peers whose last answers are remembered.
-	pacesMost = 4096
-	// idleLook is the time between two looks of a front node without requests at whether
-	// counts of limits are to be told: several within a window of the limits.
-	idleLook = time.Second
-	// idleReports is how many reports without work are sent before a front
-	// node falls silent.
-	idleReports = 3
+	// maxTrackedPeers bounds the peers of a peerRateLimiter.
+	maxTrackedPeers = 4096
+	// idlePollInterval is how often a front node without requests checks whether quota
+	// counts are due: several times in a quota window.
+	idlePollInterval = time.Second
+	// maxIdleReports is how many reports without requests a front node sends before
+	// it stops reporting.
+	maxIdleReports = 3
 )
 
 var (
-	eventReportsTo  = telemetry.Define(2110, "load-reported-to", "This front node reports its load to another data node from now on.")
-	eventShareGone  = telemetry.Define(2111, "load-share-lapsed", "Another data node sent no share of the load for too long; what it said counts no more.")
-	eventBadMessage = telemetry.Define(2112, "load-message-unreadable", "A peer's datagram about load could not be decoded and is passed over.")
+	eventRelayChanged   = telemetry.Define(2110, "load-reported-to", "This front node now reports its load to another data node.")
+	eventShareExpired   = telemetry.Define(2111, "load-share-lapsed", "Another data node sent no share of the load for too long; its last share is discarded.")
+	eventMessageInvalid = telemetry.Define(2112, "load-message-unreadable", "A peer's datagram about load or quotas could not be decoded and is ignored.")
 )
 
-// reportLoad sends this front node's load to a data node: at each interval, and
-// at once when batch work has to make way for a request.
+// reportLoad sends this front node's load to its relay: at each interval, and at
+// once when a request preempts batch items.
 func (f *front) reportLoad() {
 	ticker := time.NewTicker(loadshare.ReportInterval)
 	defer ticker.Stop()
@@ -66,122 +66,121 @@
 		case <-ticker.C:
 		case <-f.balancer.Preemptions():
 		}
-		f.limits.reportDue()
+		f.quota.reportIfDue()
 		own := f.balancer.Own()
 		if len(own) == 0 {
 			idle++
 		} else {
 			idle = 0
 		}
-		if idle > idleReports {
-			if !f.awaitChoice() {
+		if idle > maxIdleReports {
+			if !f.sleepUntilActive() {
 				return
 			}
 			idle = 0
 			continue
 		}
 		f.sendReport(kindLoadReport, own)
-		if !f.rest(urgentInterval) {
+		if !f.sleep(urgentInterval) {
 			return
 		}
 	}
 }
 
-// sendReport sends a report to the data node that takes them, and returns what
-// closes with the next sum; nil if no data node is known.
+// sendReport sends a report to the relay and returns a channel that is closed when
+// the next sum arrives; nil if no data node is known.
 func (f *front) sendReport(kind transport.Kind, own balance.Report) <-chan struct{} {
 	leader, _ := f.ledger.Leader(0)
 	nodes := f.agent.Nodes()
 	f.choiceMutex.Lock()
 	defer f.choiceMutex.Unlock()
-	to, known := f.pick(nodes, leader)
+	to, known := f.pickRelay(nodes, leader)
 	if !known {
 		return nil
 	}
-	f.reported = own
-	// A report that can't be sent is like a lost one: the choice notes that no
-	// sum comes back.
+	f.lastReport = own
+	// An unsent report counts as lost: the choice detects the missing sum.
 	_ = f.peers.Datagram(to, kind, own.Marshal())
-	return f.nextSum
+	return f.sumReceived
 }
 
-// pick chooses the data node that takes reports; the caller holds choiceMutex.
-func (f *front) pick(nodes []mirror.Node, leader transport.Address) (transport.Address, bool) {
+// pickRelay chooses the data node to report to; the caller holds choiceMutex.
+func (f *front) pickRelay(nodes []mirror.Node, leader transport.Address) (transport.Address, bool) {
 	to, known := f.choice.Pick(nodes, leader, clock.Now())
-	if known && to != f.reportsTo {
-		f.reportsTo = to
-		eventReportsTo.Info("peer", to, "leads", to == leader)
+	if known && to != f.relay {
+		f.relay = to
+		eventRelayChanged.Info("peer", to, "leads", to == leader)
 	}
 	return to, known
 }
 
-// reportReceiver is the data node that takes reports, chosen if none is yet.
-func (f *front) reportReceiver() (transport.Address, bool) {
+// currentRelay returns the data node to report to, and chooses one if there is none.
+func (f *front) currentRelay() (transport.Address, bool) {
 	leader, _ := f.ledger.Leader(0)
 	nodes := f.agent.Nodes()
 	f.choiceMutex.Lock()
 	defer f.choiceMutex.Unlock()
-	if f.reportsTo != "" {
-		return f.reportsTo, true
+	if f.relay != "" {
+		return f.relay, true
 	}
-	return f.pick(nodes, leader)
+	return f.pickRelay(nodes, leader)
 }
 
-// refreshLoad gets the newest sum before an engine is chosen. By sums that are a
-// report's interval old, many front nodes take the same engine for the idlest.
+// refreshLoad gets the current sum before an engine is chosen. With sums as old as
+// ReportInterval, many front nodes would choose the same least loaded engine.
 func (f *front) refreshLoad(ctx context.Context) {
-	summed := f.sendReport(kindLoadAsk, f.balancer.Own())
-	if summed == nil {
+	received := f.sendReport(kindLoadQuery, f.balancer.Own())
+	if received == nil {
 		return
 	}
-	timer := time.NewTimer(askTimeout)
+	timer := time.NewTimer(responseTimeout)
 	defer timer.Stop()
 	select {
-	case <-summed:
+	case <-received:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-// awaitChoice waits until an engine is chosen for a request, or counts of limits are due
-// to be told; false if the node stops. A front node without requests sleeps.
-func (f *front) awaitChoice() bool {
-	ticker := time.NewTicker(idleLook)
+// sleepUntilActive sends only due quota counts until an engine is chosen for a request;
+// it reports whether the node is still running.
+func (f *front) sleepUntilActive() bool {
+	ticker := time.NewTicker(idlePollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-f.stop:
 			return false
-		case <-f.chosen:
+		case <-f.engineChosen:
 			return true
 		case <-ticker.C:
-			f.limits.reportDue()
+			f.quota.reportIfDue()
 		}
 	}
 }
 
-// reportChoice tells of a request right after its engine was chosen, so that the
-// next one that asks sees it there.
-func (f *front) reportChoice() {
+// reportEngineChosen reports the load right after an engine was chosen for a request,
+// so that the sums of other nodes include it.
+func (f *front) reportEngineChosen() {
 	select {
-	case f.chosen <- struct{}{}:
+	case f.engineChosen <- struct{}{}:
 	default:
 	}
 	f.sendReport(kindLoadReport, f.balancer.Own())
 }
 
-// takeLoadSum takes what all nodes have under way.
-func (f *front) takeLoadSum(from transport.Address, payload []byte) {
+// handleLoadSum updates the load of all other nodes and wakes the requests that wait for it.
+func (f *front) handleLoadSum(from transport.Address, payload []byte) {
 	sum, err := loadshare.UnmarshalSum(payload)
 	if err != nil {
-		eventBadMessage.Error(err, "peer", from)
+		eventMessageInvalid.Error(err, "peer", from)
 		return
 	}
 	f.choiceMutex.Lock()
 	defer f.choiceMutex.Unlock()
 	if f.choice.ReceiveSum(from, sum, clock.Now()) {
-		f.balancer.PeerLoad("others", sum.Load.Without(f.reported))
+		f.balancer.PeerLoad("others", sum.Load.Without(f.lastReport))
 	}
-	close(f.nextSum)
-	f.nextSum = make(chan struct{})
+	close(f.sumReceived)
+	f.sumReceived = make(chan struct{})
 }
--- a/internal/system/members.go
+++ b/internal/system/members.go
@@ -7,8 +7,7 @@
 	"chutelock.dev/chutelock/internal/mirror"
 )
 
-// members tells the ledger which data nodes there are. It implements
-// membership.Source.
+// members provides the data nodes to the ledger. It implements membership.Source.
 type members struct {
 	self       mirror.Node
 	agent      *mirror.Agent
--- a/internal/system/metrics.go
+++ b/internal/system/metrics.go
@@ -11,7 +11,7 @@
 	"chutelock.dev/chutelock/internal/forward"
 )
 
-// PathMetrics is where counters and histograms are served.
+// PathMetrics is the path of the metrics.
 const PathMetrics = "/metrics"
 
 // latencyBuckets are in seconds.
@@ -57,10 +57,10 @@
 	}
 }
 
-// registerGauges registers figures that are read when they are asked for.
+// registerGauges registers gauges that are read when metrics are collected.
 func (c *core) registerGauges(gauges map[string]gauge) {
-	for name, one := range gauges {
-		c.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: one.help}, one.read))
+	for name, spec := range gauges {
+		c.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: spec.help}, spec.read))
 	}
 }
 
@@ -72,7 +72,7 @@
 func (c *core) commonGauges() map[string]gauge {
 	return map[string]gauge{
 		"chutelock_configuration_version": {"Version of the configuration in force; 0 while none is known.", func() float64 {
-			if configuration := c.facts.Snapshot().Configuration; configuration != nil {
+			if configuration := c.catalog.Snapshot().Configuration; configuration != nil {
 				return float64(configuration.Version)
 			}
 			return 0
@@ -89,14 +89,14 @@
 		"chutelock_engine_connections_opened_total": {"Connections opened to engines.", func() float64 {
 			return float64(c.pool.Opened.Load())
 		}},
-		"chutelock_cold_engines": {"Engines that are cold, as far as known here.", c.facts.coldEngines},
+		"chutelock_cold_engines": {"Engines that are cold, as far as known here.", c.catalog.coldEngines},
 		"chutelock_requests_waiting": {"Requests that wait for an engine with room.", func() float64 {
 			return float64(c.balancer.Waiting())
 		}},
 	}
 }
 
-// serveMetrics serves the registry if an address is set.
+// serveMetrics serves the metrics if an address is configured.
 func (c *core) serveMetrics() error {
 	if c.settings.Listen.Metrics == "" {
 		return nil
--- a/internal/system/poison.go
+++ b/internal/system/poison.go
@@ -14,32 +14,30 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// Messages about requests under which engines end; see package poison.
+// Messages about poison requests; see package poison.
 const (
 	kindPoisonReport transport.Kind = transport.KindPoison + iota // call to a data node
 	kindPoisonSpread                                              // from a data node
 )
 
 const (
-	// endedTimeout bounds the question whether an engine has ended: the address of one
-	// that has refuses within a round trip, 16 ms between the farthest regions.
-	endedTimeout = 100 * time.Millisecond
-	// reportTimeout bounds a report to one data node before another one is told.
+	// crashProbeTimeout bounds the check whether an engine refuses connections, which
+	// takes one round trip.
+	crashProbeTimeout = 100 * time.Millisecond
+	// reportTimeout bounds a report to one data node before the next one is tried.
 	reportTimeout = 250 * time.Millisecond
-	// poisonFresh is the time within which the records in the store are known on every
-	// node. Peers tell each other of new ones at once; what comes by the store is for
-	// nodes that started since, or that no peer reached: these end two engines more at
-	// most by themselves. With 3 s days of a store that is away cost 500 calls more of
-	// 2,000, as all nodes look (64 nodes).
-	poisonFresh = 8 * time.Second
+	// maxPoisonStaleness bounds how late nodes get records from the store. Peers send
+	// new ones at once, so the store only serves nodes that they did not reach. A lower
+	// bound means more calls from all nodes while the store is down.
+	maxPoisonStaleness = 8 * time.Second
 )
 
 var errNoDataNode = errors.New("no data node is known")
 
-// newGuard returns the node's guard. Data nodes spread and keep records, others report
-// theirs to one.
+// newGuard returns the node's guard. Data nodes forward and store records; front nodes
+// report theirs to a data node.
 func (c *core) newGuard(dataNode bool) *poison.Guard {
-	options := poison.Options{EngineCrashed: c.engineEnded, Store: c.adapter.Poison, Now: time.Now}
+	options := poison.Options{EngineCrashed: c.engineCrashed, Store: c.adapter.Poison, Now: time.Now}
 	if dataNode {
 		options.Spread = c.spreadPoison
 	} else {
@@ -48,9 +46,9 @@
 	return poison.NewGuard(options)
 }
 
-func (c *core) handlePoison(dataNode bool) {
+func (c *core) registerPoisonHandlers(dataNode bool) {
 	c.peers.HandleMessage(kindPoisonSpread, func(from transport.Address, payload []byte) {
-		_ = c.guard.Receive(from, payload, false) // it logs what it can't read
+		_ = c.guard.Receive(from, payload, false) // it logs decoding errors
 	})
 	if !dataNode {
 		return
@@ -60,23 +58,23 @@
 	})
 }
 
-// engineEnded says whether an engine has ended that was not about to leave: one that
-// leaves may end with the last of its requests. Its entry may be gone by then; that of one
-// that crashed is there for some heartbeats more.
-func (c *core) engineEnded(ctx context.Context, engine catalog.Engine) bool {
-	snapshot := c.facts.Snapshot()
+// engineCrashed reports whether an engine ended without leaving first. The entry of an
+// engine that left may be gone, while that of a crashed one remains for some heartbeats.
+func (c *core) engineCrashed(ctx context.Context, engine catalog.Engine) bool {
+	snapshot := c.catalog.Snapshot()
 	if newer, found := snapshot.Engine(catalog.Instance(engine.ID)); found && newer.Born.After(engine.Born) {
-		return true // it has started anew since
+		return true // it has restarted
 	}
 	if known, found := snapshot.Engine(engine.ID); !found || known.Leaving {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, endedTimeout)
+	ctx, cancel := context.WithTimeout(ctx, crashProbeTimeout)
 	defer cancel()
 	return c.pool.RefusesConnections(ctx, engine.Address, engine.ID)
 }
 
-// reportPoison hands records to a data node, those of this node's zone and region first.
+// reportPoison sends records to one data node, trying those of this node's zone first,
+// then those of its region.
 func (c *core) reportPoison(ctx context.Context, records []poison.Record) error {
 	nodes := c.agent.Nodes()
 	self := c.settings.Node
@@ -93,8 +91,8 @@
 	message := poison.Marshal(records)
 	failure := errNoDataNode
 	for _, node := range nodes {
-		bounded, cancel := context.WithTimeout(ctx, reportTimeout)
-		_, err := c.peers.Call(bounded, node.Address, kindPoisonReport, message)
+		callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
+		_, err := c.peers.Call(callCtx, node.Address, kindPoisonReport, message)
 		cancel()
 		if err == nil {
 			return nil
@@ -104,13 +102,13 @@
 	return failure
 }
 
-// spreadPoison sends records to the nodes that ask this one for facts, and to all data
-// nodes if they don't have them yet.
-func (c *core) spreadPoison(records []poison.Record, wide bool) {
+// spreadPoison sends records to the nodes that recently pulled from this one and, if
+// toDataNodes is set, to all data nodes.
+func (c *core) spreadPoison(records []poison.Record, toDataNodes bool) {
 	message := poison.Marshal(records)
 	self := c.self().Address
 	targets := c.agent.RecentPullers()
-	if wide {
+	if toDataNodes {
 		for _, node := range c.agent.Nodes() {
 			targets = append(targets, node.Address)
 		}
@@ -123,14 +121,14 @@
 	}
 }
 
-// learnPoison hands what the store has to the guard.
-func (c *core) learnPoison() {
+// loadPoisonRecords passes the mirrored records to the guard.
+func (c *core) loadPoisonRecords() {
 	objects, _ := c.agent.Objects(c.adapter.PoisonKind)
 	c.guard.LoadRecords(c.adapter.PoisonRecords(objects))
 }
 
-// registerPoison adds the figures of the guard.
-func (c *core) registerPoison() {
+// registerPoisonMetrics registers the metrics of the guard.
+func (c *core) registerPoisonMetrics() {
 	c.registerGauges(map[string]gauge{
 		"chutelock_requests_held_back":         {"Requests, by their fingerprints, that get to no engine as too many ended under them.", func() float64 { return float64(c.guard.HeldBack()) }},
 		"chutelock_requests_held_back_refused": {"How often such a request was kept from an engine here.", func() float64 { return float64(c.guard.Refused()) }},
--- a/internal/system/shardwork.go
+++ b/internal/system/shardwork.go
@@ -18,161 +18,161 @@
 )
 
 const (
-	// worksInterval is the time between two looks for shards that this node came to hold,
-	// and for a newer configuration; a comparison each.
-	worksInterval = 200 * time.Millisecond
-	// astrayInterval is the time between two counts of jobs that lie where they may not.
-	astrayInterval = 10 * time.Second
+	// shardCheckInterval is the time between checks for new shards and configurations.
+	shardCheckInterval = 200 * time.Millisecond
+	// misplacedCountInterval is the time between two counts of misplaced jobs.
+	misplacedCountInterval = 10 * time.Second
 )
 
 var (
-	eventAstray  = telemetry.Define(3217, "jobs-astray", "Jobs of a shard lie where they may not by the newest configuration: their regions changed after they were taken. They are not moved; their items run where they may, and they go with batch.keep.")
-	eventRegions = telemetry.Define(5203, "regions-needed", "Batch jobs of some route and tenant have to stay in these regions; each gets a shard of its own.")
+	eventJobsMisplaced = telemetry.Define(3217, "jobs-astray", "Jobs of a shard are stored where the current configuration does not allow it: their regions changed after they were accepted. They are not moved; their items run in allowed regions, and the jobs are deleted after batch.keep.")
+	eventRegionsNeeded = telemetry.Define(5203, "regions-needed", "Batch jobs of some routes and tenants are restricted to these regions; each region gets its own shard.")
 )
 
-// work is the batch work of one shard on this data node.
-type work struct {
-	shard   ledger.ShardID
-	machine *batchwork.Machine
-	runner  *batchwork.Runner // nil until it is opened
-	astray  int
+// shardWork is the batch work of one shard on this data node.
+type shardWork struct {
+	shard     ledger.ShardID
+	machine   *batchwork.Machine
+	runner    *batchwork.Runner // nil until openShardWork
+	misplaced int
 }
 
-// works are those of all shards that this node holds or held.
-type works struct {
-	mutex   sync.Mutex // guards what is below; a leaf
-	byShard map[ledger.ShardID]*work
+// shardWorkSet has the batch work of all shards that have or had a replica on this node.
+type shardWorkSet struct {
+	mutex   sync.Mutex // guards the fields below; a leaf
+	byShard map[ledger.ShardID]*shardWork
 }
 
-func newWorks() *works { return &works{byShard: map[ledger.ShardID]*work{}} }
+func newShardWorkSet() *shardWorkSet { return &shardWorkSet{byShard: map[ledger.ShardID]*shardWork{}} }
 
-// machine returns a shard's, also for a replica that comes back.
-func (w *works) machine(shard ledger.ShardID) *batchwork.Machine {
+// machine returns the state machine of a shard, which is created on first use and
+// survives the removal of the replica.
+func (w *shardWorkSet) machine(shard ledger.ShardID) *batchwork.Machine {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	known := w.byShard[shard]
-	if known == nil {
-		known = &work{shard: shard, machine: batchwork.NewMachine()}
-		w.byShard[shard] = known
+	work := w.byShard[shard]
+	if work == nil {
+		work = &shardWork{shard: shard, machine: batchwork.NewMachine()}
+		w.byShard[shard] = work
 	}
-	return known.machine
+	return work.machine
 }
 
-// all lists the works by shard, shard 0 first.
-func (w *works) all() []*work {
+// all returns the batch work of all shards, ordered by shard.
+func (w *shardWorkSet) all() []*shardWork {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	list := make([]*work, 0, len(w.byShard))
-	for _, one := range w.byShard {
-		list = append(list, one)
+	list := make([]*shardWork, 0, len(w.byShard))
+	for _, work := range w.byShard {
+		list = append(list, work)
 	}
-	slices.SortFunc(list, func(a, b *work) int { return cmp.Compare(a.shard, b.shard) })
+	slices.SortFunc(list, func(a, b *shardWork) int { return cmp.Compare(a.shard, b.shard) })
 	return list
 }
 
-// runners lists those that are open.
-func (w *works) runners() []*batchwork.Runner {
+// runners returns the runners of all shards that are open.
+func (w *shardWorkSet) runners() []*batchwork.Runner {
 	var runners []*batchwork.Runner
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	for _, one := range w.byShard {
-		if one.runner != nil {
-			runners = append(runners, one.runner)
+	for _, work := range w.byShard {
+		if work.runner != nil {
+			runners = append(runners, work.runner)
 		}
 	}
 	return runners
 }
 
-func (w *works) opened(shard ledger.ShardID, runner *batchwork.Runner) {
+func (w *shardWorkSet) setRunner(shard ledger.ShardID, runner *batchwork.Runner) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.byShard[shard].runner = runner
 }
 
-// openWork lets this node answer for a shard, and run its items where it leads.
-func (d *data) openWork(shard ledger.ShardID) *batchwork.Runner {
-	machine, port, local := d.works.machine(shard), d.ports.For(shard), localShard{d.core, shard}
+// openShardWork makes this node serve a shard, and run its items while it is the leader.
+func (d *data) openShardWork(shard ledger.ShardID) *batchwork.Runner {
+	machine, port, local := d.shardWork.machine(shard), d.shardPorts.For(shard), localShard{d.core, shard}
 	runner := batchwork.NewRunner(batchwork.RunnerOptions{
 		Shard: local, Machine: machine, Pool: d.pool, Balancer: d.balancer,
-		Route: d.route, Regions: d.regionsAt(d.ledger.Region(shard)), Permitted: d.permitted,
-		Usable: d.facts.usableForBatch, Zone: d.settings.Node.Zone, Keep: d.settings.Batch.Keep,
+		Route: d.route, Regions: d.allowedRegions(d.ledger.Region(shard)), Permitted: d.permitted,
+		Usable: d.catalog.usableForBatch, Zone: d.settings.Node.Zone, Keep: d.settings.Batch.Keep,
 		Settle: settleTime, Executors: d.executors, Sender: port, Receiver: port,
 		LocalRuns: d.settings.Batch.LocalRuns, Guard: d.guard,
 	})
 	batchwork.RegisterServer(batchwork.ServerOptions{
 		Shard: local.replica, Machine: machine, Scarce: d.ledger.Scarce, Receiver: port,
-		Stays:    d.stays(d.ledger.Region(shard)),
+		Stays:    d.mayStore(d.ledger.Region(shard)),
 		Replicas: func() []transport.Address { return d.ledger.Replicas(shard) },
 	})
-	d.works.opened(shard, runner)
+	d.shardWork.setRunner(shard, runner)
 	return runner
 }
 
-// followShards opens the work of shards that this node comes to hold, and asks for those
-// of the regions that a new configuration needs.
-func (d *data) followShards() {
-	var seen *catalog.Configuration
+// manageShards opens the batch work of new shards on this node, and requests the shards
+// of regions that a new configuration needs.
+func (d *data) manageShards() {
+	var lastConfiguration *catalog.Configuration
 	var needed []string
-	var counted time.Time
-	for d.rest(worksInterval) {
-		for _, one := range d.works.all() {
-			if one.runner == nil {
-				runner := d.openWork(one.shard)
-				d.run(func() { runner.Run(d.running) })
+	var lastCount time.Time
+	for d.sleep(shardCheckInterval) {
+		for _, work := range d.shardWork.all() {
+			if work.runner == nil {
+				runner := d.openShardWork(work.shard)
+				d.spawn(func() { runner.Run(d.ctx) })
 			}
 		}
-		configuration := d.facts.Snapshot().Configuration
-		news := configuration != seen
-		if news {
-			seen, needed = configuration, configuration.KeptRegions()
+		configuration := d.catalog.Snapshot().Configuration
+		changed := configuration != lastConfiguration
+		if changed {
+			lastConfiguration, needed = configuration, configuration.KeptRegions()
 		}
-		if news && len(needed) > 0 {
-			eventRegions.Info("regions", needed, "version", seen.Version)
+		if changed && len(needed) > 0 {
+			eventRegionsNeeded.Info("regions", needed, "version", lastConfiguration.Version)
 			d.ledger.Need(needed)
 		}
-		if (len(needed) > 0 || d.anyAstray()) && (news || clock.Since(counted) >= astrayInterval) {
-			counted = clock.Now()
-			d.countAstray()
+		if (len(needed) > 0 || d.anyMisplaced()) && (changed || clock.Since(lastCount) >= misplacedCountInterval) {
+			lastCount = clock.Now()
+			d.countMisplaced()
 		}
 	}
 }
 
-func (d *data) anyAstray() bool {
-	return slices.ContainsFunc(d.works.all(), func(one *work) bool { return one.astray > 0 })
+func (d *data) anyMisplaced() bool {
+	return slices.ContainsFunc(d.shardWork.all(), func(work *shardWork) bool { return work.misplaced > 0 })
 }
 
-// countAstray tells of jobs that lie where they may not any more.
-func (d *data) countAstray() {
-	for _, one := range d.works.all() {
-		region := d.ledger.Region(one.shard)
-		jobs, astray := one.machine.Jobs(d.stays(region))
+// countMisplaced counts and logs jobs that may no longer be stored in their shard's region.
+func (d *data) countMisplaced() {
+	for _, work := range d.shardWork.all() {
+		region := d.ledger.Region(work.shard)
+		jobs, misplaced := work.machine.Jobs(d.mayStore(region))
 		labels := prometheus.Labels{"region": region}
 		d.regionJobs.With(labels).Set(float64(jobs))
-		d.astrayJobs.With(labels).Set(float64(astray))
-		if leads, _ := (localShard{d.core, one.shard}).Leading(); leads && astray != one.astray {
-			eventAstray.Info("region", region, "jobs", astray, "before", one.astray)
+		d.misplacedJobs.With(labels).Set(float64(misplaced))
+		if leads, _ := (localShard{d.core, work.shard}).Leading(); leads && misplaced != work.misplaced {
+			eventJobsMisplaced.Info("region", region, "jobs", misplaced, "before", work.misplaced)
 		}
-		one.astray = astray
+		work.misplaced = misplaced
 	}
 }
 
-// newRegionGauge registers a figure of each region's shard; region is empty for shard 0.
+// newRegionGauge registers a gauge by the region of a shard, which is empty for shard 0.
 func newRegionGauge(registry prometheus.Registerer, name, help string) *prometheus.GaugeVec {
 	vector := prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: name, Help: help}, []string{"region"})
 	registry.MustRegister(vector)
 	return vector
 }
 
-// yield lets batch work of each shard that this node leads make way.
+// yield makes the runner of each shard led by this node yield to online requests.
 func (d *data) yield() {
-	for _, runner := range d.works.runners() {
+	for _, runner := range d.shardWork.runners() {
 		if runner.Leading() {
 			runner.Yield()
 		}
 	}
 }
 
-// regionLeaders lists the leaders of regions' shards, as far as known.
+// regionLeaders returns the known leaders of regions' shards.
 func (c *core) regionLeaders() []transport.Address {
 	var leaders []transport.Address
 	for _, shard := range c.ledger.Regional() {
@@ -183,8 +183,8 @@
 	return leaders
 }
 
-// localShard is this node's replica of a shard as a ledger.Shard, also while there is
-// none.
+// localShard is this node's replica of a shard as a ledger.Shard. Without a replica,
+// calls fail with ledger.ErrUnavailable.
 type localShard struct {
 	*core
 	shard ledger.ShardID
--- a/internal/system/slowstart.go
+++ b/internal/system/slowstart.go
@@ -25,53 +25,53 @@
 )
 
 var (
-	eventEngineCold   = telemetry.Define(2130, "engine-cold", "An engine whose service has a cold rate is cold here from now on: requests to it need permits.")
-	eventEngineWarm   = telemetry.Define(2131, "engine-warm", "An engine is cold here no more; its pace rises for a while before it is lifted.")
-	eventEnginePaced  = telemetry.Define(2132, "engine-paced", "A request got no permit for a cold engine, which counts as full here for the time given.")
-	eventGranterAside = telemetry.Define(2133, "permits-unanswered", "A data node left asks for permits unanswered; the next in order is asked for a while.")
-	eventBadPermit    = telemetry.Define(2134, "permit-message-unreadable", "A peer's datagram about permits could not be decoded and is passed over.")
+	eventEngineCold           = telemetry.Define(2130, "engine-cold", "An engine of a service with a cold rate is now considered cold by this node: requests to it need permits.")
+	eventEngineWarm           = telemetry.Define(2131, "engine-warm", "An engine is no longer considered cold by this node; its rate limit rises for a while before it is lifted.")
+	eventEnginePaced          = telemetry.Define(2132, "engine-paced", "A request got no permit for a cold engine, which this node treats as full for the given time.")
+	eventGranterSkipped       = telemetry.Define(2133, "permits-unanswered", "A data node did not answer requests for permits; the next in order is asked for a while.")
+	eventPermitMessageInvalid = telemetry.Define(2134, "permit-message-unreadable", "A peer's datagram about permits could not be decoded and is ignored.")
 )
 
-// warmNews are engines of which peers told that they are warm, by the revisions of their
-// entries. The zero value is ready.
-type warmNews struct {
-	mutex sync.Mutex // guards told; a leaf
-	told  map[string]uint64
+// warmReports collects engines that peers reported as warm, with the revisions of their
+// entries. The zero value is ready for use.
+type warmReports struct {
+	mutex     sync.Mutex // guards revisions; a leaf
+	revisions map[string]uint64
 }
 
-func (w *warmNews) add(id string, revision uint64) {
+func (w *warmReports) add(id string, revision uint64) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.told == nil {
-		w.told = map[string]uint64{}
+	if w.revisions == nil {
+		w.revisions = map[string]uint64{}
 	}
-	w.told[id] = revision
+	w.revisions[id] = revision
 }
 
-func (w *warmNews) take() map[string]uint64 {
+func (w *warmReports) take() map[string]uint64 {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	told := w.told
-	w.told = nil
-	return told
+	revisions := w.revisions
+	w.revisions = nil
+	return revisions
 }
 
-// warm notes that a peer has known an engine as warm for long.
-func (f *facts) warm(engine catalog.Engine) {
-	f.warmNews.add(engine.ID, engine.Revision)
-	f.changed("")
+// noteWarm records that a peer reported an engine as warm.
+func (t *catalogTracker) noteWarm(engine catalog.Engine) {
+	t.warmReports.add(engine.ID, engine.Revision)
+	t.changed("")
 }
 
-// markCold tells each engine until when it is cold, and logs what changed.
-func (f *facts) markCold(engines []catalog.Engine, configuration *catalog.Configuration, now time.Time) {
+// markCold sets until when each engine is cold, and logs changes.
+func (t *catalogTracker) markCold(engines []catalog.Engine, configuration *catalog.Configuration, now time.Time) {
 	var services map[string]catalog.Service
 	if configuration != nil {
 		services = configuration.Services
 	}
-	for id, revision := range f.warmNews.take() {
-		f.warmth.Warm(id, revision)
+	for id, revision := range t.warmReports.take() {
+		t.warmth.Warm(id, revision)
 	}
-	changes, again := f.warmth.Update(engines, services, now)
+	changes, nextUpdate := t.warmth.Update(engines, services, now)
 	for _, change := range changes {
 		if change.Cold {
 			eventEngineCold.Info("engine", change.Engine.ID, "service", change.Engine.Service, "zone", change.Engine.Zone,
@@ -81,22 +81,22 @@
 				"revision", change.Engine.Revision)
 		}
 	}
-	if !again.IsZero() {
-		f.lookAgainAt(again)
+	if !nextUpdate.IsZero() {
+		t.refreshBy(nextUpdate)
 	}
 }
 
-// usableForBatch says whether an engine may get an item of a service now.
-func (f *facts) usableForBatch(id, service string) bool {
-	snapshot := f.Snapshot()
+// usableForBatch reports whether an engine may get an item of a service now.
+func (t *catalogTracker) usableForBatch(id, service string) bool {
+	snapshot := t.Snapshot()
 	engine, known := snapshot.Engine(id)
 	return known && snapshot.Usable(id, service) && !engine.Paced(clock.Now())
 }
 
-// coldEngines counts the engines that are cold here.
-func (f *facts) coldEngines() float64 {
+// coldEngines returns the number of cold engines.
+func (t *catalogTracker) coldEngines() float64 {
 	now, count := clock.Now(), 0
-	for _, engine := range f.Snapshot().Engines() {
+	for _, engine := range t.Snapshot().Engines() {
 		if now.Before(engine.ColdUntil) {
 			count++
 		}
@@ -104,32 +104,32 @@
 	return float64(count)
 }
 
-// permits is the part of a front node that asks for permits.
-type permits struct {
-	peers transport.Sender
-	nodes func() []mirror.Node
-	warm  func(engine catalog.Engine)
+// permitClient requests permits on a front node.
+type permitClient struct {
+	peers    transport.Sender
+	nodes    func() []mirror.Node
+	noteWarm func(engine catalog.Engine)
 
 	asked, granted, denied, unanswered atomic.Int64
 
-	mutex   sync.Mutex // guards what is below; a leaf
+	mutex   sync.Mutex // guards the fields below; a leaf
 	asker   *slowstart.Asker
 	waiting map[uint64]chan slowstart.Permission
 }
 
-func newPermits(peers transport.Sender, nodes func() []mirror.Node, warm func(engine catalog.Engine)) *permits {
-	return &permits{
-		peers: peers, nodes: nodes, warm: warm,
+func newPermitClient(peers transport.Sender, nodes func() []mirror.Node, noteWarm func(engine catalog.Engine)) *permitClient {
+	return &permitClient{
+		peers: peers, nodes: nodes, noteWarm: noteWarm,
 		asker: slowstart.NewAsker(rand.Uint64()), waiting: map[uint64]chan slowstart.Permission{},
 	}
 }
 
-// permit asks whether a paced engine may get a request.
-func (p *permits) permit(ctx context.Context, request balance.PermitRequest) balance.Permission {
+// permit requests a permit to send a request to a paced engine.
+func (p *permitClient) permit(ctx context.Context, request balance.PermitRequest) balance.Permission {
 	engine := request.Engine
 	to, permission := p.ask(ctx, request, slowstart.Granters(p.nodes(), engine))
 	if permission.Warm {
-		p.warm(engine)
+		p.noteWarm(engine)
 	}
 	if permission.Until.IsZero() {
 		p.denied.Add(1)
@@ -140,7 +140,7 @@
 	return balance.Permission{Until: permission.Until, RetryAfter: permission.RetryAfter}
 }
 
-func (p *permits) ask(ctx context.Context, request balance.PermitRequest, granters []mirror.Node) (transport.Address, slowstart.Permission) {
+func (p *permitClient) ask(ctx context.Context, request balance.PermitRequest, granters []mirror.Node) (transport.Address, slowstart.Permission) {
 	engine := request.Engine
 	addresses := make([]transport.Address, 0, len(granters))
 	for _, granter := range granters {
@@ -159,25 +159,25 @@
 	}
 	p.asked.Add(1)
 	ask := slowstart.Ask{
-		Number: number, Engine: catalog.Instance(engine.ID), Revision: engine.Revision, Factor: factorOf(request, now),
+		Number: number, Engine: catalog.Instance(engine.ID), Revision: engine.Revision, Factor: paceFactor(request, now),
 		MaybePast: engine.ColdMaybePast,
 	}
-	// An ask that can't be sent is like a lost one.
+	// An unsent ask counts as lost.
 	_ = p.peers.Datagram(to, kindPermitAsk, ask.Marshal())
-	timer := time.NewTimer(askTimeout)
+	timer := time.NewTimer(responseTimeout)
 	defer timer.Stop()
 	select {
 	case permission := <-answered:
 		return to, permission
 	case <-timer.C:
-		return to, p.giveUp(number, to, answered)
+		return to, p.timeOut(number, to, answered)
 	case <-ctx.Done():
-		return to, p.drop(number)
+		return to, p.cancel(number)
 	}
 }
 
-// drop ends an ask whose request has ended, which tells nothing of the granting node.
-func (p *permits) drop(number uint64) slowstart.Permission {
+// cancel ends an ask whose request has ended, without counting it as unanswered.
+func (p *permitClient) cancel(number uint64) slowstart.Permission {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	delete(p.waiting, number)
@@ -185,38 +185,38 @@
 	return slowstart.Permission{}
 }
 
-// factorOf is how many times its cold pace an engine may get: a step of the rise holds as
-// long as nothing failed there.
-func factorOf(request balance.PermitRequest, now time.Time) uint8 {
+// paceFactor returns the multiple of its cold rate that an engine may get. An engine with
+// failures stays at its cold rate.
+func paceFactor(request balance.PermitRequest, now time.Time) uint8 {
 	if request.Failing {
 		return 1
 	}
 	return uint8(request.Engine.PaceFactor(now))
 }
 
-// giveUp ends an ask that got no answer in time; one that was taken as the time ran out
-// counts.
-func (p *permits) giveUp(number uint64, to transport.Address, answered <-chan slowstart.Permission) slowstart.Permission {
+// timeOut ends an ask that was not answered in time. An answer handled just before the
+// mutex is acquired counts.
+func (p *permitClient) timeOut(number uint64, to transport.Address, answered <-chan slowstart.Permission) slowstart.Permission {
 	p.mutex.Lock()
 	if _, open := p.waiting[number]; !open {
 		p.mutex.Unlock()
-		return <-answered // takeAnswer puts it there under the mutex
+		return <-answered // sent by handleAnswer under the mutex
 	}
 	delete(p.waiting, number)
-	permission, aside := p.asker.GiveUp(number, clock.Now())
+	permission, skipped := p.asker.GiveUp(number, clock.Now())
 	p.mutex.Unlock()
 	p.unanswered.Add(1)
-	if aside {
-		eventGranterAside.Info("peer", to)
+	if skipped {
+		eventGranterSkipped.Info("peer", to)
 	}
 	return permission
 }
 
-// takeAnswer takes a granting node's answer.
-func (p *permits) takeAnswer(from transport.Address, payload []byte) {
+// handleAnswer passes a granting node's answer to the request that waits for it.
+func (p *permitClient) handleAnswer(from transport.Address, payload []byte) {
 	answer, err := slowstart.UnmarshalAnswer(payload)
 	if err != nil {
-		eventBadPermit.Error(err, "peer", from)
+		eventPermitMessageInvalid.Error(err, "peer", from)
 		return
 	}
 	p.mutex.Lock()
@@ -229,7 +229,7 @@
 	delete(p.waiting, answer.Number)
 }
 
-func (p *permits) gauges() map[string]gauge {
+func (p *permitClient) gauges() map[string]gauge {
 	counter := func(count *atomic.Int64) func() float64 { return func() float64 { return float64(count.Load()) } }
 	return map[string]gauge{
 		"chutelock_permits_asked_total":      {"Permits for cold engines that this node asked for.", counter(&p.asked)},
@@ -239,59 +239,59 @@
 	}
 }
 
-// granting is the part of a data node that grants permits.
-type granting struct {
-	self  string
-	bound slowstart.Bound
-	peers transport.Sender
-	nodes func() []mirror.Node
-	facts func() *catalog.Snapshot
+// permitServer grants permits on a data node.
+type permitServer struct {
+	self     string
+	bound    slowstart.Bound
+	peers    transport.Sender
+	nodes    func() []mirror.Node
+	snapshot func() *catalog.Snapshot
 
-	granted, refused atomic.Int64
+	granted, denied atomic.Int64
 
 	mutex   sync.Mutex // guards granter; a leaf
 	granter *slowstart.Granter
 }
 
-func newGranting(settings *config.Node, peers transport.Sender, nodes func() []mirror.Node, facts func() *catalog.Snapshot) *granting {
-	return &granting{
+func newPermitServer(settings *config.Node, peers transport.Sender, nodes func() []mirror.Node, snapshot func() *catalog.Snapshot) *permitServer {
+	return &permitServer{
 		self: settings.Node.Name, bound: slowstart.Bound{Overage: settings.SlowStart.Overage, Slack: settings.SlowStart.Slack},
-		peers: peers, nodes: nodes, facts: facts, granter: slowstart.NewGranter(clock.Now()),
+		peers: peers, nodes: nodes, snapshot: snapshot, granter: slowstart.NewGranter(clock.Now()),
 	}
 }
 
-// takeAsk answers a front node's ask.
-func (g *granting) takeAsk(from transport.Address, payload []byte) {
+// handleAsk grants or denies the permit that a front node asks for.
+func (g *permitServer) handleAsk(from transport.Address, payload []byte) {
 	ask, err := slowstart.UnmarshalAsk(payload)
 	if err != nil {
-		eventBadPermit.Error(err, "peer", from)
+		eventPermitMessageInvalid.Error(err, "peer", from)
 		return
 	}
 	answer := g.answer(ask, clock.Now())
 	if answer.Verdict == slowstart.Granted {
 		g.granted.Add(1)
 	} else {
-		g.refused.Add(1)
+		g.denied.Add(1)
 	}
-	// An answer that can't be sent is like a lost one.
+	// An unsent answer counts as lost.
 	_ = g.peers.Datagram(from, kindPermitAnswer, answer.Marshal())
 }
 
 const (
-	// closedPause is how long a front node asks a node for nothing that knows no
-	// configuration yet: it has just started and is quiet for about as long (1.1 s).
-	closedPause = time.Second
-	// unknownPause is how long a front node asks a node not for an engine that this
-	// doesn't know, or for which others grant by its list: in calm times all nodes know
-	// of a change some 100 ms after the store's answer.
+	// noConfigurationPause is how long a front node sends no asks to a data node that
+	// has no configuration yet because it has just started.
+	noConfigurationPause = time.Second
+	// unknownPause is how long a front node sends a data node no asks for an engine that
+	// this does not know, or for which it is not one of the granters. Changes usually
+	// reach all nodes in that time.
 	unknownPause = 100 * time.Millisecond
 )
 
-func (g *granting) answer(ask slowstart.Ask, now time.Time) slowstart.Answer {
+func (g *permitServer) answer(ask slowstart.Ask, now time.Time) slowstart.Answer {
 	answer := slowstart.Answer{Number: ask.Number, Verdict: slowstart.Unknown, RetryAfter: unknownPause}
-	nodes, snapshot := g.nodes(), g.facts()
+	nodes, snapshot := g.nodes(), g.snapshot()
 	if snapshot.Configuration == nil {
-		answer.Verdict, answer.RetryAfter = slowstart.Closed, closedPause
+		answer.Verdict, answer.RetryAfter = slowstart.Closed, noConfigurationPause
 		return answer
 	}
 	engine, known := snapshot.Engine(ask.Engine)
@@ -307,29 +307,29 @@
 	case ask.MaybePast:
 		return slowstart.Answer{Number: ask.Number, Verdict: slowstart.Warm}
 	}
-	own := func(n mirror.Node) bool { return n.Name == g.self }
-	if !slices.ContainsFunc(slowstart.Granters(nodes, engine), own) {
+	isSelf := func(n mirror.Node) bool { return n.Name == g.self }
+	if !slices.ContainsFunc(slowstart.Granters(nodes, engine), isSelf) {
 		return answer
 	}
 	allowance := factor * g.bound.Allowance(snapshot.Configuration.Services[engine.Service].ColdRate)
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.granter.SetDataNodes(names(nodes), now)
+	g.granter.SetDataNodes(nodeNames(nodes), now)
 	answer.Verdict, answer.RetryAfter = g.granter.Grant(ask.Engine, allowance, now)
 	return answer
 }
 
-func names(nodes []mirror.Node) []string {
-	list := make([]string, 0, len(nodes))
+func nodeNames(nodes []mirror.Node) []string {
+	names := make([]string, 0, len(nodes))
 	for _, node := range nodes {
-		list = append(list, node.Name)
+		names = append(names, node.Name)
 	}
-	return list
+	return names
 }
 
-func (g *granting) gauges() map[string]gauge {
+func (g *permitServer) gauges() map[string]gauge {
 	return map[string]gauge{
 		"chutelock_permits_granted_total": {"Permits for cold engines that this node granted.", func() float64 { return float64(g.granted.Load()) }},
-		"chutelock_permits_denied_total":  {"Asks for permits that this node did not grant.", func() float64 { return float64(g.refused.Load()) }},
+		"chutelock_permits_denied_total":  {"Asks for permits that this node did not grant.", func() float64 { return float64(g.denied.Load()) }},
 	}
 }
