--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -2,81 +2,80 @@
 
 import "time"
 
-// Config tunes a Router. DefaultConfig gives every value; a zero Config is
-// completed with the defaults of its zero fields, but for weights, where the
-// zero of all of them means the defaults.
+// Config holds the settings of a Router. Zero fields take the values of
+// DefaultConfig; the weights do so only if all of them are zero.
 type Config struct {
-	// Zone and Region are this node's own.
+	// Zone and Region are where this node runs.
 	Zone, Region string
-	// Seed of the picker's randomness.
+	// Seed seeds the picker's random numbers.
 	Seed uint64
 
 	Weights Weights
-	// NearBest is the distance from the best score within which the picker
+	// ScoreTolerance is the distance from the best score within which the picker
 	// chooses at random.
-	NearBest float64
+	ScoreTolerance float64
 	// LoadHalfLife is the age at which a load report counts half.
 	LoadHalfLife time.Duration
-	// OthersWeight is the weight of other nodes' streams against this node's
-	// own in the load score, where they are over OthersMargin × the peers' mean
-	// and OthersSlack. Reports lag by about as long as a stream runs, and nodes
-	// that all follow them swing together; so only an endpoint that stands out
-	// is avoided, and none is preferred.
-	OthersWeight, OthersMargin, OthersSlack float64
-	// PrefixHalfTokens is the number of cached prompt tokens that is worth half
-	// of the prefix score, by its square: a short prefix is not worth an uneven load.
+	// RemoteWeight is the weight, in the load score, of other nodes' streams
+	// beyond RemoteMargin × the mean over all endpoints + RemoteSlack. Weighting
+	// all of them would make the nodes oscillate together, as reports lag by
+	// about the duration of a stream.
+	RemoteWeight, RemoteMargin, RemoteSlack float64
+	// PrefixHalfTokens is the prompt length at which the prefix score has half of
+	// its weight. It falls with the square of the length, as a short prefix
+	// doesn't justify an uneven load.
 	PrefixHalfTokens int
-	// LoadBoundFactor and LoadBoundSlack bound prefix affinity: it ends at
-	// factor × mean load + slack streams.
+	// Endpoints with more than LoadBoundFactor × mean load + LoadBoundSlack
+	// streams get no prefix score.
 	LoadBoundFactor float64
 	LoadBoundSlack  float64
-	// PrefixEntries bounds the prefix keys remembered for one model.
+	// PrefixEntries is the maximum number of prefix keys kept for each model.
 	PrefixEntries int
 
 	Outliers OutlierConfig
 }
 
-// Weights of the scorers.
+// Weights holds the weight of each scorer.
 type Weights struct {
 	Load, KV, Prefix, Adapter, Zone, Health float64
 }
 
-// OutlierConfig tunes how failing and slow endpoints are set aside.
+// OutlierConfig holds the settings of the ejection of failing and slow endpoints.
 type OutlierConfig struct {
-	// ConsecutiveFailures sets an endpoint aside.
+	// ConsecutiveFailures is the number of failures that ejects an endpoint.
 	ConsecutiveFailures int
-	// EjectionBase is the first time aside; it doubles up to EjectionMax.
+	// EjectionBase is the first ejection time; it doubles up to EjectionMax.
 	EjectionBase, EjectionMax time.Duration
-	// MaxEjectedShare bounds the endpoints of a model that are set aside.
+	// MaxEjectedShare is the maximum share of a model's endpoints that are ejected.
 	MaxEjectedShare float64
 	// StallAfter is how long the oldest attempt may wait for its first token,
-	// with none come from the endpoint meanwhile, before others avoid it;
-	// StallFactor × the peers' usual time replaces it when that is longer.
+	// while the endpoint sends none to others, before the endpoint is avoided;
+	// StallFactor × the peers' median time replaces it when that is longer.
 	StallAfter  time.Duration
 	StallFactor float64
-	// SlowFactor and SlowMargin: an endpoint whose mean time to first token or
-	// between tokens is over factor × the peers' median, and over the median by
-	// the margin, is set aside.
+	// An endpoint is ejected if its mean time to first token or between tokens
+	// exceeds SlowFactor × the peers' median; the time to first token must exceed
+	// the median by SlowMargin, too.
 	SlowFactor float64
 	SlowMargin time.Duration
-	// SlowSamples is the least number of samples for a judgement.
+	// SlowSamples is the minimum number of samples for this comparison.
 	SlowSamples int
 	// FailureHalfLife is the age at which failures count half in the score of
-	// an endpoint that isn't set aside.
+	// an endpoint that isn't ejected.
 	FailureHalfLife time.Duration
-	// Interval between comparisons with peers.
+	// Interval is the time between comparisons with peers.
 	Interval time.Duration
 }
 
-// DefaultConfig returns the values in use when nothing is set.
+// DefaultConfig returns the default settings.
 func DefaultConfig() Config {
 	return Config{
 		Weights:          Weights{Load: 1, KV: 0.3, Prefix: 1, Adapter: 0.5, Zone: 0.3, Health: 1.5},
-		NearBest:         0.01,
+		ScoreTolerance:   0.01,
 		LoadHalfLife:     2 * time.Second,
-		OthersWeight:     0.1,
-		OthersMargin:     1.5,
-		OthersSlack:      4,
+		RemoteWeight:     0.1,
+		RemoteMargin:     1.5,
+		RemoteSlack:      4,
 		PrefixHalfTokens: 1500,
 		LoadBoundFactor:  1.25,
 		LoadBoundSlack:   4,
@@ -102,11 +101,11 @@
 	if c.Weights == (Weights{}) {
 		c.Weights = defaults.Weights
 	}
-	setDefault(&c.NearBest, defaults.NearBest)
+	setDefault(&c.ScoreTolerance, defaults.ScoreTolerance)
 	setDefault(&c.LoadHalfLife, defaults.LoadHalfLife)
-	setDefault(&c.OthersWeight, defaults.OthersWeight)
-	setDefault(&c.OthersMargin, defaults.OthersMargin)
-	setDefault(&c.OthersSlack, defaults.OthersSlack)
+	setDefault(&c.RemoteWeight, defaults.RemoteWeight)
+	setDefault(&c.RemoteMargin, defaults.RemoteMargin)
+	setDefault(&c.RemoteSlack, defaults.RemoteSlack)
 	setDefault(&c.PrefixHalfTokens, defaults.PrefixHalfTokens)
 	setDefault(&c.LoadBoundFactor, defaults.LoadBoundFactor)
 	setDefault(&c.LoadBoundSlack, defaults.LoadBoundSlack)
--- a/internal/routing/filter.go
+++ b/internal/routing/filter.go
@@ -2,8 +2,7 @@
 
 import "slices"
 
-// triedFilter drops endpoints that an earlier attempt was sent to. It reads
-// the request only.
+// triedFilter drops endpoints that an earlier attempt was sent to.
 type triedFilter struct{}
 
 func (triedFilter) Name() string { return "tried" }
@@ -12,18 +11,18 @@
 	return !slices.Contains(view.Request.Tried, candidate.Endpoint.Name)
 }
 
-// slotsFilter drops endpoints that have all the streams that this node may
-// send them. It reads this node's own streams, which are never stale.
-type slotsFilter struct{}
+// ownSlotsFilter drops endpoints on which this node's own streams, which are
+// never stale, take all slots.
+type ownSlotsFilter struct{}
 
-func (slotsFilter) Name() string { return "slots" }
+func (ownSlotsFilter) Name() string { return "slots" }
 
-func (slotsFilter) Keep(view *View, candidate *Candidate) bool {
+func (ownSlotsFilter) Keep(view *View, candidate *Candidate) bool {
 	return view.Request.Slots <= 0 || candidate.InFlight < view.Request.Slots
 }
 
-// ejectedFilter drops endpoints that are set aside, and those under probe but
-// for one repeatable request at a time. It reads what this node saw itself.
+// ejectedFilter drops ejected endpoints. After the ejection time it keeps them
+// for one repeatable request at a time, as a probe.
 type ejectedFilter struct{}
 
 func (ejectedFilter) Name() string { return "ejected" }
@@ -36,7 +35,7 @@
 	return !view.Now.Before(state.ejectedUntil) && !state.probing && view.Request.Repeatable
 }
 
-// busyFilter drops endpoints that asked this node to come back later.
+// busyFilter drops endpoints whose Retry-After time has not passed.
 type busyFilter struct{}
 
 func (busyFilter) Name() string { return "busy" }
@@ -46,7 +45,7 @@
 }
 
 // stalledFilter drops endpoints whose oldest attempt has waited too long for
-// its first token while no other got one.
+// its first token while no other attempt got one.
 type stalledFilter struct{ router *Router }
 
 func (stalledFilter) Name() string { return "stalled" }
@@ -55,13 +54,12 @@
 	return !candidate.state.stalled(view.Now, f.router.stallLimit())
 }
 
-// roomFilter drops endpoints whose slots seem taken by all nodes together. It
-// reads Candidate.Load, so that a stale or missing report counts as the peers'
-// mean.
-type roomFilter struct{}
+// totalSlotsFilter drops endpoints whose slots are taken by the estimated streams
+// of all nodes. A stale or missing report counts as the peers' mean.
+type totalSlotsFilter struct{}
 
-func (roomFilter) Name() string { return "room" }
+func (totalSlotsFilter) Name() string { return "room" }
 
-func (roomFilter) Keep(view *View, candidate *Candidate) bool {
+func (totalSlotsFilter) Keep(view *View, candidate *Candidate) bool {
 	return view.Request.Slots <= 0 || candidate.Load < float64(view.Request.Slots)
 }
--- a/internal/routing/outlier.go
+++ b/internal/routing/outlier.go
@@ -7,7 +7,7 @@
 	"chutelock.dev/chutelock/internal/engine"
 )
 
-// Transition is an endpoint set aside or taken back, for logs and metrics.
+// Transition is an ejection or restoration of an endpoint, for logs and metrics.
 type Transition struct {
 	Endpoint string
 	Ejected  bool
@@ -15,18 +15,18 @@
 	Until    time.Time
 }
 
-// Causes of transitions.
+// Causes of ejections and restorations.
 const (
-	CauseFailures = "consecutive failures"
-	CauseNoAnswer = "accepted and never answered"
-	CauseSlow     = "slower than its peers"
-	CauseProbed   = "a probe succeeded"
+	CauseFailures       = "consecutive failures"
+	CauseNoAnswer       = "accepted and never answered"
+	CauseSlow           = "slower than its peers"
+	CauseProbeSucceeded = "a probe succeeded"
 )
 
-// maxEjectionDoublings keeps the shift below from overflowing.
+// maxEjectionDoublings keeps the shift in eject from overflowing.
 const maxEjectionDoublings = 16
 
-// eject sets an endpoint aside unless too many of its peers are.
+// eject ejects an endpoint unless too many of its peers are ejected.
 func (r *Router) eject(now time.Time, state *endpointState, cause string) {
 	if state.ejected && now.Before(state.ejectedUntil) {
 		return
@@ -35,19 +35,19 @@
 		return
 	}
 	config := &r.config.Outliers
-	aside := config.EjectionBase << min(state.ejections, maxEjectionDoublings)
-	if aside > config.EjectionMax || aside <= 0 {
-		aside = config.EjectionMax
+	duration := config.EjectionBase << min(state.ejections, maxEjectionDoublings)
+	if duration > config.EjectionMax || duration <= 0 {
+		duration = config.EjectionMax
 	}
 	state.ejections++
 	state.ejected = true
-	state.ejectedUntil = now.Add(aside)
+	state.ejectedUntil = now.Add(duration)
 	state.failures = 0
 	state.firstToken, state.betweenToken = movingMean{}, movingMean{}
 	r.transitions = append(r.transitions, Transition{Endpoint: state.name, Ejected: true, Cause: cause, Until: state.ejectedUntil})
 }
 
-// mayEject says whether one more endpoint of each of its pools may go aside.
+// mayEject reports whether each pool of the endpoint allows one more ejection.
 func (r *Router) mayEject(state *endpointState) bool {
 	for _, pool := range r.pools {
 		ejected, member := 0, false
@@ -71,10 +71,10 @@
 	state.ejected = false
 	state.ejections = 0
 	state.failures = 0
-	r.transitions = append(r.transitions, Transition{Endpoint: state.name, Cause: CauseProbed})
+	r.transitions = append(r.transitions, Transition{Endpoint: state.name, Cause: CauseProbeSucceeded})
 }
 
-// observeFirstToken notes that the endpoint answers.
+// observeFirstToken records the time to first token and evaluates a probe.
 func (r *Router) observeFirstToken(now time.Time, attempt *Attempt) {
 	state := attempt.state
 	if !attempt.waiting {
@@ -84,20 +84,20 @@
 	state.lastFirstToken = now
 	state.failures = 0
 	took := now.Sub(attempt.started)
-	attempt.started = now // from here on it dates the tokens
+	attempt.started = now // from now on, the time between tokens is measured
 	state.firstToken.add(took.Seconds())
 	if attempt.probe && state.ejected {
-		r.judgeProbe(now, state, took)
+		r.evaluateProbe(now, state, took)
 	}
 }
 
-// judgeProbe takes an endpoint back if its probe was about as fast as its
-// peers usually are, and else sets it aside for longer.
-func (r *Router) judgeProbe(now time.Time, state *endpointState, took time.Duration) {
+// evaluateProbe restores an endpoint whose probe was about as fast as its peers'
+// median, and ejects it for longer otherwise.
+func (r *Router) evaluateProbe(now time.Time, state *endpointState, took time.Duration) {
 	limit := r.stallLimit()
-	if usual := r.usualFirstToken; usual > 0 {
+	if median := r.medianFirstToken; median > 0 {
 		config := &r.config.Outliers
-		limit = max(time.Duration(config.SlowFactor*float64(usual)), usual+config.SlowMargin)
+		limit = max(time.Duration(config.SlowFactor*float64(median)), median+config.SlowMargin)
 	}
 	if took > limit {
 		r.eject(now, state, CauseSlow)
@@ -107,13 +107,14 @@
 	r.restore(state)
 }
 
-// observeFailure counts a failure against the endpoint where it is one.
+// observeFailure counts a failure, unless it is a client error, and ejects the
+// endpoint if it has timed out, failed a probe or failed too often.
 func (r *Router) observeFailure(now time.Time, outcome Outcome, wasWaiting bool) {
 	state := outcome.Attempt.state
 	if outcome.RetryAfter > 0 {
 		state.busyUntil = now.Add(min(outcome.RetryAfter, r.config.Outliers.EjectionMax))
 	}
-	if isCallersFault(outcome) {
+	if isClientError(outcome) {
 		return
 	}
 	state.failures++
@@ -126,25 +127,25 @@
 	}
 }
 
-// isCallersFault says that the engine refused the request for what it is.
-func isCallersFault(outcome Outcome) bool {
+// isClientError reports whether the engine rejected an invalid request.
+func isClientError(outcome Outcome) bool {
 	return outcome.Fate != engine.FateUnknown && outcome.Status >= 400 && outcome.Status < 500 && outcome.Status != 408 && outcome.Status != 429
 }
 
-// compare sets aside the endpoints of a pool that are slower than their peers.
-func (r *Router) compare(now time.Time, pool *pool) {
-	if now.Sub(pool.compared) < r.config.Outliers.Interval {
+// ejectSlow ejects the endpoints of a pool that are slower than their peers.
+func (r *Router) ejectSlow(now time.Time, pool *pool) {
+	if now.Sub(pool.lastCompared) < r.config.Outliers.Interval {
 		return
 	}
-	pool.compared = now
-	r.compareBy(now, pool, func(s *endpointState) *movingMean { return &s.betweenToken }, 0)
-	median := r.compareBy(now, pool, func(s *endpointState) *movingMean { return &s.firstToken }, r.config.Outliers.SlowMargin)
+	pool.lastCompared = now
+	r.ejectSlowBy(now, pool, func(s *endpointState) *movingMean { return &s.betweenToken }, 0)
+	median := r.ejectSlowBy(now, pool, func(s *endpointState) *movingMean { return &s.firstToken }, r.config.Outliers.SlowMargin)
 	if median > 0 {
-		r.usualFirstToken = time.Duration(median * float64(time.Second))
+		r.medianFirstToken = time.Duration(median * float64(time.Second))
 	}
 }
 
-func (r *Router) compareBy(now time.Time, pool *pool, mean func(*endpointState) *movingMean, margin time.Duration) float64 {
+func (r *Router) ejectSlowBy(now time.Time, pool *pool, mean func(*endpointState) *movingMean, margin time.Duration) float64 {
 	config := &r.config.Outliers
 	r.scratch = r.scratch[:0]
 	for i := range pool.members {
@@ -167,9 +168,9 @@
 	return median
 }
 
-// stallLimit is how long an attempt may wait for its first token before the
+// stallLimit returns how long an attempt may wait for its first token before the
 // endpoint counts as stalled.
 func (r *Router) stallLimit() time.Duration {
 	config := &r.config.Outliers
-	return max(config.StallAfter, time.Duration(config.StallFactor*float64(r.usualFirstToken)))
+	return max(config.StallAfter, time.Duration(config.StallFactor*float64(r.medianFirstToken)))
 }
--- a/internal/routing/pick.go
+++ b/internal/routing/pick.go
@@ -1,8 +1,8 @@
 package routing
 
-// nearBestPicker takes two candidates at random among those whose score is
-// close to the best and chooses the one with the lower pressure. Nodes
-// that see the same lagging reports thus don't all choose the same endpoint.
+// nearBestPicker draws two random candidates among those whose score is close to
+// the best and picks the one with the lower pressure, so that nodes with the same
+// lagging reports don't all pick the same endpoint.
 type nearBestPicker struct{ near []int }
 
 func (p *nearBestPicker) Pick(view *View, candidates []Candidate, scores []float64) int {
@@ -12,7 +12,7 @@
 	}
 	p.near = p.near[:0]
 	for i, score := range scores {
-		if score >= best-view.config.NearBest {
+		if score >= best-view.config.ScoreTolerance {
 			p.near = append(p.near, i)
 		}
 	}
--- a/internal/routing/prefix.go
+++ b/internal/routing/prefix.go
@@ -9,37 +9,38 @@
 )
 
 const (
-	// The prompt's leading blocks grow, so that few keys cover long prompts.
+	// The block size doubles after each blocksPerSize blocks, so that few keys
+	// cover long prompts.
 	firstBlockBytes = 128
 	blocksPerSize   = 16
-	// MaxPrefixKeys bounds the keys of one prompt; they cover about 30 KB.
+	// MaxPrefixKeys is the maximum number of keys of a prompt; they cover about 30 KB.
 	MaxPrefixKeys = 64
 
-	// holdersPerKey is how many endpoints are remembered to hold a prefix.
+	// holdersPerKey is the number of endpoints recorded as holders of a prefix.
 	holdersPerKey = 2
-	// countHalfLife is the age at which a sighting of a key counts half.
+	// countHalfLife is the age at which an occurrence of a key counts half.
 	countHalfLife = time.Minute
-	// replicaHeadroom is the room given to a prefix over its measured share.
+	// replicaHeadroom is the capacity for a prefix relative to its measured share.
 	replicaHeadroom = 1.25
-	// anchorEngines is the most engines that an anchor's traffic may need.
+	// anchorEngines is the maximum number of engines for an anchor's traffic.
 	anchorEngines = 2
-	// maxReplicas bounds the ranked endpoints of an anchor.
+	// maxReplicas is the maximum number of ranked endpoints of an anchor.
 	maxReplicas = 16
-	// everywhere is the share of the endpoints from which a prefix counts as
+	// commonShare is the share of the endpoints from which on a prefix counts as
 	// held by all.
-	everywhere = 0.75
-	// coldAffinity is the least weight by which gateways agree on where a prefix
-	// goes that they haven't seen.
-	coldAffinity = 0.1
+	commonShare = 0.75
+	// minRankedShare is the minimum expected share of the ranked endpoints, by
+	// which gateways agree on the endpoint for a prefix that they haven't seen.
+	minRankedShare = 0.1
 	// holderDiscount is the weight of an endpoint that this node sent a prefix
-	// to, but that doesn't rank for it: such copies are to age out.
+	// to, but that doesn't rank for it; it lets such copies age out.
 	holderDiscount = 0.5
 )
 
-// PrefixKeys hashes the leading blocks of a prompt. Each key covers all bytes
-// up to the end of its block, so that prompts with a common beginning have
-// common leading keys. Scope separates what can't share a cache, such as the
-// model and the adapter.
+// PrefixKeys returns hashes of the leading blocks of a prompt. Each key covers
+// all bytes up to the end of its block, so prompts with a common prefix have
+// common leading keys. Prompts with different scopes, such as model and adapter,
+// have no key in common.
 func PrefixKeys(scope, prompt string) []uint64 {
 	var keys []uint64
 	var chained [8]byte
@@ -61,15 +62,15 @@
 	return keys
 }
 
-// prefixTable remembers how often the prefixes of one model were seen by this
-// node and where it sent them, in two generations of bounded size.
+// prefixTable counts how often this node saw the prefixes of one model and
+// records where it sent them, in two generations of bounded size.
 type prefixTable struct {
-	limit           int
-	current, former map[uint64]prefixEntry
-	start           time.Time
-	total           decayingCount
-	// reuse is the usual share of a prompt that was seen before, without what
-	// is held everywhere anyway.
+	limit             int
+	current, previous map[uint64]prefixEntry
+	start             time.Time
+	total             decayingCount
+	// reuse is the mean share of a prompt that was seen before, without the
+	// prefixes that nearly all endpoints hold.
 	reuse movingMean
 }
 
@@ -78,7 +79,7 @@
 	holders [holdersPerKey]uint64 // hashes of endpoints, newest first
 }
 
-// decayingCount halves with each half-life.
+// decayingCount is a count that halves with each period of countHalfLife.
 type decayingCount struct {
 	value  float32
 	period int32
@@ -108,11 +109,11 @@
 	if entry, ok := t.current[key]; ok {
 		return entry, true
 	}
-	entry, ok := t.former[key]
+	entry, ok := t.previous[key]
 	return entry, ok
 }
 
-// record notes that a prompt with these keys and plan goes to an endpoint.
+// record counts a prompt's keys and makes the endpoint their newest holder.
 func (t *prefixTable) record(now time.Time, keys []uint64, p *plan, holder uint64) {
 	t.reuse.add(float64(p.known-p.common) / float64(len(keys)))
 	period := t.period(now)
@@ -126,32 +127,32 @@
 		t.current[key] = entry
 	}
 	if len(t.current) >= t.limit/2 {
-		t.former = t.current
+		t.previous = t.current
 		t.current = make(map[uint64]prefixEntry, t.limit/2)
 	}
 }
 
-// plan is what the table says about one prompt.
+// plan describes where the prefix of one prompt is expected to be cached.
 type plan struct {
 	anchor   uint64
 	replicas int // endpoints that the anchor's traffic needs
 	known    int // leading keys seen before
-	common   int // leading keys that are held everywhere
+	common   int // leading keys that nearly all endpoints hold
 	// share of the prompt that the anchor's endpoints are expected to hold.
 	share   float64
 	entries [MaxPrefixKeys]prefixEntry
 }
 
-// lay fills the plan for a prompt over a number of endpoints.
+// fillPlan computes the plan for a prompt over a number of endpoints.
 //
-// The anchor is the shallowest key seen before whose traffic fits a few
-// engines: all gateways see about the same shares, so they rank endpoints by
-// the same key without talking, and a conversation that grows keeps its
-// anchor. If every key seen before needs more engines, the deepest is the
-// anchor with as many replicas as it needs; if it needs nearly all, it is held
-// everywhere, and the first key not seen before decides, at the weight of the
-// usual reuse: another gateway may know it.
-func (t *prefixTable) lay(now time.Time, keys []uint64, endpoints int, p *plan) {
+// The anchor is the shallowest key seen before whose traffic needs at most
+// anchorEngines engines. All gateways see about the same shares, so they rank
+// endpoints by the same key without communication, and a conversation keeps its
+// anchor as it grows. If every known key needs more engines, the deepest is the
+// anchor with as many replicas as it needs; if nearly all endpoints hold it, or it
+// needs more than maxReplicas, the first unknown key is the anchor at the mean
+// reuse, as another gateway may know it.
+func (t *prefixTable) fillPlan(now time.Time, keys []uint64, endpoints int, p *plan) {
 	period := t.period(now)
 	total := max(t.total.at(period), 1)
 	p.known, p.common = 0, 0
@@ -163,12 +164,12 @@
 		p.entries[i] = entry
 		p.known = i + 1
 	}
-	p.share = max(coldAffinity, float64(p.known)/float64(len(keys)))
+	p.share = max(minRankedShare, float64(p.known)/float64(len(keys)))
 	engines := 0.0
 	for i := range p.known {
 		share := float64(p.entries[i].seen.at(period) / total)
 		engines = share * float64(endpoints) * replicaHeadroom
-		if engines >= everywhere*float64(endpoints) {
+		if engines >= commonShare*float64(endpoints) {
 			p.common = i + 1
 		}
 		p.anchor = keys[i]
@@ -182,11 +183,11 @@
 	}
 	p.anchor = keys[min(p.known, len(keys)-1)]
 	p.replicas = 1
-	p.share = max(coldAffinity, t.reuse.value)
+	p.share = max(minRankedShare, t.reuse.value)
 }
 
-// rank is the rendezvous weight of an endpoint for a key.
-func rank(key, endpoint uint64) uint64 {
+// rendezvousWeight returns the rendezvous hashing weight of an endpoint for a key.
+func rendezvousWeight(key, endpoint uint64) uint64 {
 	x := key ^ endpoint
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/internal/routing/prefix_test.go
+++ b/internal/routing/prefix_test.go
@@ -14,7 +14,7 @@
 	"chutelock.dev/chutelock/internal/fleet"
 )
 
-func TestPrefixKeysFollowTheCommonBeginning(t *testing.T) {
+func TestPrefixKeysShareLeadingKeys(t *testing.T) {
 	g := gomega.NewWithT(t)
 	common := strings.Repeat("the rules of placement. ", 100)
 	one, two := PrefixKeys("m", common+"Bold asks"+strings.Repeat("x", 300)), PrefixKeys("m", common+"Tuya asks"+strings.Repeat("x", 300))
@@ -22,27 +22,27 @@
 	for shared < len(one) && one[shared] == two[shared] {
 		shared++
 	}
-	// The first 2,048 bytes are cut into 16 blocks, then by 256.
+	// The first 16 blocks cover 2,048 bytes; then each has 256 bytes.
 	g.Expect(shared).To(gomega.Equal(16 + (2400-2048)/256))
 	g.Expect(PrefixKeys("other model", common)[0]).NotTo(gomega.Equal(one[0]))
 	g.Expect(PrefixKeys("m", "short")).To(gomega.BeEmpty())
 	g.Expect(len(PrefixKeys("m", strings.Repeat("long ", 100000)))).To(gomega.Equal(MaxPrefixKeys))
 }
 
-// cachedFleet is engines that cache the prefixes of whole families, a few each.
+// cachedFleet simulates engines that each cache a few prefix families.
 type cachedFleet struct {
 	caches []map[uint64]int // key → when last used
 	limit  int
 	clock  int
 	hits   float64
-	seen   float64
+	shared float64
 	sent   []int
 }
 
 func (c *cachedFleet) serve(index int, keys []uint64, shared int) {
 	c.clock++
 	cache := c.caches[index]
-	if c.seen += float64(shared); cache[keys[shared-1]] > 0 {
+	if c.shared += float64(shared); cache[keys[shared-1]] > 0 {
 		c.hits += float64(shared)
 	}
 	cache[keys[shared-1]] = c.clock
@@ -58,11 +58,11 @@
 	c.sent[index]++
 }
 
-// families is the workload: prompts of families whose beginnings are shared,
-// below a beginning that all share.
+// familyKeys returns the keys of a random prompt and how many of them it shares
+// with its prefix family. All families have the first two keys in common.
 func familyKeys(random *rand.Rand, families int) (keys []uint64, shared int) {
 	family := random.IntN(families)
-	keys = append(keys, 1, 2) // the service's own instructions
+	keys = append(keys, 1, 2) // the service's system prompt
 	for depth := range 8 {
 		keys = append(keys, uint64(family+1)<<32|uint64(depth))
 	}
@@ -70,7 +70,7 @@
 	return append(keys, random.Uint64(), random.Uint64()), shared
 }
 
-// run sends requests through several nodes that don't talk to each other.
+// run sends requests through several nodes that don't communicate.
 func (c *cachedFleet) run(nodes, families, requests int, weights Weights) {
 	random := rand.New(rand.NewPCG(1, 2))
 	var routers []*Router
@@ -120,12 +120,11 @@
 	return c
 }
 
-// TestPrefixesMeetTheirCache: the best achievable is that only the first
-// request of each family misses.
-func TestPrefixesMeetTheirCache(t *testing.T) {
+// The share of cached prefixes must come close to the best achievable, at which
+// only the first request of each family misses, without an uneven load.
+func TestPrefixAffinityNearsBestHitRate(t *testing.T) {
 	for name, test := range map[string]struct{ engines, limit, families, nodes int }{
-		"many families": {12, 12, 96, 3},
-		// 60,000 requests: 20 nodes learn slowly; after 20,000 they hit 0.917.
+		"many families":           {12, 12, 96, 3},
 		"few families":            {12, 4, 6, 3},
 		"one family":              {12, 2, 1, 3},
 		"more nodes than engines": {12, 12, 96, 20},
@@ -133,25 +132,25 @@
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			const requests = 60000
-			affine := newCachedFleet(test.engines, test.limit)
-			affine.run(test.nodes, test.families, requests, Weights{})
-			blind := newCachedFleet(test.engines, test.limit)
-			blind.run(test.nodes, test.families, requests, Weights{Load: 1})
+			withAffinity := newCachedFleet(test.engines, test.limit)
+			withAffinity.run(test.nodes, test.families, requests, Weights{})
+			loadOnly := newCachedFleet(test.engines, test.limit)
+			loadOnly.run(test.nodes, test.families, requests, Weights{Load: 1})
 			best := 1 - float64(test.families)/requests
 			most := 0
-			for _, count := range affine.sent {
+			for _, count := range withAffinity.sent {
 				most = max(most, count)
 			}
 			t.Logf("hits %.4f with affinity, %.4f without, best achievable %.4f; the busiest engine got %.2f of its fair share",
-				affine.hits/affine.seen, blind.hits/blind.seen, best, float64(most*test.engines)/requests)
-			g.Expect(affine.hits / affine.seen).To(gomega.BeNumerically(">=", 0.95*best))
+				withAffinity.hits/withAffinity.shared, loadOnly.hits/loadOnly.shared, best, float64(most*test.engines)/requests)
+			g.Expect(withAffinity.hits / withAffinity.shared).To(gomega.BeNumerically(">=", 0.95*best))
 			g.Expect(most * test.engines).To(gomega.BeNumerically("<=", 2*requests))
 		})
 	}
 }
 
-// TestNodesAgreeOnWhereAPrefixGoes without having talked or seen it before.
-func TestNodesAgreeOnWhereAPrefixGoes(t *testing.T) {
+// Nodes must pick the same endpoint for a prefix that none of them has seen.
+func TestNodesAgreeOnEndpointOfUnseenPrefix(t *testing.T) {
 	g := gomega.NewWithT(t)
 	snapshot := endpoints(12, epoch, nil)
 	for family := range 20 {
@@ -172,13 +171,13 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 10000 {
 		table.record(epoch, []uint64{42, random.Uint64(), random.Uint64()}, &plan{}, 1)
-		g.Expect(len(table.current) + len(table.former)).To(gomega.BeNumerically("<=", 1000+3))
+		g.Expect(len(table.current) + len(table.previous)).To(gomega.BeNumerically("<=", 1000+3))
 	}
-	_, known := table.lookup(42) // used all the time, so never forgotten
+	_, known := table.lookup(42) // in each prompt, so never evicted
 	g.Expect(known).To(gomega.BeTrue())
 }
 
-// benchmarkSnapshot is a zone of engines with loads that differ.
+// benchmarkSnapshot returns a zone of engines with random loads.
 func benchmarkSnapshot(count int) *fleet.Snapshot {
 	random := rand.New(rand.NewPCG(1, 2))
 	return endpoints(count, epoch, func(_ int, e *fleet.Endpoint) {
@@ -224,7 +223,7 @@
 	view := View{Now: epoch, Request: &request, Zone: "z", Region: "r", MeanLoad: 20, config: &router.config, random: router.random, prefixes: router.prefixTable(epoch, "m")}
 	candidates, scores := router.candidates, router.scores
 	kept := make([]Candidate, 0, len(candidates))
-	for _, stage := range append(router.hard, router.soft...) {
+	for _, stage := range append(router.hardFilters, router.softFilters...) {
 		b.Run("filter="+stage.Name(), func(b *testing.B) {
 			for b.Loop() {
 				kept = keep(kept[:0], candidates, &view, stage)
@@ -254,8 +253,8 @@
 	}
 }
 
-// BenchmarkMemory reports what a router keeps for a zone of engines that all
-// have traffic, and for a full table of prefixes.
+// BenchmarkMemory reports the heap use of a router for a zone of engines that all
+// have traffic, and for a full prefix table.
 func BenchmarkMemory(b *testing.B) {
 	for name, prefixes := range map[string]int{"endpoints": 0, "prefixes": 200_000} {
 		b.Run(name, func(b *testing.B) {
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -12,26 +12,26 @@
 	"chutelock.dev/chutelock/internal/fleet"
 )
 
-// Router places attempts on endpoints and learns from their outcomes.
+// Router picks endpoints for attempts and adapts to their outcomes.
 type Router struct {
 	config Config
 	random *rand.Rand
 
-	states   map[string]*endpointState
-	pools    map[string]*pool
-	prefixes map[string]*prefixTable
-	swept    *fleet.Snapshot
+	states        map[string]*endpointState
+	pools         map[string]*pool
+	prefixes      map[string]*prefixTable
+	sweptSnapshot *fleet.Snapshot
 
-	hard    []Filter // must pass
-	soft    []Filter // pass if any endpoint does
-	scorers []weightedScorer
-	prefix  *prefixScorer
-	picker  Picker
+	hardFilters []Filter // must pass
+	softFilters []Filter // pass if any endpoint does
+	scorers     []weightedScorer
+	prefix      *prefixScorer
+	picker      Picker
 
-	usualFirstToken time.Duration
-	transitions     []Transition
+	medianFirstToken time.Duration
+	transitions      []Transition
 
-	// Buffers that are used again in each decision.
+	// Buffers that are reused by each decision.
 	candidates []Candidate
 	preferred  []Candidate
 	scores     []float64
@@ -43,25 +43,25 @@
 	weight float64
 }
 
-// pool is the endpoints that may serve a model, by one snapshot.
+// pool holds the endpoints of one snapshot that may serve a model.
 type pool struct {
-	snapshot *fleet.Snapshot
-	regions  []string
-	members  []member
-	compared time.Time
+	snapshot     *fleet.Snapshot
+	regions      []string
+	members      []member
+	lastCompared time.Time
 }
 
 type member struct {
 	endpoint *fleet.Endpoint
 	state    *endpointState
 	hash     uint64
-	// others is the online streams of other nodes in the endpoint's report.
-	others float64
-	// waiting is the online requests that wait there by the report.
+	// remote is the number of other nodes' online streams by the endpoint's report.
+	remote float64
+	// waiting is the number of waiting online requests by the report.
 	waiting float64
 }
 
-// NewRouter returns a router without knowledge.
+// NewRouter returns a router that has observed no traffic.
 func NewRouter(config Config) *Router {
 	config = config.withDefaults()
 	router := &Router{
@@ -73,8 +73,8 @@
 		prefix:   &prefixScorer{},
 		picker:   &nearBestPicker{},
 	}
-	router.hard = []Filter{triedFilter{}, slotsFilter{}}
-	router.soft = []Filter{ejectedFilter{}, busyFilter{}, stalledFilter{router}, roomFilter{}}
+	router.hardFilters = []Filter{triedFilter{}, ownSlotsFilter{}}
+	router.softFilters = []Filter{ejectedFilter{}, busyFilter{}, stalledFilter{router}, totalSlotsFilter{}}
 	router.scorers = []weightedScorer{
 		{loadScorer{}, config.Weights.Load},
 		{kvScorer{}, config.Weights.KV},
@@ -86,11 +86,11 @@
 	return router
 }
 
-// Pick chooses the endpoint for an attempt and charges it with the attempt. It
-// fails with *NoEndpointError.
+// Pick chooses the endpoint for an attempt and counts the attempt as in flight
+// there. Its error is a *NoEndpointError.
 func (r *Router) Pick(now time.Time, request Request, snapshot *fleet.Snapshot) (Decision, error) {
 	pool := r.pool(now, &request, snapshot)
-	r.compare(now, pool)
+	r.ejectSlow(now, pool)
 	view := View{Now: now, Request: &request, Zone: r.config.Zone, Region: r.config.Region, config: &r.config, random: r.random}
 	if len(request.Prefix) > 0 {
 		view.prefixes = r.prefixTable(now, request.Model)
@@ -126,13 +126,13 @@
 	return decision
 }
 
-// filter fills r.candidates; it returns why when none is left.
+// filter fills r.candidates. If none is left, it returns the reason.
 func (r *Router) filter(view *View, pool *pool) Reason {
 	r.fillCandidates(view, pool)
 	if len(r.candidates) == 0 {
 		return ReasonNoEndpoint
 	}
-	for _, stage := range r.hard {
+	for _, stage := range r.hardFilters {
 		dropped := firstDropped(r.candidates, view, stage)
 		if dropped == len(r.candidates) {
 			continue
@@ -146,7 +146,7 @@
 		}
 		return ReasonFull
 	}
-	for _, stage := range r.soft {
+	for _, stage := range r.softFilters {
 		dropped := firstDropped(r.candidates, view, stage)
 		if dropped == len(r.candidates) {
 			continue
@@ -160,8 +160,8 @@
 	return ""
 }
 
-// firstDropped finds the first candidate that the stage drops. Mostly there is
-// none, and nothing needs to be copied.
+// firstDropped returns the index of the first candidate that the stage drops, or
+// len(candidates), which spares the caller the copying.
 func firstDropped(candidates []Candidate, view *View, stage Filter) int {
 	for i := range candidates {
 		if !stage.Keep(view, &candidates[i]) {
@@ -180,27 +180,28 @@
 	return into
 }
 
-// fillCandidates estimates the load of each endpoint of the pool.
+// fillCandidates fills r.candidates with the pool's endpoints and their
+// estimated load.
 func (r *Router) fillCandidates(view *View, pool *pool) {
 	r.candidates = r.candidates[:0]
 	sum, weights := 0.0, 0.0
 	for i := range pool.members {
 		m := &pool.members[i]
 		freshness := r.freshness(view.Now, m.endpoint.Load.At)
-		sum += m.others * freshness
+		sum += m.remote * freshness
 		weights += freshness
-		r.candidates = append(r.candidates, Candidate{Endpoint: m.endpoint, InFlight: m.state.inFlight, Load: m.others, Pressure: m.waiting * freshness, Freshness: freshness, hash: m.hash, state: m.state})
+		r.candidates = append(r.candidates, Candidate{Endpoint: m.endpoint, InFlight: m.state.inFlight, Load: m.remote, Pressure: m.waiting * freshness, Freshness: freshness, hash: m.hash, state: m.state})
 	}
-	usual := 0.0
+	mean := 0.0
 	if weights > 0 {
-		usual = sum / weights
+		mean = sum / weights
 	}
-	calm := usual*r.config.OthersMargin + r.config.OthersSlack
+	threshold := mean*r.config.RemoteMargin + r.config.RemoteSlack
 	for i := range r.candidates {
 		c := &r.candidates[i]
-		others := c.Load*c.Freshness + usual*(1-c.Freshness)
-		c.Load = float64(c.InFlight) + others
-		c.Pressure += float64(c.InFlight) + max(0, others-calm)*r.config.OthersWeight
+		remote := c.Load*c.Freshness + mean*(1-c.Freshness)
+		c.Load = float64(c.InFlight) + remote
+		c.Pressure += float64(c.InFlight) + max(0, remote-threshold)*r.config.RemoteWeight
 	}
 }
 
@@ -223,11 +224,10 @@
 	return sum / float64(len(candidates))
 }
 
-// pool returns the endpoints that may serve the request by the snapshot. What
-// doesn't change within a snapshot is filtered once for it: endpoints that are
-// leaving, don't have the model, or are in a region where it may not run.
+// pool returns the endpoints that may serve the request. It is cached for each
+// snapshot, as membership, models and regions don't change within one.
 func (r *Router) pool(now time.Time, request *Request, snapshot *fleet.Snapshot) *pool {
-	if r.swept != snapshot {
+	if r.sweptSnapshot != snapshot {
 		r.sweep(snapshot)
 	}
 	current := r.pools[request.Model]
@@ -236,7 +236,7 @@
 	}
 	next := &pool{snapshot: snapshot, regions: request.Regions}
 	if current != nil {
-		next.compared = current.compared
+		next.lastCompared = current.lastCompared
 		next.members = make([]member, 0, len(current.members))
 	}
 	for _, endpoint := range snapshot.Endpoints {
@@ -274,15 +274,15 @@
 		endpoint: endpoint,
 		state:    state,
 		hash:     xxhash.Sum64String(endpoint.Name),
-		others:   max(0, online-float64(own)),
+		remote:   max(0, online-float64(own)),
 		waiting:  max(0, float64(load.Waiting-load.WaitingBatch)),
 	}
 }
 
-// sweep forgets endpoints that are gone and have nothing in flight, and pools
-// and prefixes of models that nobody serves any more.
+// sweep deletes the state of endpoints that are gone and have nothing in flight,
+// and the pools and prefixes of models that no endpoint serves any more.
 func (r *Router) sweep(snapshot *fleet.Snapshot) {
-	r.swept = snapshot
+	r.sweptSnapshot = snapshot
 	if len(r.states) <= 2*len(snapshot.Endpoints) {
 		return
 	}
@@ -312,7 +312,7 @@
 	return table
 }
 
-// Observe takes in what was seen of an attempt.
+// Observe records an outcome of an attempt.
 func (r *Router) Observe(now time.Time, outcome Outcome) {
 	attempt := outcome.Attempt
 	if attempt == nil || attempt.ended {
@@ -339,7 +339,7 @@
 }
 
 // Capacity estimates how many streams of the model this node may have in
-// flight at once: its own and the free slots that it sees on the endpoints.
+// flight: its own and the free slots of the endpoints that are not ejected.
 func (r *Router) Capacity(now time.Time, request Request, snapshot *fleet.Snapshot) int {
 	pool := r.pool(now, &request, snapshot)
 	view := View{Now: now, Request: &request, config: &r.config}
@@ -361,7 +361,7 @@
 	return capacity
 }
 
-// InFlight counts this node's own attempts on an endpoint.
+// InFlight returns the number of this node's own attempts on an endpoint.
 func (r *Router) InFlight(endpoint string) int {
 	if state := r.states[endpoint]; state != nil {
 		return state.inFlight
@@ -369,7 +369,7 @@
 	return 0
 }
 
-// Ejected counts the endpoints that are set aside.
+// Ejected returns the number of ejected endpoints.
 func (r *Router) Ejected() int {
 	count := 0
 	for _, state := range r.states {
@@ -380,15 +380,14 @@
 	return count
 }
 
-// Transitions returns and forgets the endpoints set aside and taken back since
-// the last call.
+// Transitions returns the ejections and restorations since the last call.
 func (r *Router) Transitions() []Transition {
 	transitions := r.transitions
 	r.transitions = nil
 	return transitions
 }
 
-// FateOf maps a failed attempt to its outcome.
+// FateOf returns the outcome of a failed attempt.
 func FateOf(attempt *Attempt, failure *engine.Error, timedOut bool) Outcome {
 	return Outcome{Attempt: attempt, Kind: OutcomeFailed, Fate: failure.Fate, Status: failure.Status, RetryAfter: failure.RetryAfter, TimedOut: timedOut}
 }
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -17,7 +17,7 @@
 
 var epoch = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 
-// endpoints makes a snapshot of engines that all serve the model "m".
+// endpoints returns a snapshot of engines that all serve the model "m".
 func endpoints(count int, reported time.Time, change func(int, *fleet.Endpoint)) *fleet.Snapshot {
 	snapshot := &fleet.Snapshot{Taken: reported}
 	for i := range count {
@@ -30,7 +30,7 @@
 	return snapshot
 }
 
-// routerModel drives a Router with arbitrary fleets and outcomes.
+// routerModel drives a Router with random fleets and outcomes.
 type routerModel struct {
 	router   *Router
 	now      time.Time
@@ -39,7 +39,7 @@
 	inFlight map[string]int
 }
 
-func (m *routerModel) change(t *rapid.T) {
+func (m *routerModel) changeFleet(t *rapid.T) {
 	m.snapshot = endpoints(rapid.IntRange(0, 8).Draw(t, "engines"), m.now, func(_ int, e *fleet.Endpoint) {
 		e.Leaving = rapid.Float64().Draw(t, "leaving") < 0.1
 		e.Load.Draining = rapid.Float64().Draw(t, "draining") < 0.1
@@ -72,16 +72,16 @@
 	var eligible []string
 	for _, e := range m.snapshot.Endpoints {
 		full := request.Slots > 0 && m.inFlight[e.Name] >= request.Slots
-		abroad := len(request.Regions) > 0 && e.Region != "r"
-		if !e.Leaving && !e.Load.Draining && !full && !abroad && slices.Contains(e.Load.Models, "m") && !slices.Contains(request.Tried, e.Name) {
+		outsideRegions := len(request.Regions) > 0 && e.Region != "r"
+		if !e.Leaving && !e.Load.Draining && !full && !outsideRegions && slices.Contains(e.Load.Models, "m") && !slices.Contains(request.Tried, e.Name) {
 			eligible = append(eligible, e.Name)
 		}
 	}
 	decision, err := m.router.Pick(m.now, request, m.snapshot)
 	if err != nil {
-		var none *NoEndpointError
-		if len(eligible) > 0 || !errors.As(err, &none) {
-			t.Fatalf("%v, but %v could take it", err, eligible)
+		var noEndpoint *NoEndpointError
+		if len(eligible) > 0 || !errors.As(err, &noEndpoint) {
+			t.Fatalf("Pick failed with %v, but %v are eligible", err, eligible)
 		}
 		return
 	}
@@ -109,11 +109,11 @@
 	if outcome.Kind != OutcomeFirstToken {
 		m.inFlight[decision.Endpoint.Name]--
 		m.live = slices.Delete(m.live, position, position+1)
-		m.router.Observe(m.now, outcome) // a second end must change nothing
+		m.router.Observe(m.now, outcome) // the second end must be ignored
 	}
 }
 
-func (m *routerModel) pass(t *rapid.T) {
+func (m *routerModel) advanceTime(t *rapid.T) {
 	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 5000).Draw(t, "milliseconds")) * time.Millisecond)
 }
 
@@ -125,35 +125,35 @@
 	}
 }
 
-func TestPicksAreEligibleAndAccounted(t *testing.T) {
+func TestRouterPicksEligibleAndCountsInFlight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &routerModel{router: NewRouter(Config{Zone: "z", Region: "r", PrefixEntries: 16}), now: epoch, inFlight: map[string]int{}}
-		m.change(t)
-		t.Repeat(map[string]func(*rapid.T){"fleet": m.change, "pick": m.pick, "pick more": m.pick, "outcome": m.outcome, "time": m.pass, "": m.check})
+		m.changeFleet(t)
+		t.Repeat(map[string]func(*rapid.T){"fleet": m.changeFleet, "pick": m.pick, "pick more": m.pick, "outcome": m.outcome, "time": m.advanceTime, "": m.check})
 	})
 }
 
-// sick is how an engine of a simulated fleet fails.
-type sick int
+// fault is how an engine of a simulated fleet fails.
+type fault int
 
 const (
-	healthy sick = iota
-	refusing
-	dumb
+	healthy fault = iota
+	rejecting
+	unresponsive
 	slow
 )
 
-// simulation drives one router through requests at a fixed pace against
-// engines with fixed times, in virtual time.
+// simulation sends requests at a fixed rate through one router to engines with
+// fixed latencies, in virtual time.
 type simulation struct {
 	router   *Router
-	engines  []sick
+	engines  []fault
 	now      time.Time
 	snapshot *fleet.Snapshot
 	events   []event
 	sent     map[string]int
 	failed   int
-	families uint64 // of prompts with a common prefix; 0 means no prefixes
+	families uint64 // number of prefix families; 0 means no prefixes
 	requests uint64
 }
 
@@ -163,20 +163,20 @@
 }
 
 const (
-	simulatedFirst   = 50 * time.Millisecond
-	simulatedWhole   = 400 * time.Millisecond
-	simulatedTokens  = 36
-	simulatedTimeout = 10 * time.Second
+	simulatedFirstToken = 50 * time.Millisecond
+	simulatedDuration   = 400 * time.Millisecond
+	simulatedTokens     = 36
+	simulatedTimeout    = 10 * time.Second
 )
 
-func newSimulation(engines []sick) *simulation {
+func newSimulation(engines []fault) *simulation {
 	return &simulation{
 		router: NewRouter(Config{Zone: "z", Region: "r", Seed: 1}), engines: engines, now: epoch,
 		snapshot: endpoints(len(engines), epoch, nil), sent: map[string]int{},
 	}
 }
 
-// request sends one request with up to tries attempts one after another.
+// request advances the time by 10 ms and sends one request.
 func (s *simulation) request() {
 	s.now = s.now.Add(10 * time.Millisecond)
 	slices.SortStableFunc(s.events, func(a, b event) int { return a.at.Compare(b.at) })
@@ -200,44 +200,44 @@
 		s.events = append(s.events, event{s.now.Add(after), outcome})
 	}
 	switch s.engines[index] {
-	case refusing:
+	case rejecting:
 		s.failed++
 		add(time.Millisecond, Outcome{Kind: OutcomeFailed, Fate: engine.FateNotRun})
-	case dumb:
+	case unresponsive:
 		s.failed++
 		add(simulatedTimeout, Outcome{Kind: OutcomeFailed, Fate: engine.FateUnknown, TimedOut: true})
 	case slow:
 		s.failed++
-		add(8*simulatedFirst, Outcome{Kind: OutcomeFirstToken})
-		add(8*simulatedWhole, Outcome{Kind: OutcomeFinished, Tokens: simulatedTokens})
+		add(8*simulatedFirstToken, Outcome{Kind: OutcomeFirstToken})
+		add(8*simulatedDuration, Outcome{Kind: OutcomeFinished, Tokens: simulatedTokens})
 	default:
-		add(simulatedFirst, Outcome{Kind: OutcomeFirstToken})
-		add(simulatedWhole, Outcome{Kind: OutcomeFinished, Tokens: simulatedTokens})
+		add(simulatedFirstToken, Outcome{Kind: OutcomeFirstToken})
+		add(simulatedDuration, Outcome{Kind: OutcomeFinished, Tokens: simulatedTokens})
 	}
 }
 
-func TestSickEnginesAreSetAsideAndProbedBack(t *testing.T) {
+func TestRouterEjectsAndRestoresFaultyEngines(t *testing.T) {
 	for name, test := range map[string]struct {
-		kind     sick
-		sick     int
+		kind     fault
+		faulty   int
 		families uint64
-		most     float64 // share of requests that may meet a sick engine
+		most     float64 // share of requests that may meet a faulty engine
 		cause    string
 	}{
-		"refusing":                {refusing, 4, 0, 0.008, CauseFailures},
-		"one refuses":             {refusing, 1, 0, 0.002, CauseFailures},
-		"never answers":           {dumb, 4, 0, 0.007, CauseNoAnswer},
-		"one is dumb":             {dumb, 1, 0, 0.0015, CauseNoAnswer},
-		"dumb ones hold prefixes": {dumb, 4, 24, 0.01, CauseNoAnswer},
-		"slow":                    {slow, 2, 0, 0.01, CauseSlow},
-		"most of them":            {refusing, 10, 0, 0.02, CauseFailures}, // at most half may be set aside
-		"all healthy":             {healthy, 0, 0, 0, ""},
-		"all are refusing":        {refusing, 12, 0, 1, CauseFailures},
+		"rejecting":                             {rejecting, 4, 0, 0.008, CauseFailures},
+		"one rejects":                           {rejecting, 1, 0, 0.002, CauseFailures},
+		"four never answer":                     {unresponsive, 4, 0, 0.007, CauseNoAnswer},
+		"one never answers":                     {unresponsive, 1, 0, 0.0015, CauseNoAnswer},
+		"prefixes on engines that never answer": {unresponsive, 4, 24, 0.01, CauseNoAnswer},
+		"slow":                                  {slow, 2, 0, 0.01, CauseSlow},
+		"most reject":                           {rejecting, 10, 0, 0.02, CauseFailures}, // at most half may be ejected
+		"all healthy":                           {healthy, 0, 0, 0, ""},
+		"all reject":                            {rejecting, 12, 0, 1, CauseFailures},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			engines := make([]sick, 12)
-			for i := range test.sick {
+			engines := make([]fault, 12)
+			for i := range test.faulty {
 				engines[i] = test.kind
 			}
 			s := newSimulation(engines)
@@ -247,17 +247,17 @@
 				s.request()
 				g.Expect(s.router.Ejected()).To(gomega.BeNumerically("<=", 6))
 			}
-			t.Logf("%.4f of requests met a sick engine", float64(s.failed)/requests)
+			t.Logf("%.4f of requests met a faulty engine", float64(s.failed)/requests)
 			g.Expect(float64(s.failed) / requests).To(gomega.BeNumerically("<=", test.most))
 			causes := map[string]bool{}
 			for _, transition := range s.router.Transitions() {
 				causes[transition.Cause] = true
 			}
 			g.Expect(causes[test.cause]).To(gomega.Equal(test.cause != ""))
-			if test.sick > 6 {
+			if test.faulty > 6 {
 				return
 			}
-			clear(engines) // all well again
+			clear(engines) // all recover
 			for range requests {
 				s.request()
 			}
@@ -274,9 +274,9 @@
 	}
 }
 
-// TestNodesDoNotHerd has many nodes see the same stale reports, one engine of
-// which looks idle: they must not all rush there.
-func TestNodesDoNotHerd(t *testing.T) {
+// Nodes that see the same stale reports must not all pick the engine with the
+// lowest load.
+func TestStaleReportsCauseNoHerding(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const nodes, engines = 40, 12
 	snapshot := endpoints(engines, epoch.Add(-500*time.Millisecond), func(i int, e *fleet.Endpoint) {
@@ -302,22 +302,22 @@
 	g.Expect(most).To(gomega.BeNumerically("<=", 4*nodes/3))
 }
 
-func TestScoresUseWhatIsKnown(t *testing.T) {
+func TestScorersPreferSuitableEndpoint(t *testing.T) {
 	for name, test := range map[string]struct {
 		request Request
 		change  func(int, *fleet.Endpoint)
 		want    string
 	}{
-		"own zone first":       {Request{}, func(i int, e *fleet.Endpoint) { e.Zone = fmt.Sprint("z", i) }, "engine-0001"},
-		"own region second":    {Request{}, func(i int, e *fleet.Endpoint) { e.Zone, e.Region = "far", fmt.Sprint("r", i) }, "engine-0001"},
-		"a full KV cache":      {Request{}, func(i int, e *fleet.Endpoint) { e.Load.KVUse = map[bool]float64{true: 0.5, false: 0.99}[i == 1] }, "engine-0001"},
-		"the adapter is there": {Request{Adapter: "a"}, func(i int, e *fleet.Endpoint) { e.Load.Adapters = map[int][]string{1: {"a"}}[i] }, "engine-0001"},
-		"the queue is short":   {Request{}, func(i int, e *fleet.Endpoint) { e.Load.Waiting = map[bool]int{true: 0, false: 20}[i == 1] }, "engine-0001"},
-		"others crowd it":      {Request{}, func(i int, e *fleet.Endpoint) { e.Load.Running = map[bool]int{true: 60, false: 10}[i == 1] }, "not engine-0001"},
-		"batch doesn't count": {Request{}, func(i int, e *fleet.Endpoint) {
+		"same zone":                   {Request{}, func(i int, e *fleet.Endpoint) { e.Zone = fmt.Sprint("z", i) }, "engine-0001"},
+		"same region":                 {Request{}, func(i int, e *fleet.Endpoint) { e.Zone, e.Region = "far", fmt.Sprint("r", i) }, "engine-0001"},
+		"KV cache not full":           {Request{}, func(i int, e *fleet.Endpoint) { e.Load.KVUse = map[bool]float64{true: 0.5, false: 0.99}[i == 1] }, "engine-0001"},
+		"adapter loaded":              {Request{Adapter: "a"}, func(i int, e *fleet.Endpoint) { e.Load.Adapters = map[int][]string{1: {"a"}}[i] }, "engine-0001"},
+		"short queue":                 {Request{}, func(i int, e *fleet.Endpoint) { e.Load.Waiting = map[bool]int{true: 0, false: 20}[i == 1] }, "engine-0001"},
+		"many streams of other nodes": {Request{}, func(i int, e *fleet.Endpoint) { e.Load.Running = map[bool]int{true: 60, false: 10}[i == 1] }, "not engine-0001"},
+		"batch ignored": {Request{}, func(i int, e *fleet.Endpoint) {
 			e.Load.Running, e.Load.RunningBatch, e.Load.WaitingBatch = 20*i, 20*i, 100*i
 		}, ""},
-		"no report is no idle": {Request{}, func(i int, e *fleet.Endpoint) {
+		"missing report is not idle": {Request{}, func(i int, e *fleet.Endpoint) {
 			e.Load.Running = 20
 			if i != 1 {
 				e.Load.At = time.Time{}
@@ -352,7 +352,7 @@
 	}
 }
 
-// TestCapacityCountsFreeSlots: own streams and the free slots seen.
+// Capacity must be the own streams plus the reported free slots.
 func TestCapacityCountsFreeSlots(t *testing.T) {
 	g := gomega.NewWithT(t)
 	snapshot := endpoints(3, epoch, func(i int, e *fleet.Endpoint) { e.Load.Running = 4 * i })
@@ -367,14 +367,14 @@
 	g.Expect(router.Capacity(epoch, Request{Model: "none", Slots: 8}, snapshot)).To(gomega.BeZero())
 	unknown := endpoints(3, epoch, func(i int, e *fleet.Endpoint) {
 		if e.Load.Running = 4; i == 2 {
-			e.Load.At, e.Load.Running = time.Time{}, 0 // counts as its peers
+			e.Load.At, e.Load.Running = time.Time{}, 0 // counts as the peers' mean
 		}
 	})
 	g.Expect(NewRouter(Config{}).Capacity(epoch, request, unknown)).To(gomega.Equal(4 + 4 + 4))
 }
 
-// TestBatchTakesNoSlotFromOnline, however much of it runs or waits at the engines.
-func TestBatchTakesNoSlotFromOnline(t *testing.T) {
+// Running and waiting batch streams must not take slots from online.
+func TestCapacityIgnoresBatch(t *testing.T) {
 	g := gomega.NewWithT(t)
 	snapshot := endpoints(3, epoch, func(_ int, e *fleet.Endpoint) {
 		e.Load.Running, e.Load.RunningBatch = 100, 98
@@ -383,9 +383,8 @@
 	g.Expect(NewRouter(Config{}).Capacity(epoch, Request{Model: "m", Slots: 8}, snapshot)).To(gomega.Equal(3 * 6))
 }
 
-// TestReportsDoNotCountOwnStreamsTwice: a report that includes this node's own
-// streams, which it knows better, must not add them again.
-func TestReportsDoNotCountOwnStreamsTwice(t *testing.T) {
+// A report that includes this node's own streams must not add them again.
+func TestCapacityCountsOwnStreamsOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	router := NewRouter(Config{})
 	request := Request{Model: "m", Slots: 100}
--- a/internal/routing/score.go
+++ b/internal/routing/score.go
@@ -5,13 +5,12 @@
 	"slices"
 )
 
-// loadScorer prefers endpoints with few online streams. It reads
-// Candidate.Pressure: this node's own streams now and, discounted by age, the
-// requests that wait by the endpoint's lagging report and the streams of others
-// where they stand out from the peers'; a stale or missing
-// report counts as the peers' mean, so that nobody rushes at the unknown. Batch
-// doesn't count: it yields, and steering by its lagging numbers costs the tail.
-// Score: 1 without pressure, 0.5 where it equals the peers' mean load.
+// loadScorer prefers endpoints with low Candidate.Pressure: this node's own
+// streams and, discounted by the report's age, the waiting online requests and
+// other nodes' streams far above the peers' mean. A stale or missing report counts
+// as the mean, so that unknown endpoints don't draw all requests. Batch doesn't
+// count: it is preempted by online, and its lagging numbers would raise the tail
+// latency. Score: 1 without pressure, 0.5 where it is 1 + the mean load.
 type loadScorer struct{}
 
 func (loadScorer) Name() string { return "load" }
@@ -23,26 +22,26 @@
 	}
 }
 
-// kvHighWater is the use of KV cache from which an endpoint loses score.
-const kvHighWater = 0.8
+// kvHighWatermark is the KV cache utilization above which the score falls.
+const kvHighWatermark = 0.8
 
-// kvScorer avoids endpoints whose KV cache is nearly full, which would
-// preempt streams. It reads Load.KVUse; by its age a report counts less, and
-// a missing one not at all. Score: 1 up to the high water, 0 when full.
+// kvScorer avoids endpoints whose KV cache is nearly full, which would preempt
+// streams. Load.KVUse counts less with age, and not at all if the report is
+// missing. Score: 1 up to the high watermark, 0 when full.
 type kvScorer struct{}
 
 func (kvScorer) Name() string { return "kv" }
 
 func (kvScorer) Score(_ *View, candidates []Candidate, weight float64, scores []float64) {
 	for i := range candidates {
-		over := max(0, min(1, (candidates[i].Endpoint.Load.KVUse-kvHighWater)/(1-kvHighWater)))
-		scores[i] += weight * (1 - over*candidates[i].Freshness)
+		excess := max(0, min(1, (candidates[i].Endpoint.Load.KVUse-kvHighWatermark)/(1-kvHighWatermark)))
+		scores[i] += weight * (1 - excess*candidates[i].Freshness)
 	}
 }
 
-// adapterScorer prefers endpoints that have the adapter loaded already. It
-// reads Load.Adapters, which change seldom, so that age doesn't matter; an
-// endpoint without a report counts as not having it. Score: 1 or 0.
+// adapterScorer prefers endpoints that have the adapter loaded. The age of
+// Load.Adapters doesn't matter, as they seldom change; an endpoint without a
+// report counts as not having it. Score: 1 or 0.
 type adapterScorer struct{}
 
 func (adapterScorer) Name() string { return "adapter" }
@@ -58,10 +57,10 @@
 	}
 }
 
-// healthScorer avoids endpoints that failed lately but aren't set aside, be it
-// that too many are already: one that refuses at once has no load and would
-// otherwise draw all requests. It reads this node's own consecutive failures,
-// which fade with age. Score: 1 without failures, 0.5 after one, towards 0.
+// healthScorer avoids endpoints that failed recently and aren't ejected: one that
+// rejects at once has no load and would otherwise draw all requests. This node's
+// consecutive failures decay with age. Score: 1 without failures, 0.5 after one,
+// towards 0 after more.
 type healthScorer struct{}
 
 func (healthScorer) Name() string { return "health" }
@@ -74,8 +73,8 @@
 			scores[i] += weight
 			continue
 		}
-		faded := float64(state.failures) * math.Exp2(-float64(view.Now.Sub(state.lastFailure))/halfLife)
-		scores[i] += weight / (1 + faded)
+		decayed := float64(state.failures) * math.Exp2(-float64(view.Now.Sub(state.lastFailure))/halfLife)
+		scores[i] += weight / (1 + decayed)
 	}
 }
 
@@ -85,8 +84,8 @@
 	scoreSameRegion = 0.9
 )
 
-// zoneScorer prefers near endpoints. It reads the endpoint's zone and region,
-// which don't change. Score: 1 in this node's zone, 0.9 in its region, else 0.
+// zoneScorer prefers near endpoints. Score: 1 in this node's zone, 0.9 in its
+// region, otherwise 0.
 type zoneScorer struct{}
 
 func (zoneScorer) Name() string { return "zone" }
@@ -102,12 +101,11 @@
 	}
 }
 
-// prefixScorer prefers endpoints that hold the prompt's beginning in their
-// prefix cache, under a bound on their load. It reads this node's own table of
-// prefixes (where it sent them, and how often each is seen) and a rendezvous
-// ranking of the endpoints that all nodes share. A forgotten or unknown prefix
-// scores by the ranking alone, at little weight. Score: the share of the
-// prompt expected to be cached; 0 over the load bound.
+// prefixScorer prefers endpoints that have the prompt's prefix cached. It uses
+// this node's prefixTable and a rendezvous ranking of the endpoints that is the
+// same on all nodes. An unknown prefix is scored by the ranking alone, with a
+// small share. Score: the share of the prompt expected to be cached; 0 over the
+// load bound.
 type prefixScorer struct {
 	plan     plan
 	expected []float64
@@ -124,19 +122,19 @@
 	if len(keys) == 0 || view.prefixes == nil {
 		return
 	}
-	view.prefixes.lay(view.Now, keys, len(candidates), &s.plan)
+	view.prefixes.fillPlan(view.Now, keys, len(candidates), &s.plan)
 	s.expected = slices.Grow(s.expected, len(candidates))[:len(candidates)]
 	bound := view.config.LoadBoundFactor*view.MeanLoad + view.config.LoadBoundSlack
 	s.scoreHolders(keys, candidates, bound)
 	s.scoreRanked(candidates, bound)
-	worth := weight * view.prefixWorth()
+	value := weight * view.prefixValue()
 	for i := range candidates {
-		scores[i] += worth * s.expected[i]
+		scores[i] += value * s.expected[i]
 	}
 }
 
-// prefixWorth is what a prompt that is cached whole is worth, up to 1.
-func (v *View) prefixWorth() float64 {
+// prefixValue returns the value, from 0 to 1, of a fully cached prompt.
+func (v *View) prefixValue() float64 {
 	tokens := float64(v.Request.PromptTokens)
 	if tokens <= 0 {
 		return 1
@@ -145,7 +143,7 @@
 	return tokens * tokens / (tokens*tokens + half*half)
 }
 
-// scoreHolders rates endpoints that this node itself sent the prefix to.
+// scoreHolders rates endpoints that this node sent the prefix to.
 func (s *prefixScorer) scoreHolders(keys []uint64, candidates []Candidate, bound float64) {
 	holders, depths, count := s.deepestHolders()
 	for i := range candidates {
@@ -162,10 +160,10 @@
 	}
 }
 
-// maxHolders bounds the endpoints that are rated as holders of one prompt.
+// maxHolders is the maximum number of endpoints rated as holders of one prompt.
 const maxHolders = 4
 
-// deepestHolders lists the endpoints that hold most of the prompt and how many
+// deepestHolders returns the endpoints that hold most of the prompt and how many
 // of its keys each holds.
 func (s *prefixScorer) deepestHolders() (holders [maxHolders]uint64, depths [maxHolders]int, count int) {
 	for depth := s.plan.known; depth > 0; depth-- {
@@ -182,8 +180,8 @@
 	return holders, depths, count
 }
 
-// scoreRanked rates the endpoints that rank first for the plan's anchor among
-// those under the load bound.
+// scoreRanked rates the endpoints with the highest rendezvous weights for the
+// plan's anchor among those under the load bound.
 func (s *prefixScorer) scoreRanked(candidates []Candidate, bound float64) {
 	replicas := s.plan.replicas
 	var best [maxReplicas]int
@@ -193,7 +191,7 @@
 		if candidates[i].Load > bound {
 			continue
 		}
-		weight := rank(s.plan.anchor, candidates[i].hash)
+		weight := rendezvousWeight(s.plan.anchor, candidates[i].hash)
 		position := count
 		for position > 0 && weight > weights[position-1] {
 			position--
--- a/internal/routing/state.go
+++ b/internal/routing/state.go
@@ -5,16 +5,16 @@
 )
 
 const (
-	// historyLength × historyStep is how far back this node knows its own
-	// streams on an endpoint, to take them out of a lagging report.
+	// historyLength × historyStep is how far back this node's own streams on an
+	// endpoint are known, to subtract them from a lagging report.
 	historyLength = 32
 	historyStep   = 50 * time.Millisecond
-	// meanWeight of a new sample in the moving means.
-	meanWeight = 0.2
+	// sampleWeight is the weight of a new sample in the moving means.
+	sampleWeight = 0.2
 )
 
-// endpointState is what this node saw of its own traffic on one endpoint. It
-// outlives snapshots.
+// endpointState is what this node observed of its own traffic on one endpoint. It
+// persists across snapshots.
 type endpointState struct {
 	name     string
 	inFlight int
@@ -25,7 +25,7 @@
 
 	failures     int // consecutive
 	lastFailure  time.Time
-	ejections    int // consecutive, sets the time aside
+	ejections    int // consecutive, determines the ejection time
 	ejected      bool
 	ejectedUntil time.Time
 	probing      bool
@@ -35,7 +35,7 @@
 	betweenToken movingMean // seconds between tokens
 }
 
-// movingMean is an exponentially weighted mean.
+// movingMean is an exponentially weighted moving average.
 type movingMean struct {
 	value   float64
 	samples int
@@ -47,11 +47,11 @@
 		m.value = sample
 		return
 	}
-	weight := max(meanWeight, 1/float64(m.samples))
+	weight := max(sampleWeight, 1/float64(m.samples))
 	m.value += weight * (sample - m.value)
 }
 
-// inFlightHistory is a ring of samples of the own streams in flight.
+// inFlightHistory is a ring buffer of the number of own streams in flight.
 type inFlightHistory struct {
 	samples [historyLength]inFlightSample
 	next    int
@@ -62,22 +62,22 @@
 	count int
 }
 
-// change moves the number in flight by delta, keeping the history.
-func (s *endpointState) change(now time.Time, delta int) {
+// addInFlight adds delta to the number in flight and records the history.
+func (s *endpointState) addInFlight(now time.Time, delta int) {
 	if s.history == nil {
 		s.history = &inFlightHistory{}
 	}
 	newest := &s.history.samples[(s.history.next+historyLength-1)%historyLength]
 	if newest.at.IsZero() || now.Sub(newest.at) >= historyStep {
-		// The count before this change held from the last sample until now.
+		// The count before this change was valid from the last sample until now.
 		s.history.samples[s.history.next] = inFlightSample{at: now, count: s.inFlight}
 		s.history.next = (s.history.next + 1) % historyLength
 	}
 	s.inFlight += delta
 }
 
-// inFlightAt tells how many own streams were in flight at a past time: the
-// count of the first sample taken after it, or the present one.
+// inFlightAt returns how many own streams were in flight at a past time: the
+// count of the first sample taken after it, or the current one.
 func (s *endpointState) inFlightAt(at time.Time) int {
 	if s.history == nil {
 		return s.inFlight
@@ -93,10 +93,10 @@
 	return count
 }
 
-// begin charges the endpoint with an attempt.
+// begin starts an attempt on the endpoint.
 func (s *endpointState) begin(now time.Time, probe bool) *Attempt {
 	attempt := &Attempt{state: s, started: now, probe: probe, waiting: true}
-	s.change(now, 1)
+	s.addInFlight(now, 1)
 	if probe {
 		s.probing = true
 	}
@@ -110,7 +110,7 @@
 	return attempt
 }
 
-// stopWaiting takes the attempt from the list of those without a first token.
+// stopWaiting removes the attempt from the list of those without a first token.
 func (s *endpointState) stopWaiting(attempt *Attempt) {
 	if !attempt.waiting {
 		return
@@ -129,17 +129,18 @@
 	attempt.previous, attempt.next = nil, nil
 }
 
-// end takes the attempt off the endpoint, once.
+// end removes the attempt from the endpoint. It must be called once.
 func (s *endpointState) end(now time.Time, attempt *Attempt) {
 	attempt.ended = true
 	s.stopWaiting(attempt)
-	s.change(now, -1)
+	s.addInFlight(now, -1)
 	if attempt.probe {
 		s.probing = false
 	}
 }
 
-// stalled says that the endpoint took an attempt and has answered none since.
+// stalled reports whether the oldest waiting attempt is over the limit and no
+// attempt got a first token since it started.
 func (s *endpointState) stalled(now time.Time, limit time.Duration) bool {
 	oldest := s.oldestWaiting
 	return oldest != nil && now.Sub(oldest.started) > limit && s.lastFirstToken.Before(oldest.started)
--- a/internal/routing/types.go
+++ b/internal/routing/types.go
@@ -8,46 +8,46 @@
 	"chutelock.dev/chutelock/internal/fleet"
 )
 
-// Request is what the stages know of an attempt to be placed.
+// Request describes an attempt for which an endpoint is picked.
 type Request struct {
 	Model string
-	// Adapter must be loaded where the request runs; empty means none.
+	// Adapter is the adapter that the request needs; empty means none.
 	Adapter string
 	// Regions where the request may run; empty means all.
 	Regions []string
 	// Prefix holds the keys of the prompt's leading blocks, see PrefixKeys.
 	Prefix []uint64
-	// PromptTokens estimates the prompt's length, to tell what a cached prefix
-	// is worth; 0 counts as very long.
+	// PromptTokens estimates the prompt's length, which determines the value of a
+	// cached prefix; 0 counts as very long.
 	PromptTokens int
 	// Tried names the endpoints that earlier attempts were sent to.
 	Tried []string
-	// Repeatable requests may serve as probes of a suspected endpoint.
+	// Repeatable requests may probe an ejected endpoint.
 	Repeatable bool
-	// Slots bounds this node's streams on one endpoint; 0 means no bound.
+	// Slots is the maximum number of streams on one endpoint; 0 means no limit.
 	Slots int
 }
 
 // Decision is the endpoint chosen for an attempt.
 type Decision struct {
 	Endpoint *fleet.Endpoint
-	// Attempt is handed back with each outcome.
+	// Attempt identifies the attempt in each Outcome.
 	Attempt *Attempt
 	// Score is the weighted sum of the endpoint's scores.
 	Score float64
 	// ExpectedPrefix is the share of the prompt, from 0 to 1, that the
 	// endpoint is expected to have cached.
 	ExpectedPrefix float64
-	// Probe says that the endpoint was set aside and is being tried again.
+	// Probe is whether the attempt probes an ejected endpoint.
 	Probe bool
 }
 
-// Attempt is a picked attempt whose end has not been observed yet.
+// Attempt is the state of a picked attempt.
 type Attempt struct {
 	state   *endpointState
-	started time.Time
+	started time.Time // after the first token, the time of that
 	probe   bool
-	waiting bool // the first token has not come
+	waiting bool // for the first token
 	ended   bool
 
 	// previous and next link the attempts that wait for their first token,
@@ -55,7 +55,7 @@
 	previous, next *Attempt
 }
 
-// OutcomeKind says what was seen of an attempt.
+// OutcomeKind is the kind of an Outcome.
 type OutcomeKind uint8
 
 // Kinds of outcomes.
@@ -63,12 +63,12 @@
 	OutcomeFirstToken OutcomeKind = iota + 1
 	OutcomeFinished
 	OutcomeFailed
-	// OutcomeCancelled: the caller left or another attempt won; it says
-	// nothing about the endpoint.
+	// OutcomeCancelled means that the caller disconnected or another attempt won;
+	// it doesn't affect the endpoint's health.
 	OutcomeCancelled
 )
 
-// Outcome is what was seen of an attempt.
+// Outcome is an observed event of an attempt: its first token or its end.
 type Outcome struct {
 	Attempt *Attempt
 	Kind    OutcomeKind
@@ -76,23 +76,23 @@
 	Fate       engine.Fate
 	Status     int
 	RetryAfter time.Duration
-	// TimedOut says that the failure is a missing first or next token.
+	// TimedOut is whether the failure is a missing first or next token.
 	TimedOut bool
 	// Tokens is the number of tokens of an attempt that finished.
 	Tokens int
 }
 
-// Reason says why no endpoint could be picked.
+// Reason is the reason why no endpoint could be picked.
 type Reason string
 
-// Reasons.
+// Reasons of a NoEndpointError.
 const (
 	ReasonNoEndpoint Reason = "no engine serves the model"
 	ReasonAllTried   Reason = "every engine of the model was tried"
 	ReasonFull       Reason = "every engine of the model is full"
 )
 
-// NoEndpointError says that no endpoint can take the attempt.
+// NoEndpointError is returned by Router.Pick when no endpoint can take the attempt.
 type NoEndpointError struct {
 	Model  string
 	Reason Reason
@@ -103,28 +103,28 @@
 	return fmt.Sprintf("routing: model %q: %s", e.Model, e.Reason)
 }
 
-// Candidate is an endpoint in one decision. Stages must not change it.
+// Candidate is an endpoint in one decision. Stages must not modify it.
 type Candidate struct {
 	Endpoint *fleet.Endpoint
-	// InFlight counts this node's own attempts on the endpoint.
+	// InFlight is the number of this node's own attempts on the endpoint.
 	InFlight int
-	// Load estimates the online streams on the endpoint, of all nodes.
+	// Load estimates the online streams of all nodes on the endpoint.
 	Load float64
-	// Pressure is what the load score compares: own streams, online requests
-	// that wait, and the streams of others where they stand out, weighted.
+	// Pressure is the input of the load score: own streams, waiting online
+	// requests, and other nodes' streams far above the mean, weighted.
 	Pressure float64
-	// Freshness of the endpoint's report: 1 new, towards 0 with age, 0 missing.
+	// Freshness of the endpoint's report: 1 if new, towards 0 with age, 0 if missing.
 	Freshness float64
 
 	hash  uint64
 	state *endpointState
 }
 
-// View is what the stages of one decision share.
+// View holds the input that the stages of one decision share.
 type View struct {
 	Now     time.Time
 	Request *Request
-	// Zone and Region are this node's own.
+	// Zone and Region are where this node runs.
 	Zone, Region string
 	// MeanLoad is the mean of Candidate.Load over all candidates that passed
 	// the filters.
@@ -141,9 +141,9 @@
 
 // Filter drops endpoints from a decision.
 type Filter interface {
-	// Name is the metric label and the name in explanations.
+	// Name returns the filter's name.
 	Name() string
-	// Keep says whether the candidate stays.
+	// Keep reports whether the candidate stays.
 	Keep(view *View, candidate *Candidate) bool
 }
 
@@ -156,6 +156,6 @@
 
 // Picker chooses among the scored candidates.
 type Picker interface {
-	// Pick returns an index; candidates is never empty.
+	// Pick returns the index of the chosen candidate; candidates is never empty.
 	Pick(view *View, candidates []Candidate, scores []float64) int
 }
