--- a/internal/admission/online/controller_test.go
+++ b/internal/admission/online/controller_test.go
@@ -15,7 +15,7 @@
 
 var epoch = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 
-// oracle is the plain account of tickets against which a Controller is held.
+// oracle is a simple model of the tickets that a Controller is compared with.
 type oracle struct {
 	controller *Controller
 	now        time.Time
@@ -23,12 +23,12 @@
 	tenants    []*settings.Tenant
 	capacity   int
 
-	waiting  []account // in order of arrival
-	admitted []account
+	waiting  []oracleTicket // in order of arrival
+	admitted []oracleTicket
 	answered map[TicketID]int
 }
 
-type account struct {
+type oracleTicket struct {
 	id      TicketID
 	tenant  *settings.Tenant
 	expires time.Time
@@ -53,7 +53,7 @@
 	return o
 }
 
-func (o *oracle) of(tenant *settings.Tenant) int {
+func (o *oracle) ticketsOf(tenant *settings.Tenant) int {
 	count := 0
 	for _, a := range slices.Concat(o.waiting, o.admitted) {
 		if a.tenant == tenant {
@@ -63,31 +63,31 @@
 	return count
 }
 
-// take applies verdicts; newest is the ticket just submitted, if any.
-func (o *oracle) take(t *rapid.T, verdicts []Verdict, newest *account) {
+// apply checks verdicts and applies them; submitted is the new ticket, if any.
+func (o *oracle) apply(t *rapid.T, verdicts []Verdict, submitted *oracleTicket) {
 	for _, verdict := range verdicts {
 		o.answered[verdict.ID]++
 		if o.answered[verdict.ID] > 1 {
-			t.Fatalf("ticket %d answered twice", verdict.ID)
+			t.Fatalf("ticket %d got two verdicts", verdict.ID)
 		}
-		position := slices.IndexFunc(o.waiting, func(a account) bool { return a.id == verdict.ID })
-		if position < 0 && (newest == nil || newest.id != verdict.ID) {
-			t.Fatalf("a verdict for ticket %d, which doesn't wait", verdict.ID)
+		position := slices.IndexFunc(o.waiting, func(a oracleTicket) bool { return a.id == verdict.ID })
+		if position < 0 && (submitted == nil || submitted.id != verdict.ID) {
+			t.Fatalf("got a verdict for ticket %d, which isn't waiting", verdict.ID)
 		}
 		if position >= 0 {
-			o.takeWaiting(t, verdict, position)
+			o.applyToWaiting(t, verdict, position)
 			continue
 		}
 		if verdict.Refusal == nil {
-			o.admit(t, *newest)
+			o.admit(t, *submitted)
 		} else {
 			o.checkRefusal(t, verdict.Refusal)
 		}
 	}
 }
 
-func (o *oracle) takeWaiting(t *rapid.T, verdict Verdict, position int) {
-	taken := o.waiting[position]
+func (o *oracle) applyToWaiting(t *rapid.T, verdict Verdict, position int) {
+	ticket := o.waiting[position]
 	o.waiting = slices.Delete(o.waiting, position, position+1)
 	if verdict.Refusal != nil {
 		o.checkRefusal(t, verdict.Refusal)
@@ -95,28 +95,28 @@
 	}
 	for i, other := range o.waiting {
 		if !o.now.Before(other.expires) {
-			continue // about to be given up
+			continue // about to be refused
 		}
-		if other.tenant.Priority < taken.tenant.Priority || other.tenant.Priority == taken.tenant.Priority && i < position {
-			t.Fatalf("ticket %d (priority %d) admitted before %d (priority %d)", taken.id, taken.tenant.Priority, other.id, other.tenant.Priority)
+		if other.tenant.Priority < ticket.tenant.Priority || other.tenant.Priority == ticket.tenant.Priority && i < position {
+			t.Fatalf("ticket %d (priority %d) admitted before %d (priority %d)", ticket.id, ticket.tenant.Priority, other.id, other.tenant.Priority)
 		}
 	}
-	o.admit(t, taken)
+	o.admit(t, ticket)
 }
 
-func (o *oracle) admit(t *rapid.T, a account) {
+func (o *oracle) admit(t *rapid.T, a oracleTicket) {
 	if len(o.admitted) >= o.capacity {
-		t.Fatalf("ticket %d admitted with %d in flight of %d", a.id, len(o.admitted), o.capacity)
+		t.Fatalf("ticket %d admitted with %d in flight, capacity %d", a.id, len(o.admitted), o.capacity)
 	}
 	if !o.now.Before(a.expires) {
-		t.Fatalf("ticket %d admitted after its time", a.id)
+		t.Fatalf("ticket %d admitted after it expired", a.id)
 	}
 	o.admitted = append(o.admitted, a)
 }
 
 func (o *oracle) checkRefusal(t *rapid.T, refusal *Refusal) {
 	if refusal.RetryAfter <= 0 || refusal.RetryAfter > maxRetryAfter {
-		t.Fatalf("refused with retry after %v", refusal.RetryAfter)
+		t.Fatalf("RetryAfter of a refusal is %v", refusal.RetryAfter)
 	}
 }
 
@@ -130,35 +130,35 @@
 			expires = ticket.Deadline
 		}
 	}
-	held := o.of(tenant)
-	worst := slices.MaxFunc(append(slices.Clone(o.waiting), account{tenant: tenant}), func(a, b account) int { return a.tenant.Priority - b.tenant.Priority })
+	before := o.ticketsOf(tenant)
+	lowest := slices.MaxFunc(append(slices.Clone(o.waiting), oracleTicket{tenant: tenant}), func(a, b oracleTicket) int { return a.tenant.Priority - b.tenant.Priority })
 	id, verdicts := o.controller.Submit(o.now, ticket)
-	newest := &account{id: id, tenant: tenant, expires: expires}
+	submitted := &oracleTicket{id: id, tenant: tenant, expires: expires}
 	for _, verdict := range verdicts {
-		if verdict.Refusal != nil && verdict.Refusal.Reason == ReasonShed && worst.tenant.Priority <= tenant.Priority {
-			t.Fatalf("priority %d shed others, the worst of which has %d", tenant.Priority, worst.tenant.Priority)
+		if verdict.Refusal != nil && verdict.Refusal.Reason == ReasonShed && lowest.tenant.Priority <= tenant.Priority {
+			t.Fatalf("a ticket of priority %d shed another, but the lowest priority waiting is %d", tenant.Priority, lowest.tenant.Priority)
 		}
 	}
-	o.take(t, verdicts, newest)
+	o.apply(t, verdicts, submitted)
 	if o.answered[id] == 0 {
-		o.waiting = append(o.waiting, *newest)
+		o.waiting = append(o.waiting, *submitted)
 	}
-	if tenant.MaxConcurrent > 0 && held >= tenant.MaxConcurrent && o.of(tenant) > held {
-		t.Fatalf("%d in flight of a tenant that may have %d", o.of(tenant), tenant.MaxConcurrent)
+	if tenant.MaxConcurrent > 0 && before >= tenant.MaxConcurrent && o.ticketsOf(tenant) > before {
+		t.Fatalf("%d tickets of a tenant in flight, limit %d", o.ticketsOf(tenant), tenant.MaxConcurrent)
 	}
 	if len(o.waiting) > o.service.QueueLimit {
-		t.Fatalf("%d wait in a queue of %d", len(o.waiting), o.service.QueueLimit)
+		t.Fatalf("%d tickets wait, queue limit %d", len(o.waiting), o.service.QueueLimit)
 	}
 }
 
 func (o *oracle) setCapacity(t *rapid.T) {
 	o.capacity = rapid.IntRange(0, 4).Draw(t, "capacity")
-	o.take(t, o.controller.SetCapacity(o.now, o.service.Model, o.capacity), nil)
+	o.apply(t, o.controller.SetCapacity(o.now, o.service.Model, o.capacity), nil)
 }
 
 func (o *oracle) finish(t *rapid.T) {
 	for _, a := range o.waiting {
-		o.take(t, o.controller.Finish(o.now, a.id), nil) // it hasn't begun
+		o.apply(t, o.controller.Finish(o.now, a.id), nil) // must be ignored while it waits
 	}
 	if len(o.admitted) == 0 {
 		return
@@ -166,8 +166,8 @@
 	position := rapid.IntRange(0, len(o.admitted)-1).Draw(t, "admitted")
 	id := o.admitted[position].id
 	o.admitted = slices.Delete(o.admitted, position, position+1)
-	o.take(t, o.controller.Finish(o.now, id), nil)
-	o.take(t, o.controller.Finish(o.now, id), nil) // a second time must change nothing
+	o.apply(t, o.controller.Finish(o.now, id), nil)
+	o.apply(t, o.controller.Finish(o.now, id), nil) // the second call must be ignored
 }
 
 func (o *oracle) abandon(t *rapid.T) {
@@ -177,52 +177,52 @@
 	position := rapid.IntRange(0, len(o.waiting)-1).Draw(t, "waiting")
 	id := o.waiting[position].id
 	o.waiting = slices.Delete(o.waiting, position, position+1)
-	o.take(t, o.controller.Abandon(o.now, id), nil)
+	o.apply(t, o.controller.Abandon(o.now, id), nil)
 }
 
-func (o *oracle) pass(t *rapid.T) {
+func (o *oracle) advanceTime(t *rapid.T) {
 	o.now = o.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "milliseconds")) * time.Millisecond)
-	o.take(t, o.controller.Tick(o.now), nil)
+	o.apply(t, o.controller.Tick(o.now), nil)
 	for _, a := range o.waiting {
 		if !o.now.Before(a.expires) {
-			t.Fatalf("ticket %d still waits after its time", a.id)
+			t.Fatalf("ticket %d still waits after it expired", a.id)
 		}
 	}
 }
 
-// lag lets time pass before anybody looks.
-func (o *oracle) lag(t *rapid.T) {
+// advanceTimeWithoutTick delays the next Tick.
+func (o *oracle) advanceTimeWithoutTick(t *rapid.T) {
 	o.now = o.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "milliseconds")) * time.Millisecond)
 }
 
-// check holds the controller's account against the oracle's after each step.
+// check compares the controller with the oracle after each step.
 func (o *oracle) check(t *rapid.T) {
 	if waiting := o.controller.Waiting(o.service.Model); waiting != len(o.waiting) {
-		t.Fatalf("%d wait by the controller, %d by the oracle", waiting, len(o.waiting))
+		t.Fatalf("%d tickets wait, want %d", waiting, len(o.waiting))
 	}
 	if inFlight := o.controller.InFlight(o.service.Model); inFlight != len(o.admitted) {
-		t.Fatalf("%d in flight by the controller, %d by the oracle", inFlight, len(o.admitted))
+		t.Fatalf("%d tickets in flight, want %d", inFlight, len(o.admitted))
 	}
-	alive := slices.ContainsFunc(o.waiting, func(a account) bool { return o.now.Before(a.expires) })
-	if alive && len(o.admitted) < o.capacity {
-		t.Fatalf("%d wait beside %d free slots", len(o.waiting), o.capacity-len(o.admitted))
+	servable := slices.ContainsFunc(o.waiting, func(a oracleTicket) bool { return o.now.Before(a.expires) })
+	if servable && len(o.admitted) < o.capacity {
+		t.Fatalf("%d tickets wait despite %d free slots", len(o.waiting), o.capacity-len(o.admitted))
 	}
 }
 
-func TestEveryTicketIsAnsweredOnceWithinTheLimits(t *testing.T) {
+func TestControllerGivesOneVerdictWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := newOracle(t)
 		o.setCapacity(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"submit": o.submit, "submit more": o.submit, "capacity": o.setCapacity,
-			"finish": o.finish, "abandon": o.abandon, "time": o.pass, "lag": o.lag, "": o.check,
+			"finish": o.finish, "abandon": o.abandon, "time": o.advanceTime, "lag": o.advanceTimeWithoutTick, "": o.check,
 		})
 	})
 }
 
-// TestHopelessTicketsAreAnsweredAtOnce: a request that can't be served in its
-// time must not be held until that time is nearly over.
-func TestHopelessTicketsAreAnsweredAtOnce(t *testing.T) {
+// A ticket that can't be admitted in time must be refused at once, or as soon as
+// tickets of a higher priority push it back, and not held until its deadline.
+func TestControllerRefusesLateTicketsEarly(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := NewController()
 	service := &settings.Service{Model: "m", QueueLimit: 1000, QueueTimeout: time.Minute}
@@ -248,7 +248,7 @@
 	late, verdicts := c.Submit(now, Ticket{Tenant: tenant, Service: service, Deadline: now.Add(14 * time.Second)})
 	g.Expect(verdicts).To(gomega.BeEmpty())
 	urgent := &settings.Tenant{Name: "urgent"}
-	for range 10 { // they push it back
+	for range 10 { // queued before the late ticket
 		c.Submit(now, Ticket{Tenant: urgent, Service: service})
 	}
 	verdicts = c.Tick(now.Add(time.Millisecond))
@@ -256,23 +256,23 @@
 	c.Finish(now.Add(time.Second), running)
 }
 
-func TestGateAnswersEachCallerOnce(t *testing.T) {
+func TestGateBoundsConcurrentCallers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	gate := NewGate(func(time.Time, *settings.Service) int { return 2 })
 	service := &settings.Service{Model: "m", QueueLimit: 100, QueueTimeout: time.Minute}
 	ticket := Ticket{Tenant: &settings.Tenant{Name: "t"}, Service: service}
-	inside := make(chan struct{}, 2)
+	admitted := make(chan struct{}, 2)
 	results := make(chan error, 50)
 	for range cap(results) {
 		go func() {
 			release, refusal, err := gate.Admit(context.Background(), ticket)
 			if refusal == nil && err == nil {
 				select {
-				case inside <- struct{}{}:
+				case admitted <- struct{}{}:
 					time.Sleep(100 * time.Microsecond)
-					<-inside
+					<-admitted
 				default:
-					err = fmt.Errorf("more than %d inside", cap(inside))
+					err = fmt.Errorf("more than %d callers admitted", cap(admitted))
 				}
 				release()
 				release()
@@ -283,14 +283,14 @@
 	for range cap(results) {
 		g.Eventually(results).WithTimeout(20 * time.Second).Should(gomega.Receive(gomega.BeNil()))
 	}
-	left, cancel := context.WithCancel(context.Background())
+	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	hold, _, _ := gate.Admit(context.Background(), ticket)
-	other, _, _ := gate.Admit(context.Background(), ticket)
-	_, _, err := gate.Admit(left, ticket)
-	g.Expect(err).To(gomega.MatchError(ErrCallerLeft))
-	hold()
-	other()
+	releaseFirst, _, _ := gate.Admit(context.Background(), ticket)
+	releaseSecond, _, _ := gate.Admit(context.Background(), ticket)
+	_, _, err := gate.Admit(canceled, ticket)
+	g.Expect(err).To(gomega.MatchError(ErrCanceled))
+	releaseFirst()
+	releaseSecond()
 	gate.Drain()
 	_, refusal, err := gate.Admit(context.Background(), ticket)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
--- a/internal/admission/online/gate.go
+++ b/internal/admission/online/gate.go
@@ -9,19 +9,19 @@
 	"chutelock.dev/chutelock/internal/settings"
 )
 
-// tickInterval is how often waiting tickets are looked through.
+// tickInterval is the time between checks of the waiting tickets.
 const tickInterval = 10 * time.Millisecond
 
-// ErrCallerLeft is returned by Admit when the caller's context ended first.
-var ErrCallerLeft = errors.New("admission: the caller left while waiting")
+// ErrCanceled is returned by Admit if the context ends before the verdict.
+var ErrCanceled = errors.New("admission: context ended while waiting")
 
-// CapacityFunc tells how many requests of a service may be in flight. It is
+// CapacityFunc returns how many requests of a service may be in flight. It is
 // called with the gate's lock held and must not call the gate.
 type CapacityFunc func(now time.Time, service *settings.Service) int
 
 // Gate runs a Controller for concurrent callers.
 //
-// Lock order: Gate.mutex before whatever CapacityFunc locks.
+// Lock order: Gate.mutex before the locks that CapacityFunc takes.
 type Gate struct {
 	capacity CapacityFunc
 	now      func() time.Time
@@ -34,7 +34,7 @@
 	draining   bool
 }
 
-// NewGate returns an open gate.
+// NewGate returns a gate that admits up to the given capacity.
 func NewGate(capacity CapacityFunc) *Gate {
 	return &Gate{
 		capacity:   capacity,
@@ -45,9 +45,9 @@
 	}
 }
 
-// Admit waits for the ticket's verdict. After admission, release must be
-// called once the request has ended; calling it again does nothing. A refused
-// ticket gives a Refusal; ErrCallerLeft says that ctx ended before.
+// Admit waits for the ticket's verdict. If the ticket is admitted, release must be
+// called when the request has ended; further calls do nothing. If it is refused,
+// refusal is not nil. The error is ErrCanceled if ctx ends first.
 func (g *Gate) Admit(ctx context.Context, ticket Ticket) (release func(), refusal *Refusal, err error) {
 	id, answer, refusal := g.submit(ticket)
 	if refusal != nil {
@@ -57,7 +57,7 @@
 	case refusal = <-answer:
 	case <-ctx.Done():
 		g.abandon(id)
-		return nil, nil, ErrCallerLeft
+		return nil, nil, ErrCanceled
 	}
 	if refusal != nil {
 		return nil, refusal, nil
@@ -74,7 +74,7 @@
 	}
 	now := g.now()
 	g.services[ticket.Service.Model] = ticket.Service
-	g.refresh(now, ticket.Service.Model)
+	g.updateCapacity(now, ticket.Service.Model)
 	id, verdicts := g.controller.Submit(now, ticket)
 	g.waiting[id] = answer
 	g.deliver(verdicts)
@@ -82,8 +82,8 @@
 	return id, answer, nil
 }
 
-// refresh brings the capacity of a model up to date.
-func (g *Gate) refresh(now time.Time, model string) {
+// updateCapacity sets the current capacity of a model.
+func (g *Gate) updateCapacity(now time.Time, model string) {
 	g.deliver(g.controller.SetCapacity(now, model, g.capacity(now, g.services[model])))
 }
 
@@ -109,7 +109,7 @@
 	g.deliver(g.controller.Abandon(g.now(), id))
 }
 
-// startTicking keeps a timer running while tickets wait.
+// startTicking starts the timer if tickets wait and it isn't running.
 func (g *Gate) startTicking() {
 	if g.ticking || !g.controller.AnyWaiting() {
 		return
@@ -124,7 +124,7 @@
 	now := g.now()
 	for model := range g.services {
 		if g.controller.Waiting(model) > 0 {
-			g.refresh(now, model)
+			g.updateCapacity(now, model)
 		}
 	}
 	g.deliver(g.controller.Tick(now))
@@ -132,14 +132,14 @@
 	g.startTicking()
 }
 
-// Drain refuses all new tickets from now on; those that wait go on waiting.
+// Drain refuses all new tickets from now on; waiting tickets stay queued.
 func (g *Gate) Drain() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.draining = true
 }
 
-// QueueLength counts the waiting tickets of each model.
+// QueueLength returns the number of waiting tickets of each model.
 func (g *Gate) QueueLength() map[string]int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/admission/online/queue.go
+++ b/internal/admission/online/queue.go
@@ -2,10 +2,10 @@
 
 import "container/list"
 
-// priorities is the number of a tenant's priorities, 0 (first) to 9.
+// priorities is the number of tenant priorities, from 0 (highest) to 9.
 const priorities = 10
 
-// queue holds waiting tickets by priority, in order of arrival within each.
+// queue holds waiting tickets by priority, and within each in order of arrival.
 type queue struct {
 	levels   [priorities]list.List
 	elements map[TicketID]*list.Element
@@ -32,7 +32,7 @@
 	q.length--
 }
 
-// first is the next ticket to admit, nil when none waits.
+// first returns the next ticket to admit, or nil if none waits.
 func (q *queue) first() *ticketState {
 	for i := range q.levels {
 		if front := q.levels[i].Front(); front != nil {
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// last is the first ticket to shed: the newest of the worst priority.
+// last returns the first ticket to shed, the newest of the lowest priority.
 func (q *queue) last() *ticketState {
 	for i := priorities - 1; i >= 0; i-- {
 		if back := q.levels[i].Back(); back != nil {
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// ahead counts the tickets that a new one of this priority would wait for.
+// ahead returns the number of tickets before a new one of this priority.
 func (q *queue) ahead(priority int) int {
 	count := 0
 	for i := 0; i <= level(priority); i++ {
@@ -61,7 +61,7 @@
 	return count
 }
 
-// each visits the tickets in the order of admission.
+// each calls visit for the tickets in order of admission.
 func (q *queue) each(visit func(*ticketState)) {
 	for i := range q.levels {
 		for element := q.levels[i].Front(); element != nil; element = element.Next() {
