--- a/internal/admission/batch/config.go
+++ b/internal/admission/batch/config.go
@@ -2,41 +2,41 @@
 
 import "time"
 
-// Config is the controller's settings for the engines of one service. Zero
-// fields take the defaults below.
+// Config holds the settings of a Controller for the engines of one service.
+// Except for Share, PathLatency and Redo, zero fields take default values.
 type Config struct {
-	// Share is Service.BatchShare: the weight between harm to online (0) and
-	// batch throughput (1). Below one half the wait for a first token is
-	// guarded too, at a high cost in throughput.
+	// Share is Service.BatchShare, from 0 (minimum slowdown of online) to 1
+	// (maximum batch throughput). Below one half the time to first token is
+	// protected too, at a high cost in throughput.
 	Share float64
 	// Slots is how many streams an engine runs at once (Service.SlotsPerEngine).
 	Slots int
 	// PathLatency is the part of a caller's time to first token that is spent
-	// on the way and not at the engine.
+	// outside the engine.
 	PathLatency time.Duration
 	// Redo makes the controller cancel streams instead of suspending them, for
 	// engines that can't suspend.
 	Redo bool
-	// ChunkTokens is the most prompt tokens that the engine prefills in a step.
+	// ChunkTokens is the maximum number of prompt tokens prefilled in a step.
 	ChunkTokens int
-	// Starting bounds the batch streams that are before their first token, so
-	// that batch prefill does not stretch the steps.
-	Starting int
-	// Reserve is the least number of slots that batch leaves free, for online
-	// requests whose announcement comes late or never.
-	Reserve int
-	// HoldLimit is how long a stream stays suspended before its item is handed
-	// back, so that another engine can run it.
-	HoldLimit time.Duration
+	// MaxStarting is the maximum number of batch streams without a first token; it
+	// keeps batch prefill from lengthening the steps.
+	MaxStarting int
+	// ReservedSlots is the number of slots that batch leaves free, for online requests
+	// whose announcement is late or lost.
+	ReservedSlots int
+	// MaxSuspension is how long a stream stays suspended before it is cancelled, so
+	// that another engine can run its item.
+	MaxSuspension time.Duration
 }
 
 // Defaults of Config.
 const (
-	defaultSlots     = 32
-	defaultChunk     = 512
-	defaultStarting  = 4
-	defaultReserve   = 0
-	defaultHoldLimit = 20 * time.Second
+	defaultSlots         = 32
+	defaultChunkTokens   = 512
+	defaultMaxStarting   = 4
+	defaultReservedSlots = 0
+	defaultMaxSuspension = 20 * time.Second
 )
 
 func (c Config) withDefaults() Config {
@@ -44,29 +44,29 @@
 		c.Slots = defaultSlots
 	}
 	if c.ChunkTokens <= 0 {
-		c.ChunkTokens = defaultChunk
+		c.ChunkTokens = defaultChunkTokens
 	}
-	if c.Starting <= 0 {
-		c.Starting = defaultStarting
+	if c.MaxStarting <= 0 {
+		c.MaxStarting = defaultMaxStarting
 	}
-	if c.Reserve <= 0 {
-		c.Reserve = defaultReserve
+	if c.ReservedSlots <= 0 {
+		c.ReservedSlots = defaultReservedSlots
 	}
-	if c.HoldLimit <= 0 {
-		c.HoldLimit = defaultHoldLimit
+	if c.MaxSuspension <= 0 {
+		c.MaxSuspension = defaultMaxSuspension
 	}
 	return c
 }
 
-// harmRange is the harm that Share 1 allows, beyond that of Share 0.
+// harmRange is the difference of harmGoal between Share 1 and Share 0.
 const harmRange = 0.1
 
-// harmGoal is how much the 99th percentile of the time between tokens may grow
-// with batch: 1.05 for a Share of one half.
+// harmGoal returns the allowed 99th percentile of the time between tokens, relative
+// to that without batch: 1.05 for a Share of one half.
 func (c Config) harmGoal() float64 { return 1 + harmRange*c.Share }
 
-// waitGoal is how long a wait for the first token may be, if alone it is so
-// long at the protected quantile.
-func (c Config) waitGoal(alone time.Duration) time.Duration {
-	return time.Duration(float64(alone+c.PathLatency)*c.harmGoal()) - c.PathLatency
+// maxWait returns how long the engine's time to first token may be, given its
+// protected quantile without batch.
+func (c Config) maxWait(withoutBatch time.Duration) time.Duration {
+	return time.Duration(float64(withoutBatch+c.PathLatency)*c.harmGoal()) - c.PathLatency
 }
--- a/internal/admission/batch/fixed.go
+++ b/internal/admission/batch/fixed.go
@@ -4,28 +4,26 @@
 	"time"
 )
 
-// Fixed is the simplest policy: up to Streams batch streams an engine, and no
-// new one while the engine reports waiting online requests. Running streams
-// are never taken back. Unless HeedLoad is set it doesn't look at reports
-// either, and with Streams above the engine's slots it fills the engine: the
-// baselines of the experiments.
+// Fixed is a baseline policy that admits up to Streams batch streams to each engine
+// and never preempts them. If YieldToOnline is set, it starts none while the engine
+// reports waiting online requests.
 type Fixed struct {
-	Streams  int
-	HeedLoad bool
-	engines  map[string]*fixedEngine
+	Streams       int
+	YieldToOnline bool
+	engines       map[string]*fixedEngine
 }
 
 type fixedEngine struct {
-	running map[string]struct{}
-	online  int // waiting online requests, as last reported
-	gone    bool
+	running       map[string]struct{}
+	waitingOnline int // waiting online requests, as last reported
+	gone          bool
 }
 
 var _ Policy = (*Fixed)(nil)
 
 // NewFixed returns a policy for any number of engines.
-func NewFixed(streams int, heedLoad bool) *Fixed {
-	return &Fixed{Streams: streams, HeedLoad: heedLoad, engines: map[string]*fixedEngine{}}
+func NewFixed(streams int, yieldToOnline bool) *Fixed {
+	return &Fixed{Streams: streams, YieldToOnline: yieldToOnline, engines: map[string]*fixedEngine{}}
 }
 
 // Step implements Policy.
@@ -33,7 +31,7 @@
 	state := f.engine(event.Engine)
 	switch event.Kind {
 	case EventLoad:
-		state.online = event.Load.Waiting - event.Load.WaitingBatch
+		state.waitingOnline = event.Load.Waiting - event.Load.WaitingBatch
 		state.gone = event.Load.Draining
 	case EventBatchStarted:
 		state.running[event.Stream] = struct{}{}
@@ -43,7 +41,7 @@
 		state.gone = true
 	}
 	free := f.Streams - len(state.running)
-	if free <= 0 || state.gone || (f.HeedLoad && state.online > 0) {
+	if free <= 0 || state.gone || (f.YieldToOnline && state.waitingOnline > 0) {
 		return nil
 	}
 	switch event.Kind {
--- a/internal/admission/batch/histogram.go
+++ b/internal/admission/batch/histogram.go
@@ -5,53 +5,53 @@
 	"time"
 )
 
-// stepHistogram is a weighted histogram of step lengths that forgets: weights
-// fall by 1/e in histogramMemory. Instead of lowering all old weights it
-// raises those of new entries, so that adding costs O(1).
+// stepHistogram is a weighted histogram of step lengths with exponential decay:
+// weights fall to 1/e in timeConstant. New entries get larger weights instead of
+// old ones smaller, so that adding costs O(1).
 type stepHistogram struct {
-	memory  time.Duration // histogramMemory if zero
-	weights [histogramBins]float64
-	total   float64
-	scale   float64
-	scaled  time.Time
+	timeConstant time.Duration // defaultTimeConstant if zero
+	weights      [histogramBins]float64
+	total        float64
+	scale        float64
+	rescaled     time.Time
 }
 
-// Shape of the histogram: bins grow by binGrowth from smallestBin on.
+// The lengths of the bins grow by the factor binGrowth, starting at minBinLength.
 const (
-	smallestBin     = 500 * time.Microsecond
-	binGrowth       = 1.01
-	histogramBins   = 780 // up to more than a second
-	histogramMemory = 5 * time.Minute
-	rescaleEvery    = time.Second
-	largestScale    = 1e9
+	minBinLength        = 500 * time.Microsecond
+	binGrowth           = 1.01
+	histogramBins       = 780 // up to more than a second
+	defaultTimeConstant = 5 * time.Minute
+	rescaleInterval     = time.Second
+	maxScale            = 1e9
 )
 
 var logBinGrowth = math.Log(binGrowth)
 
 func (h *stepHistogram) add(now time.Time, length time.Duration, weight float64) {
-	h.grow(now)
-	position := int(math.Log(float64(length)/float64(smallestBin)) / logBinGrowth)
+	h.rescale(now)
+	position := int(math.Log(float64(length)/float64(minBinLength)) / logBinGrowth)
 	position = min(max(position, 0), histogramBins-1)
 	h.weights[position] += weight * h.scale
 	h.total += weight * h.scale
 }
 
-func (h *stepHistogram) grow(now time.Time) {
+func (h *stepHistogram) rescale(now time.Time) {
 	if h.scale == 0 {
 		h.scale = 1
-		h.scaled = now
+		h.rescaled = now
 	}
-	elapsed := now.Sub(h.scaled)
-	if elapsed < rescaleEvery {
+	elapsed := now.Sub(h.rescaled)
+	if elapsed < rescaleInterval {
 		return
 	}
-	memory := h.memory
-	if memory == 0 {
-		memory = histogramMemory
+	timeConstant := h.timeConstant
+	if timeConstant == 0 {
+		timeConstant = defaultTimeConstant
 	}
-	h.scale *= math.Exp(elapsed.Seconds() / memory.Seconds())
-	h.scaled = now
-	if h.scale > largestScale {
+	h.scale *= math.Exp(elapsed.Seconds() / timeConstant.Seconds())
+	h.rescaled = now
+	if h.scale > maxScale {
 		for i := range h.weights {
 			h.weights[i] /= h.scale
 		}
@@ -60,8 +60,8 @@
 	}
 }
 
-// quantile is the length below which share of the weight lies; zero while the
-// histogram is empty.
+// quantile returns the length below which the share of the weight lies, or zero
+// if the histogram is empty.
 func (h *stepHistogram) quantile(share float64) time.Duration {
 	above := h.total * (1 - share)
 	if h.total <= 0 {
@@ -76,13 +76,13 @@
 	return binLength(0)
 }
 
-// binLength is the middle of a bin.
+// binLength returns the geometric center of a bin.
 func binLength(position int) time.Duration {
-	return time.Duration(float64(smallestBin) * math.Exp(logBinGrowth*(float64(position)+0.5)))
+	return time.Duration(float64(minBinLength) * math.Exp(logBinGrowth*(float64(position)+0.5)))
 }
 
-// above is the share of the weight beyond a length.
-func (h *stepHistogram) above(length time.Duration) float64 {
+// shareAbove returns the share of the weight above a length.
+func (h *stepHistogram) shareAbove(length time.Duration) float64 {
 	if h.total <= 0 {
 		return 0
 	}
--- a/internal/admission/batch/main_test.go
+++ b/internal/admission/batch/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// campaignVariable turns the fuzzing from a fixed small set into a campaign.
+// campaignVariable is the environment variable that selects a long fuzzing run.
 const campaignVariable = "CHUTELOCK_CAMPAIGN"
 
 func TestMain(m *testing.M) {
--- a/internal/admission/batch/model.go
+++ b/internal/admission/batch/model.go
@@ -2,38 +2,38 @@
 
 import "time"
 
-// stepModel learns how long an engine's steps take:
+// stepModel predicts the length of an engine's steps,
 //
 //	step = base + perStream × streams + perToken × prefilled tokens
 //
-// by recursive least squares with forgetting. All decisions compare lengths
-// that the same model predicts, so an error of scale cancels out.
+// fitted by recursive least squares with forgetting. All decisions compare lengths
+// that the same model predicts, so errors of scale cancel out.
 type stepModel struct {
 	coefficients [modelTerms]float64 // seconds
 	covariance   [modelTerms][modelTerms]float64
-	// learnt counts observed steps, up to trustedAfter; misses counts steps in
-	// a row that ended before or after their prediction.
-	learnt int
-	misses int
+	// samples counts observed steps, up to trustedAfter; misses counts consecutive
+	// steps whose predicted end came before the token that ended them.
+	samples int
+	misses  int
 }
 
-// modelTerms is the number of coefficients: base, streams, prefill. The last
-// two are in hundreds, which keeps the terms of like size.
+// modelTerms is the number of coefficients: base, streams, prefill. The last two
+// are for regressorUnit streams or tokens, so that the terms have similar size.
 const modelTerms = 3
 
 // Parameters of the model.
 const (
 	regressorUnit    = 100.0
-	forgetting       = 0.9999 // weight kept by old observations, a step
+	forgettingFactor = 0.9999 // factor on the weight of old observations per step
 	initialVariance  = 1.0
-	largestVariance  = 10.0
+	maxVariance      = 10.0
 	initialBase      = 0.006 // seconds
 	initialPerStream = 0.00005
 	initialPerToken  = 0.00002
-	longestStep      = time.Second
-	// trustedAfter is the number of observed steps after which predictions
-	// stand in for tokens that are late; distrustedAfter missed predictions in
-	// a row, as of an engine that has become slow, it has to learn anew.
+	maxStep          = time.Second
+	// trustedAfter is the number of observed steps after which predictions replace
+	// late tokens. After distrustedAfter consecutive misses, as of an engine that
+	// has become slow, as many steps must be observed again.
 	trustedAfter    = 200
 	distrustedAfter = 50
 )
@@ -51,42 +51,42 @@
 	return [modelTerms]float64{1, streams / regressorUnit, prefill / regressorUnit}
 }
 
-// learn takes in one observed step.
+// learn updates the coefficients by an observed step.
 func (m *stepModel) learn(observed time.Duration, streams, prefill float64) {
-	if observed <= 0 || observed > longestStep {
+	if observed <= 0 || observed > maxStep {
 		return
 	}
-	m.learnt = min(m.learnt+1, trustedAfter)
+	m.samples = min(m.samples+1, trustedAfter)
 	m.misses = 0
 	input := regressors(streams, prefill)
 	var gain [modelTerms]float64
-	divisor := forgetting
+	divisor := forgettingFactor
 	for i := range gain {
 		for j := range input {
 			gain[i] += m.covariance[i][j] * input[j]
 		}
 		divisor += gain[i] * input[i]
 	}
-	failure := observed.Seconds() - dot(m.coefficients, input)
+	residual := observed.Seconds() - dot(m.coefficients, input)
 	for i := range gain {
-		m.coefficients[i] += gain[i] / divisor * failure
+		m.coefficients[i] += gain[i] / divisor * residual
 	}
 	for i := range m.covariance {
 		for j := range m.covariance[i] {
-			updated := (m.covariance[i][j] - gain[i]*gain[j]/divisor) / forgetting
-			m.covariance[i][j] = min(max(updated, -largestVariance), largestVariance)
+			updated := (m.covariance[i][j] - gain[i]*gain[j]/divisor) / forgettingFactor
+			m.covariance[i][j] = min(max(updated, -maxVariance), maxVariance)
 		}
 	}
 }
 
-// trusted says whether the model has seen enough of the engine.
-func (m *stepModel) trusted() bool { return m.learnt >= trustedAfter }
+// trusted reports whether the model has observed enough steps.
+func (m *stepModel) trusted() bool { return m.samples >= trustedAfter }
 
-// missed notes a step whose prediction came before the token that ended it.
+// missed records a step whose predicted end came before the token that ended it.
 func (m *stepModel) missed() {
 	m.misses++
 	if m.misses >= distrustedAfter {
-		m.learnt, m.misses = 0, 0
+		m.samples, m.misses = 0, 0
 	}
 }
 
@@ -98,21 +98,21 @@
 	return sum
 }
 
-// step predicts the length of a step.
+// step returns the predicted length of a step.
 func (m *stepModel) step(streams, prefill float64) time.Duration {
 	seconds := dot(m.coefficients, regressors(streams, prefill))
-	return min(max(time.Duration(seconds*float64(time.Second)), shortestStep), longestStep)
+	return min(max(time.Duration(seconds*float64(time.Second)), minStep), maxStep)
 }
 
-// shortestStep bounds predictions from below.
-const shortestStep = 500 * time.Microsecond
+// minStep is the lower bound of predictions.
+const minStep = 500 * time.Microsecond
 
-// perStream is what one more stream adds to a step.
+// perStream returns the time that one more stream adds to a step.
 func (m *stepModel) perStream() time.Duration {
 	return time.Duration(max(0, m.coefficients[1]) / regressorUnit * float64(time.Second))
 }
 
-// perToken is what one more prefilled token adds to a step.
+// perToken returns the time that one more prefilled token adds to a step.
 func (m *stepModel) perToken() time.Duration {
 	return time.Duration(max(0, m.coefficients[2]) / regressorUnit * float64(time.Second))
 }
--- a/internal/admission/batch/model_test.go
+++ b/internal/admission/batch/model_test.go
@@ -11,7 +11,7 @@
 	"chutelock.dev/chutelock/internal/engine"
 )
 
-func TestStepModelLearnsTheEngine(t *testing.T) {
+func TestStepModelLearnsCoefficients(t *testing.T) {
 	g := gomega.NewWithT(t)
 	random := rand.New(rand.NewPCG(1, 1))
 	model := newStepModel()
@@ -28,7 +28,7 @@
 	g.Expect(model.perStream()).To(gomega.BeNumerically("~", 70*time.Microsecond, 2*time.Microsecond))
 }
 
-func TestStepHistogramGivesQuantilesAndForgets(t *testing.T) {
+func TestStepHistogramQuantilesAndDecay(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var histogram stepHistogram
 	now := time.Unix(0, 0)
@@ -37,7 +37,7 @@
 		histogram.add(now, time.Duration(i)*100*time.Microsecond, 1)
 	}
 	g.Expect(histogram.quantile(0.99)).To(gomega.BeNumerically("~", 99*time.Millisecond, time.Millisecond))
-	g.Expect(histogram.above(50 * time.Millisecond)).To(gomega.BeNumerically("~", 0.5, 0.01))
+	g.Expect(histogram.shareAbove(50 * time.Millisecond)).To(gomega.BeNumerically("~", 0.5, 0.01))
 	for range 3000 {
 		now = now.Add(time.Second)
 		histogram.add(now, time.Millisecond, 1)
@@ -45,23 +45,23 @@
 	g.Expect(histogram.quantile(0.99)).To(gomega.BeNumerically("~", time.Millisecond, 20*time.Microsecond))
 }
 
-func TestShadowMakesTheStepsOfOnlineAlone(t *testing.T) {
+func TestOnlineTimelineSimulatesStepsWithoutBatch(t *testing.T) {
 	g := gomega.NewWithT(t)
 	model := newStepModel()
-	var alone shadow
+	var online onlineTimeline
 	now := time.Unix(0, 0)
-	alone.advance(now, 0, &model, 512)
-	alone.arrive(700)
+	online.advance(now, 0, &model, 512)
+	online.addPrefill(700)
 	for range 100 {
 		now = now.Add(time.Millisecond)
-		alone.advance(now, 10, &model, 512)
+		online.advance(now, 10, &model, 512)
 	}
-	g.Expect(alone.steps.quantile(1)).To(gomega.BeNumerically("~", model.step(10, 512), 100*time.Microsecond))
-	g.Expect(alone.steps.quantile(0.3)).To(gomega.BeNumerically("~", model.step(10, 0), 100*time.Microsecond))
+	g.Expect(online.steps.quantile(1)).To(gomega.BeNumerically("~", model.step(10, 512), 100*time.Microsecond))
+	g.Expect(online.steps.quantile(0.3)).To(gomega.BeNumerically("~", model.step(10, 0), 100*time.Microsecond))
 }
 
-// fill starts count streams on the engine, and lets each have a token.
-func fill(controller *Controller, now time.Time, count int) {
+// startStreams starts count streams on the engine, each with one token.
+func startStreams(controller *Controller, now time.Time, count int) {
 	for i := range count {
 		id := fmt.Sprintf("b%d", i)
 		controller.Step(now, Event{Kind: EventBatchStarted, Engine: "e", Stream: id, PromptTokens: 50})
@@ -69,11 +69,12 @@
 	}
 }
 
-func TestStreamsThatRefuseToBeSuspendedAreLeftAlone(t *testing.T) {
+// A stream that keeps running after suspensions must not be suspended forever.
+func TestControllerStopsSuspendingAfterFailures(t *testing.T) {
 	g := gomega.NewWithT(t)
 	controller := NewController(Config{Share: 0.5, Slots: 4})
 	now := time.Unix(0, 0)
-	fill(controller, now, 1)
+	startStreams(controller, now, 1)
 	suspended := 0
 	for round := range 5 {
 		now = now.Add(time.Second)
@@ -88,17 +89,18 @@
 				}
 			}
 		}
-		now = now.Add(2 * suspendLimit)
+		now = now.Add(2 * suspendGrace)
 		controller.Step(now, Event{Kind: EventBatchToken, Engine: "e", Stream: "b0"})
 	}
-	g.Expect(suspended).To(gomega.Equal(mostRefusals))
+	g.Expect(suspended).To(gomega.Equal(maxFailedSuspends))
 }
 
-func TestAnotherHomesStreamsHalveTheLimit(t *testing.T) {
+// Two home nodes of an engine must not fill it with twice its slots.
+func TestControllerHalvesLimitOfSharedEngine(t *testing.T) {
 	g := gomega.NewWithT(t)
 	controller := NewController(Config{Share: 0.5, Slots: 40})
 	now := time.Unix(0, 0)
-	fill(controller, now, 40)
+	startStreams(controller, now, 40)
 	actions := controller.Step(now, Event{Kind: EventLoad, Engine: "e", Load: engine.Load{At: now, Running: 40, RunningBatch: 40}})
 	g.Expect(actions).To(gomega.BeEmpty())
 	report := engine.Load{At: now, Running: 40, RunningBatch: 40, Waiting: 20, WaitingBatch: 20}
@@ -106,27 +108,28 @@
 	g.Expect(actions).To(gomega.HaveLen(20 + sharedReserve))
 }
 
-func TestALateReportOfOnesOwnStreamsIsNotAnotherHome(t *testing.T) {
+// A delayed report of ended own streams must not count as another home node's.
+func TestLateReportOfOwnStreamsIsNotForeign(t *testing.T) {
 	g := gomega.NewWithT(t)
 	controller := NewController(Config{Share: 0.5, Slots: 40})
 	now := time.Unix(0, 0)
-	fill(controller, now, 40)
+	startStreams(controller, now, 40)
 	report := engine.Load{At: now, Running: 40, RunningBatch: 40}
 	controller.Step(now, Event{Kind: EventLoad, Engine: "e", Load: report})
 	for i := range 40 {
 		controller.Step(now, Event{Kind: EventBatchEnded, Engine: "e", Stream: fmt.Sprintf("b%d", i)})
 	}
-	now = now.Add(peakMemory + time.Second)
+	now = now.Add(peakWindow + time.Second)
 	controller.Step(now, Event{Kind: EventLoad, Engine: "e", Load: report})
 	g.Expect(controller.engines["e"].shared(now)).To(gomega.BeFalse())
 }
 
-func TestTheModelLearnsStepsFarFromItsStart(t *testing.T) {
+func TestStepModelRelearnsAfterSpeedChange(t *testing.T) {
 	g := gomega.NewWithT(t)
 	controller := NewController(Config{Share: 0.5, Slots: 4})
 	now := time.Unix(0, 0)
-	fill(controller, now, 4)
-	// The engine becomes slow, and then fast again, after it was learnt.
+	startStreams(controller, now, 4)
+	// The engine becomes slow, and then fast again, after the model is trusted.
 	for _, step := range []time.Duration{time.Millisecond, 100 * time.Millisecond, 5 * time.Millisecond} {
 		for range 20000 {
 			for end := now.Add(step); now.Before(end); now = now.Add(step / 4) {
@@ -140,21 +143,21 @@
 	}
 }
 
-func TestFixedFillsUpToItsStreams(t *testing.T) {
+func TestFixedAdmitsUpToItsStreams(t *testing.T) {
 	for name, test := range map[string]struct {
-		heed  bool
+		yield bool
 		load  engine.Load
 		admit int
 	}{
-		"idle":                     {true, engine.Load{}, 3},
-		"online waits":             {true, engine.Load{Waiting: 2, WaitingBatch: 1}, 0},
-		"online waits, not heeded": {false, engine.Load{Waiting: 2, WaitingBatch: 1}, 3},
-		"only batch waits":         {true, engine.Load{Waiting: 1, WaitingBatch: 1}, 3},
-		"draining":                 {false, engine.Load{Draining: true}, 0},
+		"idle":                      {true, engine.Load{}, 3},
+		"online waits":              {true, engine.Load{Waiting: 2, WaitingBatch: 1}, 0},
+		"online waits, no yielding": {false, engine.Load{Waiting: 2, WaitingBatch: 1}, 3},
+		"only batch waits":          {true, engine.Load{Waiting: 1, WaitingBatch: 1}, 3},
+		"draining":                  {false, engine.Load{Draining: true}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			policy := NewFixed(3, test.heed)
+			policy := NewFixed(3, test.yield)
 			admitted := 0
 			for _, action := range policy.Step(time.Unix(0, 0), Event{Kind: EventLoad, Engine: "e", Load: test.load}) {
 				admitted += action.Count
@@ -167,7 +170,7 @@
 func BenchmarkBatchToken(b *testing.B) {
 	controller := NewController(Config{Share: 0.5, Slots: 256})
 	now := time.Unix(0, 0)
-	fill(controller, now, 256)
+	startStreams(controller, now, 256)
 	controller.Step(now, Event{Kind: EventOnlineStarted, Engine: "e", Stream: "o", PromptTokens: 100})
 	ids := make([]string, 0, 256)
 	for i := range 256 {
--- a/internal/admission/batch/price.go
+++ b/internal/admission/batch/price.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// price is how many batch streams one online stream's wait outweighs. It rises
-// while online's slow steps are more than allowed, and falls otherwise.
+// price is the number of batch streams that one waiting online stream outweighs.
+// It rises while more of online's steps are slow than allowed, and falls otherwise.
 type price struct {
 	initial float64
 	value   float64
 	updated time.Time
 }
 
-// How the price moves. The share of slow steps is only known after minutes, so
-// the price moves slowly, and no further than priceRange from where it starts.
+// Parameters of the price. It changes slowly, and by at most the factor priceRange
+// from its initial value, as the share of slow steps is known only after minutes.
 const (
-	halfSharePrice = 5.0 // start at a Share of one half
-	lowestShare    = 0.05
+	halfSharePrice = 5.0 // initial price for a Share of one half
+	minShare       = 0.05
 	priceRange     = 2.0
-	priceEvery     = 500 * time.Millisecond
-	priceSpeed     = 0.01
-	// largestExcess bounds one update.
-	largestExcess = 2.0
+	priceInterval  = 500 * time.Millisecond
+	priceGain      = 0.01
+	// maxExcess limits the change by one update.
+	maxExcess = 2.0
 )
 
-// newPrice starts lower the more throughput weighs.
+// newPrice returns the initial price, which is inversely proportional to Share.
 func newPrice(share float64) price {
-	start := halfSharePrice * 0.5 / max(lowestShare, share)
+	start := halfSharePrice * 0.5 / max(minShare, share)
 	return price{initial: start, value: start}
 }
 
-// update compares the share of slow steps with the allowed share.
+// update adjusts the price by the ratio of the slow to the allowed share of steps.
 func (p *price) update(now time.Time, slow, allowed float64) {
-	if now.Sub(p.updated) < priceEvery {
+	if now.Sub(p.updated) < priceInterval {
 		return
 	}
 	p.updated = now
-	excess := min(slow/allowed-1, largestExcess)
-	moved := p.value * math.Exp(priceSpeed*excess)
-	p.value = min(max(moved, p.initial/priceRange), p.initial*priceRange)
+	excess := min(slow/allowed-1, maxExcess)
+	adjusted := p.value * math.Exp(priceGain*excess)
+	p.value = min(max(adjusted, p.initial/priceRange), p.initial*priceRange)
 }
--- a/internal/admission/batch/state.go
+++ b/internal/admission/batch/state.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// phase is where a batch stream stands.
+// phase is the state of a batch stream.
 type phase uint8
 
 const (
 	phaseStarting   phase = iota + 1 // sent, no token yet
 	phaseRunning                     // producing tokens
-	phaseSuspending                  // ActionSuspend given, not confirmed
-	phaseSuspended                   // parked at the engine
-	phaseResuming                    // ActionResume given, no token since
+	phaseSuspending                  // ActionSuspend returned, not confirmed
+	phaseSuspended                   // suspension confirmed
+	phaseResuming                    // ActionResume returned, no token since
 )
 
-// active says whether the stream takes, or is about to take, a slot.
+// active reports whether the stream takes, or is about to take, a slot.
 func (p phase) active() bool {
 	return p == phaseStarting || p == phaseRunning || p == phaseResuming
 }
@@ -27,84 +27,87 @@
 	phase    phase
 	since    time.Time // when the phase began
 	deadline time.Time
-	number   uint64  // order of admission
+	sequence uint64  // order of admission
 	prompt   float64 // tokens to prefill
 	produced bool    // has produced a token
-	// refusals counts suspensions that had no effect; a stream that refuses
-	// too often, as one that may run only once, is left alone.
-	refusals int
+	// failedSuspends counts suspensions without effect, as of a stream that may run
+	// only once; after maxFailedSuspends the stream isn't preempted any more.
+	failedSuspends int
 }
 
-// Bounds on what a stream may owe an answer to.
+// Bounds on the execution of actions.
 const (
-	// suspendLimit is how long after ActionSuspend tokens may still come.
-	suspendLimit = 250 * time.Millisecond
-	// resumeLimit is how long a resumed stream may be without a token.
-	resumeLimit   = 2 * time.Second
-	mostRefusals  = 2
-	overdueEvery  = time.Second
-	stuckSuspends = 5 * time.Second
+	// suspendGrace is how long after ActionSuspend tokens may still arrive.
+	suspendGrace = 250 * time.Millisecond
+	// resumeTimeout is how long a resumed stream may be without a token.
+	resumeTimeout     = 2 * time.Second
+	maxFailedSuspends = 2
+	overdueInterval   = time.Second
+	suspendTimeout    = 5 * time.Second
 )
 
-// engineState is what the controller knows of one engine.
+// engineState is the controller's state for one engine.
 type engineState struct {
-	name     string
-	gone     bool
-	goneAt   time.Time
-	draining bool
-	checked  time.Time // when overdue streams were last looked for
-
-	streams   map[string]*stream
-	admitted  uint64
-	active    int // streams in an active phase
-	starting  int
-	producing int // in phaseRunning
-	suspended int
-	leaving   int // suspensions not confirmed
-	// oldestHold is not later than the time since which any stream is held.
-	oldestHold time.Time
-
-	online map[string]time.Time // announced requests, by when they started
-	// unannounced is how many online requests the last report showed beyond
-	// those announced.
+	name           string
+	gone           bool
+	goneAt         time.Time
+	draining       bool
+	overdueChecked time.Time // last check for overdue streams
+
+	streams      map[string]*stream
+	lastSequence uint64
+	active       int // streams in an active phase
+	starting     int
+	producing    int // in phaseRunning
+	suspended    int
+	suspending   int // suspensions not confirmed
+	// oldestSuspension is a lower bound of the times at which streams were suspended.
+	oldestSuspension time.Time
+
+	online map[string]time.Time // start times of the announced requests
+	// unannounced is the number of online requests in the last report beyond those
+	// announced.
 	unannounced int
 
-	model stepModel
-	real  timeline
-	alone shadow
-	price price
-	width width
-	// waits are the expected times to the first token of arriving requests,
-	// as they are and as they would be alone.
-	realWaits  stepHistogram
-	aloneWaits stepHistogram
-	prompt     average // prefill tokens of a batch stream
-	// peak is the most streams that this home had lately; foreignAt is when a
-	// report last showed many more.
-	peak       int
-	formerPeak int
-	peakAt     time.Time
-	foreignAt  time.Time
-	// bound is the longest step that online should see; zero while unknown.
+	model      stepModel
+	real       timeline
+	onlineOnly onlineTimeline
+	price      price
+	fillRatio  fillRatio
+	// Expected times to first token of arriving online requests, with batch and
+	// without.
+	realWaits       stepHistogram
+	onlineOnlyWaits stepHistogram
+	promptTokens    average // prefill tokens of a batch stream
+	// peak and previousPeak are the maximum number of this home node's streams in
+	// the current and the previous window; foreignAt is when a report last showed
+	// many more.
+	peak         int
+	previousPeak int
+	peakAt       time.Time
+	foreignAt    time.Time
+	// bound is the protected quantile of the step lengths without batch; zero while
+	// unknown.
 	bound   time.Duration
 	boundAt time.Time
 }
 
 func newEngineState(name string, config *Config) *engineState {
 	return &engineState{
-		name:    name,
-		streams: map[string]*stream{},
-		online:  map[string]time.Time{},
-		model:   newStepModel(),
-		price:   newPrice(config.Share),
-		width:   width{value: widest},
-		// What is steered must show soon what steering did.
-		realWaits:  stepHistogram{memory: steeredMemory},
-		aloneWaits: stepHistogram{memory: steeredMemory},
+		name:      name,
+		streams:   map[string]*stream{},
+		online:    map[string]time.Time{},
+		model:     newStepModel(),
+		price:     newPrice(config.Share),
+		fillRatio: fillRatio{value: maxFillRatio},
+		// The feedback must show the effect of recent changes.
+		realWaits:       stepHistogram{timeConstant: waitTimeConstant},
+		onlineOnlyWaits: stepHistogram{timeConstant: waitTimeConstant},
 	}
 }
 
-// average is a moving average; its zero value takes the first entry as it is.
+// average is an exponentially weighted moving average, initialized by its first
+// entry.
 type average struct {
 	value float64
 	known bool
@@ -123,63 +126,62 @@
 
 func (s *engineState) onlineCount() int { return len(s.online) + s.unannounced }
 
-// boundEvery is how often the bound and the price are worked out anew.
-const boundEvery = 100 * time.Millisecond
+// boundInterval is the time between updates of the bound and the price.
+const boundInterval = 100 * time.Millisecond
 
-// steeredMemory is the memory of the histograms that price and width follow.
-const steeredMemory = 60 * time.Second
+// waitTimeConstant is the time constant of the histograms of waits.
+const waitTimeConstant = 60 * time.Second
 
-// harmQuantile is the quantile of the time between tokens that is protected.
-const harmQuantile = 0.99
+// protectedQuantile is the quantile of times that batch may raise only to a limit.
+const protectedQuantile = 0.99
 
-// advance brings both timelines and the bound up to now.
+// advance updates both timelines, the bound, the price and the fill ratio.
 func (s *engineState) advance(now time.Time, config *Config) {
 	load := s.load(config)
 	s.real.advance(now, load, &s.model)
-	s.alone.advance(now, s.aloneCount(load), &s.model, load.chunk)
-	if now.Sub(s.checked) >= overdueEvery {
-		s.checked = now
-		s.settleOverdue(now)
+	s.onlineOnly.advance(now, s.onlineOnlyCount(load), &s.model, load.chunk)
+	if now.Sub(s.overdueChecked) >= overdueInterval {
+		s.overdueChecked = now
+		s.retryOverdue(now)
 	}
-	if now.Sub(s.boundAt) < boundEvery {
+	if now.Sub(s.boundAt) < boundInterval {
 		return
 	}
 	s.boundAt = now
-	s.bound = s.alone.steps.quantile(harmQuantile)
+	s.bound = s.onlineOnly.steps.quantile(protectedQuantile)
 	goal := time.Duration(float64(s.bound) * config.harmGoal())
-	s.price.update(now, s.real.steps.above(goal), 1-harmQuantile)
-	if config.Share < tailFirst {
-		goal := config.waitGoal(s.aloneWaits.quantile(harmQuantile))
-		s.width.update(now, s.realWaits.above(goal), 1-harmQuantile)
+	s.price.update(now, s.real.steps.shareAbove(goal), 1-protectedQuantile)
+	if config.Share < firstTokenShare {
+		goal := config.maxWait(s.onlineOnlyWaits.quantile(protectedQuantile))
+		s.fillRatio.update(now, s.realWaits.shareAbove(goal), 1-protectedQuantile)
 	}
 }
 
-// settleOverdue ends waits for answers that don't come: a resume that was not
-// done is asked for again, and so is a suspension.
-func (s *engineState) settleOverdue(now time.Time) {
+// retryOverdue resets streams whose resumption or suspension wasn't confirmed in
+// time, so that it is requested again.
+func (s *engineState) retryOverdue(now time.Time) {
 	for _, overdue := range s.streams {
 		waited := now.Sub(overdue.since)
 		switch {
-		case overdue.phase == phaseResuming && waited > resumeLimit:
+		case overdue.phase == phaseResuming && waited > resumeTimeout:
 			s.setPhase(overdue, phaseSuspended, now)
-		case overdue.phase == phaseSuspending && waited > stuckSuspends:
+		case overdue.phase == phaseSuspending && waited > suspendTimeout:
 			s.setPhase(overdue, phaseRunning, now)
 		}
 	}
 }
 
-// noteWaits estimates an arrival's time to its first token, with batch as it
-// is after the decision that the arrival led to, and without any batch in the
-// same two steps.
-func (s *engineState) noteWaits(now time.Time, config *Config) {
+// recordWaits estimates an arriving request's time to first token: with batch, as
+// it is after the decision on the arrival, and with no batch in the same two steps.
+func (s *engineState) recordWaits(now time.Time, config *Config) {
 	load := s.load(config)
-	rest := max(0, s.real.end.Sub(now))
-	s.realWaits.add(now, rest+s.model.step(load.streams(), min(s.real.pending, load.chunk)), 1)
-	online := s.aloneCount(load)
-	running := s.model.step(online, s.real.online)
-	whole := s.model.step(s.real.streams, s.real.prefill)
-	rest = time.Duration(float64(rest) * min(1, float64(running)/float64(whole)))
-	s.aloneWaits.add(now, rest+s.model.step(online, min(s.real.arriving, load.chunk)), 1)
+	remaining := max(0, s.real.end.Sub(now))
+	s.realWaits.add(now, remaining+s.model.step(load.streams(), min(s.real.pending, load.chunk)), 1)
+	online := s.onlineOnlyCount(load)
+	withoutBatch := s.model.step(online, s.real.onlinePrefill)
+	withBatch := s.model.step(s.real.streams, s.real.prefill)
+	remaining = time.Duration(float64(remaining) * min(1, float64(withoutBatch)/float64(withBatch)))
+	s.onlineOnlyWaits.add(now, remaining+s.model.step(online, min(s.real.pendingOnline, load.chunk)), 1)
 }
 
 func (s *engineState) load(config *Config) stepLoad {
@@ -191,21 +193,21 @@
 	}
 }
 
-// aloneCount is how many online streams there would be without batch: fewer,
-// as each would be done sooner.
-func (s *engineState) aloneCount(load stepLoad) float64 {
+// onlineOnlyCount estimates how many online streams there would be without batch:
+// fewer, as each would end sooner.
+func (s *engineState) onlineOnlyCount(load stepLoad) float64 {
 	if load.online <= 0 {
 		return 0
 	}
 	return load.online * s.model.step(load.online, 0).Seconds() / s.model.step(load.streams(), 0).Seconds()
 }
 
-// observe takes an event in and says whether a decision is due.
+// observe applies an event and reports whether a decision is due.
 func (s *engineState) observe(now time.Time, event Event, config *Config) bool {
 	switch event.Kind {
 	case EventOnlineStarted:
-		s.alone.arrive(float64(event.PromptTokens))
-		s.real.arrive(now, float64(event.PromptTokens), true, s.load(config), &s.model)
+		s.onlineOnly.addPrefill(float64(event.PromptTokens))
+		s.real.addPrefill(now, float64(event.PromptTokens), true, s.load(config), &s.model)
 		s.online[event.Stream] = now
 	case EventOnlineFinished:
 		delete(s.online, event.Stream)
@@ -229,35 +231,35 @@
 
 func (s *engineState) observeStart(now time.Time, event Event, config *Config) {
 	if s.streams[event.Stream] != nil {
-		return // the shell's word that it resumed it
+		return // the stream was resumed
 	}
-	s.admitted++
-	added := &stream{id: event.Stream, deadline: event.Deadline, number: s.admitted, prompt: float64(event.PromptTokens)}
-	s.prompt.add(added.prompt)
-	s.real.arrive(now, added.prompt, false, s.load(config), &s.model)
+	s.lastSequence++
+	added := &stream{id: event.Stream, deadline: event.Deadline, sequence: s.lastSequence, prompt: float64(event.PromptTokens)}
+	s.promptTokens.add(added.prompt)
+	s.real.addPrefill(now, added.prompt, false, s.load(config), &s.model)
 	s.streams[added.id] = added
 	s.setPhase(added, phaseStarting, now)
 }
 
-// observeToken asks for a decision when a step has ended, as the next one's
-// limit may differ.
+// observeToken applies a token and reports whether it ended a step, as the limit
+// of the next one may differ.
 func (s *engineState) observeToken(now time.Time, event Event, config *Config) bool {
 	producing := s.streams[event.Stream]
 	if producing == nil {
-		// It was here before the controller knew the engine.
-		s.admitted++
-		producing = &stream{id: event.Stream, number: s.admitted}
+		// The stream was started before the controller had state for the engine.
+		s.lastSequence++
+		producing = &stream{id: event.Stream, sequence: s.lastSequence}
 		s.streams[producing.id] = producing
 	}
 	producing.produced = true
-	refused := producing.phase == phaseSuspending && now.Sub(producing.since) > suspendLimit
-	if refused {
-		producing.refusals++
+	failed := producing.phase == phaseSuspending && now.Sub(producing.since) > suspendGrace
+	if failed {
+		producing.failedSuspends++
 	}
-	if refused || producing.phase == phaseStarting || producing.phase == phaseResuming || producing.phase == 0 {
+	if failed || producing.phase == phaseStarting || producing.phase == phaseResuming || producing.phase == 0 {
 		s.setPhase(producing, phaseRunning, now)
 	}
-	return s.real.token(now, s.load(config), &s.model)
+	return s.real.observeToken(now, s.load(config), &s.model)
 }
 
 func (s *engineState) observeEnd(now time.Time, event Event) {
@@ -275,38 +277,37 @@
 }
 
 func (s *engineState) setPhase(changed *stream, to phase, now time.Time) {
-	s.count(changed.phase, -1)
+	s.addCount(changed.phase, -1)
 	changed.phase = to
 	changed.since = now
-	s.count(to, 1)
-	if to == phaseSuspended && (s.suspended == 1 || now.Before(s.oldestHold)) {
-		s.oldestHold = now
+	s.addCount(to, 1)
+	if to == phaseSuspended && (s.suspended == 1 || now.Before(s.oldestSuspension)) {
+		s.oldestSuspension = now
 	}
 }
 
-func (s *engineState) count(of phase, by int) {
-	if of.active() {
-		s.active += by
+func (s *engineState) addCount(p phase, delta int) {
+	if p.active() {
+		s.active += delta
 	}
-	switch of {
+	switch p {
 	case phaseStarting:
-		s.starting += by
+		s.starting += delta
 	case phaseRunning:
-		s.producing += by
+		s.producing += delta
 	case phaseSuspending:
-		s.leaving += by
+		s.suspending += delta
 	case phaseSuspended:
-		s.suspended += by
+		s.suspended += delta
 	}
 }
 
 func (s *engineState) remove(removed *stream) {
-	s.count(removed.phase, -1)
+	s.addCount(removed.phase, -1)
 	delete(s.streams, removed.id)
 }
 
-// ordered lists the streams, the one with the least slack first, and then in
-// order of admission.
+// ordered returns the streams by deadline, and then in order of admission.
 func (s *engineState) ordered() []*stream {
 	all := make([]*stream, 0, len(s.streams))
 	for _, listed := range s.streams {
@@ -320,10 +321,10 @@
 	if order := compareDeadline(a.deadline, b.deadline); order != 0 {
 		return order
 	}
-	return int(a.number) - int(b.number)
+	return int(a.sequence) - int(b.sequence)
 }
 
-// compareDeadline puts no deadline last.
+// compareDeadline orders deadlines; zero is last.
 func compareDeadline(a, b time.Time) int {
 	switch {
 	case a.Equal(b):
@@ -336,8 +337,8 @@
 	return a.Compare(b)
 }
 
-// victims are the streams to take back first: those that still prefill, then
-// those with the most slack.
+// victims returns the streams to preempt first: those before their first token, then
+// those being resumed, then running ones, each with the latest deadline first.
 func (s *engineState) victims(count int) []*stream {
 	var chosen []*stream
 	ordered := s.ordered()
@@ -347,7 +348,7 @@
 			if len(chosen) == count {
 				return chosen
 			}
-			if candidate.phase == wanted && candidate.refusals < mostRefusals {
+			if candidate.phase == wanted && candidate.failedSuspends < maxFailedSuspends {
 				chosen = append(chosen, candidate)
 			}
 		}
@@ -355,18 +356,18 @@
 	return chosen
 }
 
-// resume makes a suspended stream active again; one that was taken back before
-// its first token has its prefill still to come.
+// resume makes a suspended stream active again. One that was suspended before its
+// first token still needs its prefill.
 func (s *engineState) resume(now time.Time, resumed *stream, config *Config) {
 	if resumed.produced {
 		s.setPhase(resumed, phaseResuming, now)
 		return
 	}
-	s.real.arrive(now, resumed.prompt, false, s.load(config), &s.model)
+	s.real.addPrefill(now, resumed.prompt, false, s.load(config), &s.model)
 	s.setPhase(resumed, phaseStarting, now)
 }
 
-// resumable are the suspended streams to go on with first.
+// resumable returns the suspended streams to resume first.
 func (s *engineState) resumable(count int) []*stream {
 	if s.suspended == 0 {
 		return nil
--- a/internal/admission/batch/timeline.go
+++ b/internal/admission/batch/timeline.go
@@ -2,127 +2,127 @@
 
 import "time"
 
-// timeline follows the engine's real steps: their ends are seen by the tokens
-// of batch streams, and predicted while no batch stream runs.
+// timeline tracks the engine's real steps. Their ends are observed by tokens of
+// batch streams, and predicted while no batch stream runs.
 type timeline struct {
-	start    time.Time // of the step that runs now
-	end      time.Time // when it is expected to end
-	seen     bool      // start was seen, not predicted
-	streams  float64   // in the step that runs now
-	prefill  float64   // tokens prefilled in the step that runs now
-	online   float64   // the part of prefill that is online's
-	pending  float64   // tokens that wait for the next step
-	arriving float64   // the part of pending that is online's
-	steps    stepHistogram
-	// arrived is when the last prefill came; unsure counts the steps from now
-	// on of which it isn't sure what they prefilled.
-	arrived time.Time
-	unsure  int
+	start         time.Time // of the current step
+	end           time.Time // predicted end of the current step
+	observed      bool      // start was observed, not predicted
+	streams       float64   // in the current step
+	prefill       float64   // tokens prefilled in the current step
+	onlinePrefill float64   // online's part of prefill
+	pending       float64   // tokens to prefill in the next steps
+	pendingOnline float64   // online's part of pending
+	steps         stepHistogram
+	// lastArrival is when prefill was last added; uncertain is the number of next
+	// steps whose prefill isn't known for sure.
+	lastArrival time.Time
+	uncertain   int
 }
 
 const (
-	// sameStep is the share of a step's predicted length within which tokens
+	// sameStepShare is the share of a step's predicted length within which tokens
 	// belong to the same step.
-	sameStep = 0.4
-	// endMargin is the share of a step by which a predicted end is put off,
-	// so that batch does not come back into a step that online still waits for.
+	sameStepShare = 0.4
+	// endMargin is the share of a step by which a predicted end is delayed, so that
+	// batch isn't resumed in a step that online still waits for.
 	endMargin = 0.25
-	// skew is the share of a step, before its end, in which an arrival may have
-	// missed the next step already: messages take their time.
-	skew = 0.15
-	// unsureSteps are the two steps that such an arrival may be in.
-	unsureSteps = 2
+	// arrivalSkew is the last share of a step in which an arrival may miss the next
+	// step, because of message delays.
+	arrivalSkew = 0.15
+	// uncertainSteps is the number of steps in which such an arrival may be prefilled.
+	uncertainSteps = 2
 	// idleAfter is the time without steps after which the engine counts as idle.
 	idleAfter = 200 * time.Millisecond
 )
 
-// arrive adds prefill that the next step will do. While no
-// batch token will tell, a step whose predicted end has passed has ended.
-func (t *timeline) arrive(now time.Time, tokens float64, online bool, load stepLoad, model *stepModel) {
+// addPrefill adds prefill to the next step. Without batch streams, whose tokens
+// mark the ends of steps, a step whose predicted end has passed has ended.
+func (t *timeline) addPrefill(now time.Time, tokens float64, online bool, load stepLoad, model *stepModel) {
 	if load.batch <= 0 && load.online > 0 && t.end.Before(now) {
-		t.next(t.end, false, load, model)
+		t.beginStep(t.end, false, load, model)
 	}
 	t.pending += tokens
-	t.arrived = now
+	t.lastArrival = now
 	if online {
-		t.arriving += tokens
+		t.pendingOnline += tokens
 	}
 }
 
-// withdraw takes back batch prefill that has not begun.
-func (t *timeline) withdraw(tokens float64) {
-	t.pending = max(t.arriving, t.pending-tokens)
+// removePrefill removes batch prefill that has not begun.
+func (t *timeline) removePrefill(tokens float64) {
+	t.pending = max(t.pendingOnline, t.pending-tokens)
 }
 
-// token takes note of a batch token, and says whether it ended a step.
-func (t *timeline) token(now time.Time, load stepLoad, model *stepModel) bool {
+// observeToken records a batch token and reports whether it ended a step.
+func (t *timeline) observeToken(now time.Time, load stepLoad, model *stepModel) bool {
 	elapsed := now.Sub(t.start)
-	if elapsed < time.Duration(sameStep*float64(model.step(t.streams, t.prefill))) {
+	if elapsed < time.Duration(sameStepShare*float64(model.step(t.streams, t.prefill))) {
 		return false
 	}
 	switch {
-	case !t.seen:
+	case !t.observed:
 		model.missed()
-	case t.unsure == 0:
+	case t.uncertain == 0:
 		model.learn(elapsed, t.streams, t.prefill)
 	}
-	t.unsure = max(0, t.unsure-1)
-	if now.Sub(t.arrived) < time.Duration(skew*float64(elapsed)) {
-		t.unsure = unsureSteps
+	t.uncertain = max(0, t.uncertain-1)
+	if now.Sub(t.lastArrival) < time.Duration(arrivalSkew*float64(elapsed)) {
+		t.uncertain = uncertainSteps
 	}
-	t.next(now, true, load, model)
+	t.beginStep(now, true, load, model)
 	return true
 }
 
-// advance ends the steps whose predicted end has passed unseen. While batch
-// streams produce tokens, these tell, and predictions of a model that isn't
-// trusted must not come before them: it would never learn better.
+// advance ends the steps whose predicted end has passed. While batch streams produce
+// tokens, predictions of an untrusted model must not replace them, or the model
+// would never observe a step.
 func (t *timeline) advance(now time.Time, load stepLoad, model *stepModel) {
 	if load.online <= 0 {
-		t.arriving = 0 // what had arrived has ended
+		t.pendingOnline = 0 // the requests have ended
 	}
 	if load.streams() <= 0 {
 		t.pending = 0
 	}
-	if load.producing && !model.trusted() && now.Sub(t.start) < longestStep {
+	if load.producing && !model.trusted() && now.Sub(t.start) < maxStep {
 		return
 	}
 	if now.Sub(t.end) > idleAfter || load.streams() <= 0 {
 		t.start = now
 		t.end = now
-		t.seen = false
+		t.observed = false
 	}
 	for {
 		due := t.end.Add(time.Duration(endMargin * float64(t.end.Sub(t.start))))
 		if due.After(now) || load.streams() <= 0 {
 			return
 		}
-		t.next(t.end, false, load, model)
+		t.beginStep(t.end, false, load, model)
 	}
 }
 
-// next begins a step. What is kept of the one before is its predicted length,
-// so that it compares with the shadow's: errors of the model are in both.
-func (t *timeline) next(at time.Time, seen bool, load stepLoad, model *stepModel) {
+// beginStep begins a step. The previous one is recorded by its predicted length,
+// so that errors of the model affect both timelines alike.
+func (t *timeline) beginStep(at time.Time, observed bool, load stepLoad, model *stepModel) {
 	if load.online > 0 {
 		t.steps.add(at, model.step(t.streams, t.prefill), load.online)
 	}
 	t.start = at
-	t.seen = seen
+	t.observed = observed
 	t.streams = load.streams()
 	t.prefill = min(t.pending, load.chunk)
-	t.online = min(t.arriving, load.chunk)
+	t.onlinePrefill = min(t.pendingOnline, load.chunk)
 	t.pending -= t.prefill
-	t.arriving = max(0, t.arriving-t.prefill)
+	t.pendingOnline = max(0, t.pendingOnline-t.prefill)
 	t.end = at.Add(model.step(t.streams, t.prefill))
 }
 
-// stepLoad is what an engine has to do in a step.
+// stepLoad is the load of an engine in a step.
 type stepLoad struct {
 	online float64 // online streams
 	batch  float64 // active batch streams
 	chunk  float64 // prefill tokens that fit into a step
-	// producing says that batch streams have tokens in each step.
+	// producing is whether running batch streams produce tokens in each step.
 	producing bool
 }
 
