--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,41 +1,41 @@
-// Package membership tells which chutelock nodes are alive. Detection is
-// scoped to a zone at constant cost a node; other zones and regions are seen
-// through summaries (docs/design on membership).
+// Package membership defines the members of a chutelock cluster, their states,
+// and the selection of members for keys and roles. Each zone detects its own
+// failures at a constant cost per node; other zones receive the results.
 package membership
 
 import "chutelock.dev/chutelock/internal/transport"
 
-// State of a member.
+// State is a member's liveness state.
 type State uint8
 
-// States of a member, in the order in which they override each other at one
-// incarnation.
+// Member states. At equal incarnations, a later state overrides an earlier one.
 const (
 	StateAlive State = iota
 	StateSuspect
-	StateLeaving // announced its planned stop; still answers
+	StateLeaving // announced its planned stop; still answers messages
 	StateDead
 )
 
-// Member is one node.
+// Member describes one node.
 type Member struct {
 	Name        string
-	Address     transport.Address // peers' port
-	Callers     string            // callers' port, "ip:port"
+	Address     transport.Address // port for other nodes
+	Callers     string            // port for clients, "ip:port"
 	Zone        string
 	Region      string
 	Incarnation uint64
 	State       State
-	// HasData says that the node keeps ledger replicas.
+	// HasData reports whether the node stores ledger replicas.
 	HasData bool
 }
 
-// View is the members known at one moment, ordered by name; immutable.
+// View is an immutable snapshot of the known members, ordered by name.
 type View struct {
 	Members []Member
 }
 
-// Source gives the newest view without blocking; never nil.
+// Source provides the latest view, which is never nil, without blocking, and the
+// local node's own record.
 type Source interface {
 	View() *View
 	Self() Member
--- a/internal/membership/delegate.go
+++ b/internal/membership/view.go
@@ -6,11 +6,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Live says whether the member takes part in the work of its zone: it is
-// alive or only suspected. A leaving member still answers but gets no new role.
+// Live reports whether the member is alive or suspect. A leaving member still
+// answers but gets no new roles.
 func (m Member) Live() bool { return m.State == StateAlive || m.State == StateSuspect }
 
-// String names the state as in logs and operators' listings.
+// String returns the state's name as shown in logs and operator tools.
 func (s State) String() string {
 	switch s {
 	case StateAlive:
@@ -25,7 +25,7 @@
 	return "unknown"
 }
 
-// Member finds a member by its name.
+// Member returns the member with the given name and whether it exists.
 func (v *View) Member(name string) (Member, bool) {
 	index := sort.Search(len(v.Members), func(i int) bool { return v.Members[i].Name >= name })
 	if index == len(v.Members) || v.Members[index].Name != name {
@@ -34,17 +34,17 @@
 	return v.Members[index], true
 }
 
-// LiveInZone lists the live members of a zone, ordered by name.
+// LiveInZone returns the live members of a zone, ordered by name.
 func (v *View) LiveInZone(zone string) []Member {
 	return v.live(func(m *Member) bool { return m.Zone == zone })
 }
 
-// LiveInRegion lists the live members of a region, ordered by name.
+// LiveInRegion returns the live members of a region, ordered by name.
 func (v *View) LiveInRegion(region string) []Member {
 	return v.live(func(m *Member) bool { return m.Region == region })
 }
 
-// Zones lists the zones that have a live member, in order.
+// Zones returns the zones that have a live member, in ascending order.
 func (v *View) Zones() []string {
 	seen := map[string]bool{}
 	var zones []string
@@ -58,19 +58,19 @@
 	return zones
 }
 
-func (v *View) live(wanted func(*Member) bool) []Member {
+func (v *View) live(match func(*Member) bool) []Member {
 	var members []Member
 	for i := range v.Members {
-		if v.Members[i].Live() && wanted(&v.Members[i]) {
+		if v.Members[i].Live() && match(&v.Members[i]) {
 			members = append(members, v.Members[i])
 		}
 	}
 	return members
 }
 
-// RendezvousScore is the weight of a candidate for a key; the candidate with
-// the highest weight owns the key, and the loss of a candidate moves only the
-// keys that it owned (Thaler and Ravishankar 1998).
+// RendezvousScore returns the rendezvous hash of a candidate for a key (Thaler
+// and Ravishankar 1998). The candidate with the highest score owns the key;
+// removing a candidate moves only the keys that it owned.
 func RendezvousScore(key, candidate string) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
@@ -80,7 +80,8 @@
 	return digest.Sum64()
 }
 
-// Owner returns the candidate that owns the key; ok is false without any.
+// Owner returns the candidate that owns the key. ok is false if there are no
+// candidates.
 func Owner(key string, candidates []Member) (owner Member, ok bool) {
 	var best uint64
 	for _, candidate := range candidates {
@@ -92,26 +93,26 @@
 	return owner, ok
 }
 
-// Elect returns up to count candidates for a role, best first. All nodes with
-// the same view elect the same members without exchanging a message.
+// Elect returns up to count candidates for a role, by descending score. Nodes
+// with the same view elect the same members without communication.
 func Elect(role string, candidates []Member, count int) []Member {
 	type scored struct {
 		score uint64
 		index int
 	}
-	order := make([]scored, len(candidates))
+	ranking := make([]scored, len(candidates))
 	for index := range candidates {
-		order[index] = scored{RendezvousScore(role, candidates[index].Name), index}
+		ranking[index] = scored{RendezvousScore(role, candidates[index].Name), index}
 	}
-	sort.Slice(order, func(i, j int) bool {
-		if order[i].score != order[j].score {
-			return order[i].score > order[j].score
+	sort.Slice(ranking, func(i, j int) bool {
+		if ranking[i].score != ranking[j].score {
+			return ranking[i].score > ranking[j].score
 		}
-		return candidates[order[i].index].Name < candidates[order[j].index].Name
+		return candidates[ranking[i].index].Name < candidates[ranking[j].index].Name
 	})
 	elected := make([]Member, 0, min(count, len(candidates)))
-	for _, one := range order[:min(count, len(order))] {
-		elected = append(elected, candidates[one.index])
+	for _, entry := range ranking[:min(count, len(ranking))] {
+		elected = append(elected, candidates[entry.index])
 	}
 	return elected
 }
