--- a/internal/membership/swim/broadcast.go
+++ b/internal/membership/swim/broadcast.go
@@ -7,28 +7,28 @@
 	"chutelock.dev/chutelock/internal/membership"
 )
 
-// update is a change on its way to the other members.
+// update is a changed record to be gossiped to other members.
 type update struct {
 	member membership.Member
 	sent   int
 }
 
-// broadcasts holds the newest change of each member until it was carried
-// often enough. Its size is bounded by the number of members.
+// broadcasts holds the latest change of each member until it has been sent often
+// enough. Its size is bounded by the number of members.
 type broadcasts struct {
 	updates map[string]*update
-	// fresh says that a change was added that no member was told of at once.
-	fresh bool
+	// unpushed is set when a change was added since the last push.
+	unpushed bool
 }
 
 func (b *broadcasts) add(member membership.Member) {
 	b.updates[member.Name] = &update{member: member}
-	b.fresh = true
+	b.unpushed = true
 }
 
-// take encodes the least often carried changes that fit, and drops those
-// that were carried limit times.
-func (b *broadcasts) take(limit int) []byte {
+// encodeNext encodes the least often sent changes that fit into maxUpdateBytes, and
+// drops those sent limit times.
+func (b *broadcasts) encodeNext(limit int) []byte {
 	if len(b.updates) == 0 {
 		return nil
 	}
@@ -57,7 +57,7 @@
 	return out
 }
 
-// retransmits is the number of times that a change is carried in a zone.
+// retransmits returns the number of times that a node sends a change.
 func retransmits(factor, zoneSize int) int {
 	return factor * bits.Len(uint(zoneSize+1))
 }
--- a/internal/membership/swim/config.go
+++ b/internal/membership/swim/config.go
@@ -7,48 +7,47 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// TickInterval is the longest time that may pass between two ticks.
+// TickInterval is the maximum time between two ticks.
 const TickInterval = 50 * time.Millisecond
 
-// Config sets a node up. Zero fields take the defaults below.
+// Config configures a Node. Zero fields take the defaults below.
 type Config struct {
 	// Self is this node. Its incarnation must be higher than that of any
-	// earlier process of the same name; the start time serves.
+	// earlier process of the same name, such as the start time.
 	Self membership.Member
-	// Seeds are addresses of members to join through.
+	// Seeds holds the addresses of members to join through.
 	Seeds []transport.Address
 
-	// ProbeInterval is the time between two probes of this node.
+	// ProbeInterval is the time between two probes sent by this node.
 	ProbeInterval time.Duration
-	// ProbeTimeout is the wait for an answer before others are asked.
+	// ProbeTimeout is the time without an answer until indirect probes are sent.
 	ProbeTimeout time.Duration
-	// FailTimeout is the wait for any answer before the target is suspected.
+	// FailTimeout is the time without any answer until the target is suspected.
 	FailTimeout time.Duration
-	// SuspicionTimeout is the time that a suspected member has to refute.
+	// SuspicionTimeout is the time until a suspect member is declared dead.
 	SuspicionTimeout time.Duration
-	// IndirectProbes is the number of members asked to probe a silent one;
-	// negative asks none.
+	// IndirectProbes is the number of members asked to probe a member that did
+	// not answer. A negative number disables retries, direct ones too.
 	IndirectProbes int
-	// Fanout is the number of members told at once of a change.
+	// Fanout is the number of members to which new changes are pushed.
 	Fanout int
-	// RetransmitFactor times the logarithm of the zone's size bounds how often
-	// a change is carried on probes.
+	// RetransmitFactor times the logarithm of the zone's size is the number of
+	// datagrams that carry a change.
 	RetransmitFactor int
-	// DigestInterval is the time between digests to other zones.
+	// DigestInterval is the time between digests sent to other zones.
 	DigestInterval time.Duration
-	// RepairInterval is the time between digests to a random member, and to
-	// one believed dead or a seed.
+	// RepairInterval is the mean time between digests sent to a random member of
+	// the zone and to a dead member or unknown contact.
 	RepairInterval time.Duration
-	// JoinInterval is the time between attempts to join while alone.
+	// JoinInterval is the time between join attempts while no member is known.
 	JoinInterval time.Duration
-	// ReapAfter is how long a dead member is remembered.
+	// ReapAfter is the time after which a dead member is removed.
 	ReapAfter time.Duration
-	// Seed seeds the choice of members.
+	// Seed seeds the random selection of members.
 	Seed uint64
 }
 
-// Defaults, chosen so that a failure is known within 3 s at the cost that
-// docs/CAPACITY.md gives.
+// Defaults, with which a failure is detected within 3 s.
 const (
 	defaultProbeInterval    = 300 * time.Millisecond
 	defaultProbeTimeout     = 100 * time.Millisecond
@@ -62,36 +61,36 @@
 	defaultJoinInterval     = 500 * time.Millisecond
 	defaultReapAfter        = time.Hour
 
-	// Delegates is the number of members of a zone that speak for it.
+	// Delegates is the number of members that represent a zone to other zones.
 	Delegates = 2
 
-	// maxUpdateBytes bounds the updates carried on one datagram.
+	// maxUpdateBytes limits the updates carried by one datagram.
 	maxUpdateBytes = 700
-	// maxHealth is the highest local health score: timeouts grow by up to
-	// this factor plus one while none of this node's relays answers.
-	maxHealth = 3
-	// omissionAge is the age from which a member that its own zone no longer
-	// lists is taken as dead.
+	// maxLocalHealth is the maximum of the local health score, as in Lifeguard:
+	// 0 is healthy, and timeouts are multiplied by the score plus one.
+	maxLocalHealth = 3
+	// omissionAge is the minimum age of a record before a member that its own
+	// zone no longer lists is declared dead.
 	omissionAge = 30 * time.Second
-	// pushInterval is the least time between two pushes of changes, and
-	// syncInterval between two exchanges of records that this node asks for.
+	// pushInterval is the minimum time between two pushes of changes, and
+	// syncInterval between two syncs that this node starts on a digest.
 	pushInterval = 100 * time.Millisecond
 	syncInterval = 200 * time.Millisecond
-	// announceDelay is the wait before a change is told to other zones, so
-	// that changes that come together are told together.
+	// announceDelay is the delay before a digest announces a change to other
+	// zones, so that a burst of changes causes one digest.
 	announceDelay = 200 * time.Millisecond
 )
 
-func orDuration(value, standard time.Duration) time.Duration {
+func orDuration(value, fallback time.Duration) time.Duration {
 	if value == 0 {
-		return standard
+		return fallback
 	}
 	return value
 }
 
-func orCount(value, standard int) int {
+func orInt(value, fallback int) int {
 	if value == 0 {
-		return standard
+		return fallback
 	}
 	return value
 }
@@ -101,9 +100,9 @@
 	c.ProbeTimeout = orDuration(c.ProbeTimeout, defaultProbeTimeout)
 	c.FailTimeout = orDuration(c.FailTimeout, defaultFailTimeout)
 	c.SuspicionTimeout = orDuration(c.SuspicionTimeout, defaultSuspicionTimeout)
-	c.IndirectProbes = orCount(c.IndirectProbes, defaultIndirectProbes)
-	c.Fanout = orCount(c.Fanout, defaultFanout)
-	c.RetransmitFactor = orCount(c.RetransmitFactor, defaultRetransmitFactor)
+	c.IndirectProbes = orInt(c.IndirectProbes, defaultIndirectProbes)
+	c.Fanout = orInt(c.Fanout, defaultFanout)
+	c.RetransmitFactor = orInt(c.RetransmitFactor, defaultRetransmitFactor)
 	c.DigestInterval = orDuration(c.DigestInterval, defaultDigestInterval)
 	c.RepairInterval = orDuration(c.RepairInterval, defaultRepairInterval)
 	c.JoinInterval = orDuration(c.JoinInterval, defaultJoinInterval)
--- a/internal/membership/swim/main_test.go
+++ b/internal/membership/swim/main_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// campaignVariable turns the short fixed check of CI into a long one.
+// campaignVariable names the variable that sets the number of rapid checks of a long
+// run with random seeds, and lengthens other tests.
 const campaignVariable = "CHUTELOCK_CAMPAIGN"
 
 func TestMain(m *testing.M) {
--- a/internal/membership/swim/message.go
+++ b/internal/membership/swim/message.go
@@ -11,31 +11,31 @@
 	"chutelock.dev/chutelock/internal/wire"
 )
 
-// messageVersion is the version of all messages of this package.
+// messageVersion is the wire version of all messages of this package.
 const messageVersion = 1
 
-// messageType tells what a datagram asks or answers.
+// messageType is the type of a datagram.
 type messageType uint8
 
 const (
-	typeProbe        messageType = iota + 1 // answer with typeAck
-	typeProbeRequest                        // probe Body's address for the sender
-	typeAck                                 // answers a probe, directly or through a relay
-	typeRelaying                            // a relay took a probe request
-	typeGossip                              // carries updates only
-	typeDigest                              // Body holds the sender's zone hashes
+	typeProbe         messageType = iota + 1 // is answered with typeAck
+	typeProbeRequest                         // asks for an indirect probe of the address in the body
+	typeAck                                  // acknowledges a direct or indirect probe
+	typeRelayAccepted                        // confirms that a relay accepted a probe request
+	typeGossip                               // has no body, only updates
+	typeDigest                               // has the sender's zone hashes in its body
 )
 
 // header is the fixed part of a datagram.
 type header struct {
 	Type     messageType
 	Sequence uint32
-	// Target is the hash of the name of the member that a probe is meant for;
-	// another process at its address does not answer.
+	// Target is the hash of the probed member's name, so that another process at
+	// its address does not answer.
 	Target uint64
 }
 
-// datagram is a decoded message.
+// datagram is a decoded datagram.
 type datagram struct {
 	header
 	body    []byte
@@ -45,7 +45,7 @@
 func encodeDatagram(head header, body, updates []byte) []byte {
 	payload, err := wire.Marshal(messageVersion, head, body, updates)
 	if err != nil {
-		panic(err) // header is of fixed size
+		panic(err) // cannot happen: header has a fixed size
 	}
 	return payload
 }
@@ -57,18 +57,18 @@
 		return message, err
 	}
 	if message.Type < typeProbe || message.Type > typeDigest {
-		return message, fmt.Errorf("%w: datagram type %d", errRecord, message.Type)
+		return message, fmt.Errorf("%w: datagram type %d", errMalformed, message.Type)
 	}
 	message.body = fields[0]
 	message.updates, err = decodeMembers(fields[1])
 	return message, err
 }
 
-// errRecord says that a variable part is malformed.
-var errRecord = errors.New("swim: malformed record")
+// errMalformed is returned for messages that cannot be decoded.
+var errMalformed = errors.New("swim: malformed record")
 
-// record is the fixed part of an encoded member; its strings follow, each
-// preceded by its length in a byte.
+// record is the fixed part of an encoded member. Its strings follow, each
+// preceded by its length as one byte.
 type record struct {
 	Incarnation uint64
 	State       membership.State
@@ -93,10 +93,10 @@
 		var fixed record
 		size, err := binary.Decode(in, binary.BigEndian, &fixed)
 		if err != nil {
-			return nil, fmt.Errorf("%w: %w", errRecord, err)
+			return nil, fmt.Errorf("%w: %w", errMalformed, err)
 		}
 		if fixed.State > membership.StateDead || in[size-1] > 1 {
-			return nil, fmt.Errorf("%w: state %d", errRecord, fixed.State)
+			return nil, fmt.Errorf("%w: state %d", errMalformed, fixed.State)
 		}
 		in = in[size:]
 		var texts [recordStrings]string
@@ -114,7 +114,7 @@
 			return nil, err
 		}
 		if texts[0] == "" {
-			return nil, fmt.Errorf("%w: no name", errRecord)
+			return nil, fmt.Errorf("%w: empty member name", errMalformed)
 		}
 		members = append(members, membership.Member{
 			Name: texts[0], Address: transport.Address(address), Callers: callers,
@@ -140,13 +140,13 @@
 
 func cutString(in []byte) (string, []byte, error) {
 	if len(in) == 0 || len(in) < 1+int(in[0]) {
-		return "", nil, fmt.Errorf("%w: short string", errRecord)
+		return "", nil, fmt.Errorf("%w: truncated string", errMalformed)
 	}
 	end := 1 + int(in[0])
 	return string(in[1:end]), in[end:], nil
 }
 
-// encodeAddress packs "ip:port"; an empty or unparsable address packs to nothing.
+// encodeAddress encodes "ip:port" in binary. It returns "" for an invalid address.
 func encodeAddress(text string) string {
 	address, err := netip.ParseAddrPort(text)
 	if err != nil {
@@ -165,12 +165,12 @@
 	}
 	var address netip.AddrPort
 	if err := address.UnmarshalBinary([]byte(packed)); err != nil {
-		return "", fmt.Errorf("%w: address: %w", errRecord, err)
+		return "", fmt.Errorf("%w: address: %w", errMalformed, err)
 	}
 	return address.String(), nil
 }
 
-// zoneHash is one entry of a digest: a zone and the hash of its members.
+// zoneHash is a digest entry: the hashes of a zone's name and of its table.
 type zoneHash struct {
 	Zone  uint64
 	Table uint64
@@ -189,7 +189,7 @@
 
 func decodeHashes(in []byte) ([]zoneHash, error) {
 	if len(in)%zoneHashSize != 0 {
-		return nil, fmt.Errorf("%w: digest of %d bytes", errRecord, len(in))
+		return nil, fmt.Errorf("%w: digest of %d bytes", errMalformed, len(in))
 	}
 	hashes := make([]zoneHash, 0, len(in)/zoneHashSize)
 	for ; len(in) > 0; in = in[zoneHashSize:] {
@@ -201,9 +201,9 @@
 	return hashes, nil
 }
 
-// syncHeader is the fixed part of a sync call and of its answer. The fields
-// are the hashes of the zones in question (none means all), the sender's
-// record, and the sender's records of these zones.
+// syncHeader is the fixed part of a sync call and of its answer. The variable
+// fields are the zones to sync (none means all), the sender's record, and the
+// sender's records of these zones.
 type syncHeader struct {
 	Answer bool
 }
@@ -222,7 +222,7 @@
 	payload, err := wire.Marshal(messageVersion, syncHeader{Answer: answer},
 		encodeHashes(message.zones), appendMember(nil, &message.sender), members)
 	if err != nil {
-		panic(err) // syncHeader is of fixed size
+		panic(err) // cannot happen: syncHeader has a fixed size
 	}
 	return payload
 }
@@ -235,7 +235,7 @@
 		return message, err
 	}
 	if head.Answer != answer {
-		return message, fmt.Errorf("%w: call and answer mixed up", errRecord)
+		return message, fmt.Errorf("%w: unexpected sync call or answer", errMalformed)
 	}
 	if message.zones, err = decodeHashes(fields[0]); err != nil {
 		return message, err
@@ -245,7 +245,7 @@
 		return message, err
 	}
 	if len(sender) != 1 {
-		return message, fmt.Errorf("%w: %d senders", errRecord, len(sender))
+		return message, fmt.Errorf("%w: %d sender records, want 1", errMalformed, len(sender))
 	}
 	message.sender = sender[0]
 	message.members, err = decodeMembers(fields[2])
--- a/internal/membership/swim/message_test.go
+++ b/internal/membership/swim/message_test.go
@@ -24,7 +24,9 @@
 	return out
 }
 
-func TestMessagesKeepTheirContent(t *testing.T) {
+// Guards against messages that lose content in encoding, and against an answer
+// taken for a call.
+func TestMessagesRoundTrip(t *testing.T) {
 	g := gomega.NewWithT(t)
 	head := header{Type: typeProbeRequest, Sequence: 7, Target: 9}
 	message, err := decodeDatagram(encodeDatagram(head, []byte("body"), encodeMembers(sampleMembers)))
@@ -36,11 +38,11 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(decoded).To(gomega.Equal(sync))
 	_, err = decodeSync(encodeSync(false, sync), true)
-	g.Expect(err).To(gomega.MatchError(errRecord))
+	g.Expect(err).To(gomega.MatchError(errMalformed))
 }
 
-// FuzzDecoders: no message may crash a node, and what decodes encodes again
-// to a message of the same meaning.
+// Guards against decoders that panic, and against messages that change when decoded
+// and encoded again.
 func FuzzDecoders(f *testing.F) {
 	f.Add(encodeDatagram(header{Type: typeDigest}, encodeHashes([]zoneHash{{1, 2}}), encodeMembers(sampleMembers)))
 	f.Add(encodeSync(false, syncMessage{sender: sampleMembers[0], members: sampleMembers}))
--- a/internal/membership/swim/node.go
+++ b/internal/membership/swim/node.go
@@ -9,42 +9,42 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// Output is a message to send: a datagram, or a sync call whose answer goes
-// to HandleSyncAnswer.
+// Output is a message to send: a datagram, or a sync call whose answer must be
+// passed to HandleSyncAnswer.
 type Output struct {
 	To      transport.Address
 	Call    bool
 	Payload []byte
 }
 
-// Statistics counts what a node did.
+// Statistics holds the counters of a node.
 type Statistics struct {
-	Probes     uint64 // probes sent on the node's own behalf
-	Indirect   uint64 // probes repeated through others
-	Suspicions uint64 // members that this node suspected by its own probes
-	Refuted    uint64 // suspicions or deaths of itself that it refuted
+	Probes     uint64 // probes started by this node
+	Indirect   uint64 // probes retried through other members
+	Suspicions uint64 // failed probes of members not yet suspected
+	Refuted    uint64 // false records about itself that it refuted
 	Deaths     uint64 // members that this node declared dead
-	Pauses     uint64 // gaps in its own time that it noticed
-	Syncs      uint64 // exchanges of records that it asked for
+	Pauses     uint64 // pauses of this process that it detected
+	Syncs      uint64 // sync calls that it started
 }
 
-// Node is one member's state of the protocol.
+// Node is the protocol state of one member. It is not safe for concurrent use.
 type Node struct {
-	config Config
-	random *rand.Rand
-	self   membership.Member
-	table  *table
-	queue  broadcasts
-
-	lastTick   time.Time
-	health     int
-	superseded bool
-
-	sequence    uint32
-	outstanding map[uint32]*probe
-	relayed     map[uint32]relay
-	round       []string // members still to probe in this shuffled round
-	ringTurn    bool
+	config     Config
+	random     *rand.Rand
+	self       membership.Member
+	table      *table
+	broadcasts broadcasts
+
+	lastTick    time.Time
+	localHealth int
+	superseded  bool
+
+	sequence       uint32
+	outstanding    map[uint32]*probe
+	relayed        map[uint32]relay
+	shuffled       []string // members not yet probed in this shuffled round
+	probeSuccessor bool
 
 	nextProbe  time.Time
 	nextDigest time.Time
@@ -52,14 +52,14 @@
 	nextJoin   time.Time
 	nextPush   time.Time
 	nextSync   time.Time
-	contacts   []transport.Address // hints of other members' addresses
+	contacts   []transport.Address // addresses at which members may be found
 
 	version    uint64
 	statistics Statistics
 	outputs    []Output
 }
 
-// New returns a node that knows only itself.
+// New returns a node that knows no other members.
 func New(config Config, now time.Time) *Node {
 	config = config.withDefaults()
 	node := &Node{
@@ -67,7 +67,7 @@
 		random:      rand.New(rand.NewPCG(config.Seed, nameHash(config.Self.Name))),
 		self:        config.Self,
 		table:       newTable(),
-		queue:       broadcasts{updates: map[string]*update{}},
+		broadcasts:  broadcasts{updates: map[string]*update{}},
 		lastTick:    now,
 		outstanding: map[uint32]*probe{},
 		relayed:     map[uint32]relay{},
@@ -83,16 +83,17 @@
 // Self returns the node's own record.
 func (n *Node) Self() membership.Member { return n.self }
 
-// Version rises with every change of the members.
+// Version returns a number that increases with every change of the members.
 func (n *Node) Version() uint64 { return n.version }
 
-// Superseded says that a later process took over this node's name.
+// Superseded reports whether a process with a higher incarnation uses this node's
+// name at another address.
 func (n *Node) Superseded() bool { return n.superseded }
 
-// Statistics returns the counts so far.
+// Statistics returns the current counters.
 func (n *Node) Statistics() Statistics { return n.statistics }
 
-// Members returns all known members with the node itself, ordered by name.
+// Members returns all known members and the node itself, ordered by name.
 func (n *Node) Members() []membership.Member {
 	members := make([]membership.Member, 0, len(n.table.entries)+1)
 	members = append(members, n.self)
@@ -103,13 +104,13 @@
 	return members
 }
 
-// SetContacts gives addresses at which members may be found, such as the
-// platform's machine list has them. They are a hint: no member lives or dies by it.
+// SetContacts sets the addresses at which members may be found, such as those of
+// the platform's machine list. They do not affect the state of any member.
 func (n *Node) SetContacts(addresses []transport.Address) {
 	n.contacts = append(n.contacts[:0], addresses...)
 }
 
-// Leave announces the node's planned stop.
+// Leave announces the node's planned stop and returns the messages to send.
 func (n *Node) Leave(now time.Time) []Output {
 	if n.self.State != membership.StateLeaving {
 		n.self.State = membership.StateLeaving
@@ -123,20 +124,20 @@
 	return time.Duration(n.random.Int64N(int64(interval) + 1))
 }
 
-// emit queues a datagram with the changes that it can carry.
-func (n *Node) emit(to transport.Address, head header, body []byte) {
-	updates := n.queue.take(retransmits(n.config.RetransmitFactor, n.zoneSize()))
+// enqueue queues a datagram with as many piggybacked changes as fit.
+func (n *Node) enqueue(to transport.Address, head header, body []byte) {
+	updates := n.broadcasts.encodeNext(retransmits(n.config.RetransmitFactor, n.zoneSize()))
 	n.outputs = append(n.outputs, Output{To: to, Payload: encodeDatagram(head, body, updates)})
 }
 
-// flush tells fresh changes to a few members and returns all queued outputs.
-// Changes that come soon after others wait, so that many cost no more.
+// flush pushes new changes to a few members, at most once per pushInterval, and
+// returns all queued outputs.
 func (n *Node) flush(now time.Time) []Output {
-	if n.queue.fresh && !now.Before(n.nextPush) {
-		n.queue.fresh = false
+	if n.broadcasts.unpushed && !now.Before(n.nextPush) {
+		n.broadcasts.unpushed = false
 		n.nextPush = now.Add(pushInterval)
 		for _, peer := range n.sample(n.config.Fanout, "") {
-			n.emit(peer.Address, header{Type: typeGossip}, nil)
+			n.enqueue(peer.Address, header{Type: typeGossip}, nil)
 		}
 	}
 	outputs := n.outputs
@@ -146,7 +147,7 @@
 
 func (n *Node) zoneSize() int { return len(n.table.byZone[n.self.Zone]) }
 
-// sample picks up to count members of the node's zone that are not dead.
+// sample returns up to count random members of the node's zone that are not dead.
 func (n *Node) sample(count int, except string) []*membership.Member {
 	names := n.table.byZone[n.self.Zone]
 	picked := make([]*membership.Member, 0, count)
@@ -161,14 +162,14 @@
 	return picked
 }
 
-// apply takes a record in and reports whether it changed anything.
+// apply merges a record and reports whether it changed anything.
 func (n *Node) apply(now time.Time, member membership.Member) bool {
 	if member.Name == n.self.Name {
 		return n.applySelf(now, &member)
 	}
 	if member.Zone != n.self.Zone && member.State == membership.StateSuspect {
-		// A suspicion is its zone's own matter: no other zone could tell the
-		// suspected member of it, nor would it hear that it was refuted.
+		// Suspicions are not shared between zones: the suspect might not learn of
+		// this one, and this zone might not learn of its refutation.
 		member.State = membership.StateAlive
 	}
 	known, exists := n.table.entries[member.Name]
@@ -180,14 +181,15 @@
 	}
 	known = n.table.put(member, now)
 	if member.State == membership.StateSuspect {
-		known.suspectUntil = now.Add(n.scaled(n.config.SuspicionTimeout))
+		known.suspectUntil = now.Add(n.scaleTimeout(n.config.SuspicionTimeout))
 	}
-	n.changed(now, member)
+	n.announce(now, member)
 	return true
 }
 
-// applySelf refutes what others wrongly believe of this node. A later process
-// of the same name at another address is not fought over the name.
+// applySelf refutes false records about this node. It does not refute an alive
+// process of the same name at another address, so that the two do not override
+// each other forever.
 func (n *Node) applySelf(now time.Time, member *membership.Member) bool {
 	if member.Incarnation < n.self.Incarnation {
 		return false
@@ -205,18 +207,19 @@
 	return true
 }
 
-func (n *Node) announceSelf(now time.Time) { n.changed(now, n.self) }
+func (n *Node) announceSelf(now time.Time) { n.announce(now, n.self) }
 
-// changed makes a change known to the zone, and to others by their delegates.
-func (n *Node) changed(now time.Time, member membership.Member) {
+// announce gossips a change in the zone and schedules an early digest to other
+// zones if the change concerns this zone.
+func (n *Node) announce(now time.Time, member membership.Member) {
 	n.version++
-	n.queue.add(member)
-	if soon := now.Add(announceDelay); member.Zone == n.self.Zone && soon.Before(n.nextDigest) {
-		n.nextDigest = soon
+	n.broadcasts.add(member)
+	if due := now.Add(announceDelay); member.Zone == n.self.Zone && due.Before(n.nextDigest) {
+		n.nextDigest = due
 	}
 }
 
-// scaled lengthens a timeout while this node's own health is in doubt.
-func (n *Node) scaled(timeout time.Duration) time.Duration {
-	return timeout * time.Duration(1+n.health)
+// scaleTimeout lengthens a timeout while this node may itself be faulty.
+func (n *Node) scaleTimeout(timeout time.Duration) time.Duration {
+	return timeout * time.Duration(1+n.localHealth)
 }
--- a/internal/membership/swim/probe.go
+++ b/internal/membership/swim/probe.go
@@ -9,25 +9,25 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// probe is a question of this node that is not answered yet.
+// probe is an unanswered probe sent by this node.
 type probe struct {
-	target   string
-	asked    time.Time
-	indirect bool // others were asked
-	relays   int  // others that were asked
-	relaying int  // others that took the request
+	target         string
+	sent           time.Time
+	indirect       bool // was retried through relays
+	relaysAsked    int  // probe requests sent
+	relaysAccepted int  // probe requests confirmed by relays
 }
 
-// relay is a probe on behalf of another node.
+// relay is an unanswered probe sent on behalf of another node.
 type relay struct {
-	asker    transport.Address
-	sequence uint32 // the asker's
-	expires  time.Time
+	requester transport.Address
+	sequence  uint32 // of the requester's probe
+	expires   time.Time
 }
 
-// Tick does what is due and returns what to send.
+// Tick runs the timers that are due and returns the messages to send.
 func (n *Node) Tick(now time.Time) []Output {
-	n.noticePause(now)
+	n.detectPause(now)
 	n.checkProbes(now)
 	n.checkSuspicions(now)
 	if !now.Before(n.nextProbe) {
@@ -38,14 +38,14 @@
 	return n.flush(now)
 }
 
-// noticePause shifts deadlines by a gap in this node's own time: while it was
-// paused it heard nobody, which says nothing of the others.
-func (n *Node) noticePause(now time.Time) {
+// detectPause extends deadlines after a delayed tick and discards probes after a
+// pause, because a node that did not run could not receive answers.
+func (n *Node) detectPause(now time.Time) {
 	gap := now.Sub(n.lastTick)
 	n.lastTick = now
-	if late := gap - TickInterval; gap <= n.config.ProbeInterval {
-		if late > TickInterval {
-			n.shiftDeadlines(late)
+	if delay := gap - TickInterval; gap <= n.config.ProbeInterval {
+		if delay > TickInterval {
+			n.shiftDeadlines(delay)
 		}
 		return
 	}
@@ -54,19 +54,19 @@
 	clear(n.relayed)
 	for _, known := range n.table.entries {
 		if !known.suspectUntil.IsZero() {
-			known.suspectUntil = now.Add(n.scaled(n.config.SuspicionTimeout))
+			known.suspectUntil = now.Add(n.scaleTimeout(n.config.SuspicionTimeout))
 		}
 	}
 }
 
-// shiftDeadlines gives all that is awaited as much longer as this node ran late.
-func (n *Node) shiftDeadlines(late time.Duration) {
+// shiftDeadlines extends the deadlines of probes and suspicions.
+func (n *Node) shiftDeadlines(delay time.Duration) {
 	for _, pending := range n.outstanding {
-		pending.asked = pending.asked.Add(late)
+		pending.sent = pending.sent.Add(delay)
 	}
 	for _, known := range n.table.entries {
 		if !known.suspectUntil.IsZero() {
-			known.suspectUntil = known.suspectUntil.Add(late)
+			known.suspectUntil = known.suspectUntil.Add(delay)
 		}
 	}
 }
@@ -74,14 +74,14 @@
 func (n *Node) checkProbes(now time.Time) {
 	for _, sequence := range sortedKeys(n.outstanding) {
 		pending := n.outstanding[sequence]
-		age := now.Sub(pending.asked)
+		age := now.Sub(pending.sent)
 		switch {
-		case age >= n.scaled(n.config.FailTimeout):
+		case age >= n.scaleTimeout(n.config.FailTimeout):
 			delete(n.outstanding, sequence)
-			n.probeFailed(now, pending)
-		case age >= n.scaled(n.config.ProbeTimeout) && !pending.indirect:
+			n.handleProbeFailure(now, pending)
+		case age >= n.scaleTimeout(n.config.ProbeTimeout) && !pending.indirect:
 			pending.indirect = true
-			n.probeAgain(sequence, pending)
+			n.retryProbe(sequence, pending)
 		}
 	}
 	for sequence, request := range n.relayed {
@@ -91,7 +91,8 @@
 	}
 }
 
-// sortedKeys makes the order of outputs independent of the map's.
+// sortedKeys returns the sequence numbers in order, which keeps outputs
+// deterministic.
 func sortedKeys(probes map[uint32]*probe) []uint32 {
 	keys := make([]uint32, 0, len(probes))
 	for key := range probes {
@@ -101,27 +102,27 @@
 	return keys
 }
 
-// probeAgain repeats a probe directly and through other members.
-func (n *Node) probeAgain(sequence uint32, pending *probe) {
+// retryProbe repeats a probe directly and through other members.
+func (n *Node) retryProbe(sequence uint32, pending *probe) {
 	known, exists := n.table.entries[pending.target]
 	if !exists || n.config.IndirectProbes < 0 {
 		return
 	}
 	n.statistics.Indirect++
 	target := nameHash(pending.target)
-	n.emit(known.member.Address, header{Type: typeProbe, Sequence: sequence, Target: target}, nil)
+	n.enqueue(known.member.Address, header{Type: typeProbe, Sequence: sequence, Target: target}, nil)
 	body := []byte(encodeAddress(string(known.member.Address)))
-	for _, helper := range n.sample(n.config.IndirectProbes, pending.target) {
-		pending.relays++
-		n.emit(helper.Address, header{Type: typeProbeRequest, Sequence: sequence, Target: target}, body)
+	for _, peer := range n.sample(n.config.IndirectProbes, pending.target) {
+		pending.relaysAsked++
+		n.enqueue(peer.Address, header{Type: typeProbeRequest, Sequence: sequence, Target: target}, body)
 	}
 }
 
-// probeFailed suspects the target. Where none of the relays answered either,
-// the fault may be this node's own, and its timeouts grow.
-func (n *Node) probeFailed(now time.Time, pending *probe) {
-	if pending.relays > 0 && pending.relaying == 0 {
-		n.health = min(n.health+1, maxHealth)
+// handleProbeFailure suspects the target. If no relay answered either, this node
+// may be at fault, and its timeouts grow.
+func (n *Node) handleProbeFailure(now time.Time, pending *probe) {
+	if pending.relaysAsked > 0 && pending.relaysAccepted == 0 {
+		n.localHealth = min(n.localHealth+1, maxLocalHealth)
 	}
 	known, exists := n.table.entries[pending.target]
 	if !exists || known.member.State == membership.StateDead || !known.suspectUntil.IsZero() {
@@ -129,7 +130,7 @@
 	}
 	n.statistics.Suspicions++
 	if known.member.State == membership.StateLeaving {
-		known.suspectUntil = now.Add(n.scaled(n.config.SuspicionTimeout))
+		known.suspectUntil = now.Add(n.scaleTimeout(n.config.SuspicionTimeout))
 		return
 	}
 	suspect := known.member
@@ -150,24 +151,24 @@
 	}
 }
 
-// probeNext probes the ring successor and a member of the shuffled round in turn.
+// probeNext probes the ring successor and the next shuffled member alternately.
 func (n *Node) probeNext(now time.Time) {
-	n.ringTurn = !n.ringTurn
+	n.probeSuccessor = !n.probeSuccessor
 	target, found := n.successor()
-	if !n.ringTurn {
-		target, found = n.nextInRound()
+	if !n.probeSuccessor {
+		target, found = n.nextShuffled()
 	}
 	if !found {
 		return
 	}
 	n.statistics.Probes++
 	n.sequence++
-	n.outstanding[n.sequence] = &probe{target: target, asked: now}
+	n.outstanding[n.sequence] = &probe{target: target, sent: now}
 	member := &n.table.entries[target].member
-	n.emit(member.Address, header{Type: typeProbe, Sequence: n.sequence, Target: nameHash(target)}, nil)
+	n.enqueue(member.Address, header{Type: typeProbe, Sequence: n.sequence, Target: nameHash(target)}, nil)
 }
 
-// successor is the next member of the zone by name.
+// successor returns the next member of the zone by name.
 func (n *Node) successor() (string, bool) {
 	names := n.table.byZone[n.self.Zone]
 	if len(names) == 0 {
@@ -177,25 +178,25 @@
 	return names[index%len(names)], true
 }
 
-func (n *Node) nextInRound() (string, bool) {
+func (n *Node) nextShuffled() (string, bool) {
 	for {
-		if len(n.round) == 0 {
-			n.round = append(n.round, n.table.byZone[n.self.Zone]...)
-			n.random.Shuffle(len(n.round), func(i, j int) { n.round[i], n.round[j] = n.round[j], n.round[i] })
-			if len(n.round) == 0 {
+		if len(n.shuffled) == 0 {
+			n.shuffled = append(n.shuffled, n.table.byZone[n.self.Zone]...)
+			n.random.Shuffle(len(n.shuffled), func(i, j int) { n.shuffled[i], n.shuffled[j] = n.shuffled[j], n.shuffled[i] })
+			if len(n.shuffled) == 0 {
 				return "", false
 			}
 		}
-		name := n.round[len(n.round)-1]
-		n.round = n.round[:len(n.round)-1]
+		name := n.shuffled[len(n.shuffled)-1]
+		n.shuffled = n.shuffled[:len(n.shuffled)-1]
 		if known, exists := n.table.entries[name]; exists && known.member.State != membership.StateDead {
 			return name, true
 		}
 	}
 }
 
-// HandleDatagram takes a datagram of a peer and returns what to send. A
-// malformed one is an error and changes nothing.
+// HandleDatagram processes a datagram and returns the messages to send. It returns
+// an error and changes nothing if the datagram is malformed.
 func (n *Node) HandleDatagram(now time.Time, from transport.Address, payload []byte) ([]Output, error) {
 	message, err := decodeDatagram(payload)
 	if err != nil {
@@ -206,48 +207,48 @@
 	}
 	switch message.Type {
 	case typeProbe:
-		n.answerProbe(from, message)
+		n.handleProbe(from, message)
 	case typeProbeRequest:
-		n.relayProbe(now, from, message)
+		n.handleProbeRequest(now, from, message)
 	case typeAck:
-		n.takeAck(message)
-	case typeRelaying:
+		n.handleAck(message)
+	case typeRelayAccepted:
 		if pending, exists := n.outstanding[message.Sequence]; exists {
-			pending.relaying++
+			pending.relaysAccepted++
 		}
 	case typeDigest:
-		n.compareDigest(now, from, message.body)
+		n.handleDigest(now, from, message.body)
 	}
 	return n.flush(now), nil
 }
 
-func (n *Node) answerProbe(from transport.Address, message datagram) {
+func (n *Node) handleProbe(from transport.Address, message datagram) {
 	if message.Target == nameHash(n.self.Name) {
-		n.emit(from, header{Type: typeAck, Sequence: message.Sequence, Target: message.Target}, nil)
+		n.enqueue(from, header{Type: typeAck, Sequence: message.Sequence, Target: message.Target}, nil)
 	}
 }
 
-func (n *Node) relayProbe(now time.Time, from transport.Address, message datagram) {
+func (n *Node) handleProbeRequest(now time.Time, from transport.Address, message datagram) {
 	var target netip.AddrPort
 	if err := target.UnmarshalBinary(message.body); err != nil {
 		return
 	}
 	n.sequence++
-	n.relayed[n.sequence] = relay{asker: from, sequence: message.Sequence, expires: now.Add(n.config.FailTimeout)}
-	n.emit(from, header{Type: typeRelaying, Sequence: message.Sequence}, nil)
-	n.emit(transport.Address(target.String()),
+	n.relayed[n.sequence] = relay{requester: from, sequence: message.Sequence, expires: now.Add(n.config.FailTimeout)}
+	n.enqueue(from, header{Type: typeRelayAccepted, Sequence: message.Sequence}, nil)
+	n.enqueue(transport.Address(target.String()),
 		header{Type: typeProbe, Sequence: n.sequence, Target: message.Target}, nil)
 }
 
-func (n *Node) takeAck(message datagram) {
+func (n *Node) handleAck(message datagram) {
 	if request, exists := n.relayed[message.Sequence]; exists {
 		delete(n.relayed, message.Sequence)
-		n.emit(request.asker, header{Type: typeAck, Sequence: request.sequence, Target: message.Target}, nil)
+		n.enqueue(request.requester, header{Type: typeAck, Sequence: request.sequence, Target: message.Target}, nil)
 		return
 	}
 	pending, exists := n.outstanding[message.Sequence]
 	if exists && nameHash(pending.target) == message.Target {
 		delete(n.outstanding, message.Sequence)
-		n.health = max(n.health-1, 0)
+		n.localHealth = max(n.localHealth-1, 0)
 	}
 }
--- a/internal/membership/swim/repair.go
+++ b/internal/membership/swim/repair.go
@@ -12,7 +12,7 @@
 func (n *Node) exchangeDigests(now time.Time) {
 	if !now.Before(n.nextDigest) {
 		n.nextDigest = now.Add(n.config.DigestInterval)
-		n.digestToZones()
+		n.sendZoneDigests()
 	}
 	if !now.Before(n.nextRepair) {
 		n.nextRepair = now.Add(n.config.RepairInterval/2 + n.jitter(n.config.RepairInterval))
@@ -24,10 +24,9 @@
 	}
 }
 
-// digestToZones makes a delegate of this zone tell a random member of each
-// other zone the hashes; one that differs asks for the records. The member is
-// random because the delegates known of a zone may all be dead.
-func (n *Node) digestToZones() {
+// sendZoneDigests sends a digest to a random member of each other zone if this node
+// is a delegate. It does not choose the zone's delegates, which may all be dead.
+func (n *Node) sendZoneDigests() {
 	if !n.isDelegate() {
 		return
 	}
@@ -38,9 +37,9 @@
 	}
 }
 
-// isDelegate says whether this node speaks for its zone.
+// isDelegate reports whether this node is a delegate of its zone.
 func (n *Node) isDelegate() bool {
-	for _, delegate := range n.delegatesOf(n.self.Zone) {
+	for _, delegate := range n.zoneDelegates(n.self.Zone) {
 		if delegate.Name == n.self.Name {
 			return true
 		}
@@ -48,11 +47,11 @@
 	return false
 }
 
-// delegatesOf elects a zone's delegates among its live members; where all that
-// is left is leaving, those speak to the end.
-func (n *Node) delegatesOf(zone string) []membership.Member {
+// zoneDelegates elects a zone's delegates among its live members, or among its
+// leaving members if none is live.
+func (n *Node) zoneDelegates(zone string) []membership.Member {
 	var live, leaving []membership.Member
-	for _, member := range n.inZone(zone) {
+	for _, member := range n.zoneMembers(zone) {
 		switch {
 		case member.Live():
 			live = append(live, member)
@@ -66,8 +65,8 @@
 	return membership.Elect(DelegateRole(zone), live, Delegates)
 }
 
-// inZone lists a zone's members that are not dead, with the node itself.
-func (n *Node) inZone(zone string) []membership.Member {
+// zoneMembers returns a zone's members that are not dead, including the node itself.
+func (n *Node) zoneMembers(zone string) []membership.Member {
 	members := make([]membership.Member, 0, len(n.table.byZone[zone])+1)
 	for _, name := range n.table.byZone[zone] {
 		members = append(members, n.table.entries[name].member)
@@ -78,7 +77,7 @@
 	return members
 }
 
-// DelegateRole names the role for which a zone's delegates are elected.
+// DelegateRole returns the role name used to elect a zone's delegates.
 func DelegateRole(zone string) string { return "delegate/" + zone }
 
 func (n *Node) otherZones() []string {
@@ -92,25 +91,26 @@
 	return zones
 }
 
-// repair compares with one random member of the zone, and with one member
-// believed dead or one hint: a cut half of the fleet is found again so.
+// repair sends digests to a random member of the zone and to a dead member or
+// unknown contact, which merges the sides of a healed partition. It also removes
+// members that have been dead for longer than ReapAfter.
 func (n *Node) repair(now time.Time) {
 	for _, peer := range n.sample(1, "") {
 		n.sendDigest(peer.Address)
 	}
-	var lost []transport.Address
+	var targets []transport.Address
 	for _, name := range n.deadNames() {
 		known := n.table.entries[name]
-		if now.Sub(known.changed) > n.config.ReapAfter {
-			n.table.forget(name)
+		if now.Sub(known.changedAt) > n.config.ReapAfter {
+			n.table.remove(name)
 			n.version++
 			continue
 		}
-		lost = append(lost, known.member.Address)
+		targets = append(targets, known.member.Address)
 	}
-	lost = append(lost, n.unknownContacts()...)
-	if len(lost) > 0 {
-		n.sendDigest(lost[n.random.IntN(len(lost))])
+	targets = append(targets, n.unknownContacts()...)
+	if len(targets) > 0 {
+		n.sendDigest(targets[n.random.IntN(len(targets))])
 	}
 }
 
@@ -125,7 +125,7 @@
 	return names
 }
 
-// unknownContacts lists seeds and hints that no known member answers to.
+// unknownContacts returns the seeds and contacts that are no known member's address.
 func (n *Node) unknownContacts() []transport.Address {
 	known := map[transport.Address]bool{n.self.Address: true}
 	for _, other := range n.table.entries {
@@ -142,7 +142,7 @@
 	return unknown
 }
 
-// join asks one seed or hint for all records while no member is known alive.
+// join asks a random unknown contact for all records if every known member is dead.
 func (n *Node) join() {
 	for _, names := range n.table.byZone {
 		if len(names) > 0 {
@@ -156,10 +156,10 @@
 }
 
 func (n *Node) sendDigest(to transport.Address) {
-	n.emit(to, header{Type: typeDigest}, encodeHashes(n.zoneHashes()))
+	n.enqueue(to, header{Type: typeDigest}, encodeHashes(n.zoneHashes()))
 }
 
-// zoneHashes lists the hashes of all zones with members, in order.
+// zoneHashes returns the hashes of this zone and of all other zones with members.
 func (n *Node) zoneHashes() []zoneHash {
 	hashes := []zoneHash{{Zone: nameHash(n.self.Zone), Table: n.tableHash(n.self.Zone)}}
 	for _, zone := range n.otherZones() {
@@ -176,24 +176,24 @@
 	return hash
 }
 
-// compareDigest calls the sender for the zones in which the two differ.
-func (n *Node) compareDigest(now time.Time, from transport.Address, body []byte) {
-	theirs, err := decodeHashes(body)
-	if err != nil || len(theirs) == 0 {
+// handleDigest starts a sync with the sender for the zones whose hashes differ.
+func (n *Node) handleDigest(now time.Time, from transport.Address, body []byte) {
+	remote, err := decodeHashes(body)
+	if err != nil || len(remote) == 0 {
 		return
 	}
-	own := map[uint64]uint64{}
+	local := map[uint64]uint64{}
 	for _, hash := range n.zoneHashes() {
-		own[hash.Zone] = hash.Table
+		local[hash.Zone] = hash.Table
 	}
 	var different []zoneHash
-	for _, hash := range theirs {
-		if own[hash.Zone] != hash.Table {
+	for _, hash := range remote {
+		if local[hash.Zone] != hash.Table {
 			different = append(different, hash)
 		}
-		delete(own, hash.Zone)
+		delete(local, hash.Zone)
 	}
-	for zone, table := range own {
+	for zone, table := range local {
 		different = append(different, zoneHash{Zone: zone, Table: table})
 	}
 	if len(different) > 0 && !now.Before(n.nextSync) {
@@ -202,16 +202,17 @@
 	}
 }
 
-// callSync sends this node's records of some zones, or of all, and asks for
-// the peer's.
+// callSync sends this node's records of the given zones, or of all zones if none
+// are given, and requests the peer's.
 func (n *Node) callSync(to transport.Address, zones []zoneHash) {
 	n.statistics.Syncs++
-	message := syncMessage{zones: zones, sender: n.self, members: n.recordsOf(zones)}
+	message := syncMessage{zones: zones, sender: n.self, members: n.zoneRecords(zones)}
 	n.outputs = append(n.outputs, Output{To: to, Call: true, Payload: encodeSync(false, message)})
 }
 
-// recordsOf lists the records of some zones, or of all, the node's own apart.
-func (n *Node) recordsOf(zones []zoneHash) []membership.Member {
+// zoneRecords returns the records of the given zones, or of all zones if none are
+// given, without the node's own.
+func (n *Node) zoneRecords(zones []zoneHash) []membership.Member {
 	wanted := map[uint64]bool{}
 	for _, zone := range zones {
 		wanted[zone.Zone] = true
@@ -226,7 +227,8 @@
 	return members
 }
 
-// HandleSync answers a peer's sync call.
+// HandleSync processes a peer's sync call and returns its answer and the messages
+// to send.
 func (n *Node) HandleSync(now time.Time, payload []byte) (answer []byte, outputs []Output, err error) {
 	message, err := decodeSync(payload, false)
 	if err != nil {
@@ -234,12 +236,13 @@
 	}
 	n.merge(now, message)
 	answer = encodeSync(true, syncMessage{
-		zones: message.zones, sender: n.self, members: n.recordsOf(message.zones),
+		zones: message.zones, sender: n.self, members: n.zoneRecords(message.zones),
 	})
 	return answer, n.flush(now), nil
 }
 
-// HandleSyncAnswer takes the answer of a sync call.
+// HandleSyncAnswer processes the answer of a sync call and returns the messages to
+// send.
 func (n *Node) HandleSyncAnswer(now time.Time, payload []byte) ([]Output, error) {
 	message, err := decodeSync(payload, true)
 	if err != nil {
@@ -249,8 +252,8 @@
 	return n.flush(now), nil
 }
 
-// merge takes in a peer's records. What a member says of its own zone is
-// whole: whom it leaves out was forgotten there.
+// merge applies a peer's records. Members of the peer's own zone that it does not
+// list were removed there and become dead here.
 func (n *Node) merge(now time.Time, message syncMessage) {
 	n.apply(now, message.sender)
 	listed := map[string]bool{message.sender.Name: true}
@@ -263,7 +266,7 @@
 	}
 	for _, name := range append([]string(nil), n.table.byZone[message.sender.Zone]...) {
 		known := n.table.entries[name]
-		if !listed[name] && now.Sub(known.changed) > omissionAge {
+		if !listed[name] && now.Sub(known.changedAt) > omissionAge {
 			dead := known.member
 			dead.State = membership.StateDead
 			n.apply(now, dead)
--- a/internal/membership/swim/simulation_test.go
+++ b/internal/membership/swim/simulation_test.go
@@ -11,36 +11,36 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// simulation runs many nodes in virtual time over a network that loses,
-// delays and cuts. Calls are not lost, as TCP repeats, but cut links stop them.
+// simulation runs many nodes in virtual time over a network with loss, delays and
+// partitions. Loss does not affect sync calls, as TCP retransmits; partitions do.
 type simulation struct {
-	clock  *virtualtime.Clock
-	start  time.Time
-	random *rand.Rand
-	hosts  map[string]*host
-	byAddr map[transport.Address]*host
-	loss   float64
-	cut    func(a, b *host) bool
-	adjust func(*Config)
-	// forgetful: a paused host loses what is sent to it, as with a full
-	// socket buffer; otherwise it gets all when it goes on.
-	forgetful bool
-	bytes     map[string]uint64 // sent, by host
-	sent      uint64
+	clock       *virtualtime.Clock
+	start       time.Time
+	random      *rand.Rand
+	hosts       map[string]*host
+	byAddr      map[transport.Address]*host
+	loss        float64
+	partitioned func(a, b *host) bool
+	adjust      func(*Config)
+	// dropWhilePaused drops messages to a paused host, as a full socket buffer
+	// does. Otherwise they are delivered when the pause ends.
+	dropWhilePaused bool
+	bytes           map[string]uint64 // bytes sent by each host
+	sent            uint64
 }
 
-// host is a machine with at most one process.
+// host runs at most one node at a time; generation counts the nodes started.
 type host struct {
 	name, zone, region string
 	address            transport.Address
 	node               *Node
 	up                 bool
-	life               int
+	generation         int
 	pausedUntil        time.Time
 	leaving            bool
 }
 
-// newSimulation starts zones×perZone nodes; each region holds two zones.
+// newSimulation starts perZone nodes in each zone. Each region has two zones.
 func newSimulation(seed uint64, zones, perZone int, adjust func(*Config)) *simulation {
 	s := &simulation{
 		clock:  virtualtime.New(time.Unix(1_000_000, 0)),
@@ -61,7 +61,7 @@
 			}
 			s.hosts[h.name] = h
 			s.byAddr[h.address] = h
-			s.boot(h)
+			s.startHost(h)
 		}
 	}
 	return s
@@ -76,9 +76,9 @@
 	return names
 }
 
-func (s *simulation) boot(h *host) {
+func (s *simulation) startHost(h *host) {
 	h.up, h.leaving, h.pausedUntil = true, false, time.Time{}
-	h.life++
+	h.generation++
 	config := Config{
 		Self: membership.Member{
 			Name: h.name, Address: h.address, Zone: h.zone, Region: h.region,
@@ -92,11 +92,11 @@
 	}
 	h.node = New(config, s.clock.Now())
 	h.node.SetContacts(s.machineList())
-	s.tickLater(h, h.life, s.between(0, TickInterval))
+	s.scheduleTick(h, h.generation, s.randomDuration(0, TickInterval))
 }
 
-// machineList is the platform's, which names stopped machines too. Without it
-// a node whose seeds are all stopped could find nobody.
+// machineList returns the platform's machine list, which includes stopped hosts. It
+// lets a node join whose seeds are all stopped.
 func (s *simulation) machineList() []transport.Address {
 	var addresses []transport.Address
 	for _, name := range s.names() {
@@ -105,44 +105,45 @@
 	return addresses
 }
 
-func (s *simulation) between(low, high time.Duration) time.Duration {
+func (s *simulation) randomDuration(low, high time.Duration) time.Duration {
 	return low + time.Duration(s.random.Int64N(int64(high-low)+1))
 }
 
-func (s *simulation) tickLater(h *host, life int, delay time.Duration) {
+func (s *simulation) scheduleTick(h *host, generation int, delay time.Duration) {
 	s.clock.After(delay, func() {
-		if !h.up || h.life != life {
+		if !h.up || h.generation != generation {
 			return
 		}
 		if s.clock.Now().Before(h.pausedUntil) {
-			s.tickLater(h, life, h.pausedUntil.Sub(s.clock.Now())+time.Millisecond)
+			s.scheduleTick(h, generation, h.pausedUntil.Sub(s.clock.Now())+time.Millisecond)
 			return
 		}
 		s.send(h, h.node.Tick(s.clock.Now()))
-		s.tickLater(h, life, TickInterval)
+		s.scheduleTick(h, generation, TickInterval)
 	})
 }
 
-func (s *simulation) linked(a, b *host) bool { return s.cut == nil || !s.cut(a, b) }
+func (s *simulation) connected(a, b *host) bool { return s.partitioned == nil || !s.partitioned(a, b) }
 
 func (s *simulation) delay(a, b *host) time.Duration {
 	if a.zone == b.zone {
-		return s.between(500*time.Microsecond, 3*time.Millisecond)
+		return s.randomDuration(500*time.Microsecond, 3*time.Millisecond)
 	}
-	return s.between(time.Millisecond, 40*time.Millisecond)
+	return s.randomDuration(time.Millisecond, 40*time.Millisecond)
 }
 
-// deliver runs at a host that is up, as soon as it is not paused.
-func (s *simulation) deliver(h *host, life int, delay time.Duration, run func()) {
+// deliver calls run after the delay, and after a pause unless dropWhilePaused is
+// set. It does nothing if the host was stopped or restarted.
+func (s *simulation) deliver(h *host, generation int, delay time.Duration, run func()) {
 	s.clock.After(delay, func() {
-		if !h.up || h.life != life {
+		if !h.up || h.generation != generation {
 			return
 		}
 		if s.clock.Now().Before(h.pausedUntil) {
-			if s.forgetful {
+			if s.dropWhilePaused {
 				return
 			}
-			s.deliver(h, life, h.pausedUntil.Sub(s.clock.Now()), run)
+			s.deliver(h, generation, h.pausedUntil.Sub(s.clock.Now()), run)
 			return
 		}
 		run()
@@ -154,7 +155,7 @@
 		s.bytes[from.name] += uint64(len(output.Payload))
 		s.sent++
 		to, exists := s.byAddr[output.To]
-		if !exists || !s.linked(from, to) {
+		if !exists || !s.connected(from, to) {
 			continue
 		}
 		if output.Call {
@@ -164,7 +165,7 @@
 		if s.random.Float64() < s.loss {
 			continue
 		}
-		s.deliver(to, to.life, s.delay(from, to), func() {
+		s.deliver(to, to.generation, s.delay(from, to), func() {
 			outputs, err := to.node.HandleDatagram(s.clock.Now(), from.address, output.Payload)
 			if err != nil {
 				panic(err)
@@ -175,17 +176,17 @@
 }
 
 func (s *simulation) call(from, to *host, payload []byte) {
-	life := from.life
-	s.deliver(to, to.life, s.delay(from, to), func() {
+	generation := from.generation
+	s.deliver(to, to.generation, s.delay(from, to), func() {
 		answer, outputs, err := to.node.HandleSync(s.clock.Now(), payload)
 		if err != nil {
 			panic(err)
 		}
 		s.send(to, outputs)
-		if !s.linked(to, from) {
+		if !s.connected(to, from) {
 			return
 		}
-		s.deliver(from, life, s.delay(to, from), func() {
+		s.deliver(from, generation, s.delay(to, from), func() {
 			outputs, err := from.node.HandleSyncAnswer(s.clock.Now(), answer)
 			if err != nil {
 				panic(err)
@@ -195,21 +196,22 @@
 	})
 }
 
-// run lets virtual time pass.
+// run advances virtual time.
 func (s *simulation) run(duration time.Duration) { s.clock.Run(duration) }
 
-// believes returns what one host thinks of another.
-func (s *simulation) believes(observer, subject *host) (membership.State, bool) {
+// observedState returns the state of subject in the observer's table and whether it
+// is known.
+func (s *simulation) observedState(observer, subject *host) (membership.State, bool) {
 	if known, exists := observer.node.table.entries[subject.name]; exists {
 		return known.member.State, true
 	}
 	return membership.StateDead, false
 }
 
-// disagreement compares all views with the truth and tells the first fault:
-// every live node must be alive, every stopped one dead or forgotten. Of a
-// zone without a live node nobody can tell.
-func (s *simulation) disagreement() error {
+// checkViews returns an error for the first view that differs from the actual state:
+// running nodes must be alive or leaving, stopped ones dead or unknown. Zones without
+// a running node are not checked.
+func (s *simulation) checkViews() error {
 	liveZones := map[string]bool{}
 	for _, h := range s.hosts {
 		liveZones[h.zone] = liveZones[h.zone] || h.up
@@ -224,7 +226,7 @@
 			if subject == observer || !liveZones[subject.zone] {
 				continue
 			}
-			state, _ := s.believes(observer, subject)
+			state, _ := s.observedState(observer, subject)
 			wanted := membership.StateDead
 			if subject.up {
 				wanted = membership.StateAlive
@@ -233,7 +235,7 @@
 				}
 			}
 			if state != wanted {
-				return fmt.Errorf("after %v %s believes %s %v, and it is %v",
+				return fmt.Errorf("after %v: %s has %s as %v, want %v",
 					s.clock.Now().Sub(s.start), observerName, subjectName, state, wanted)
 			}
 		}
@@ -241,7 +243,7 @@
 	return nil
 }
 
-func (s *simulation) total(pick func(Statistics) uint64) uint64 {
+func (s *simulation) sumStatistics(pick func(Statistics) uint64) uint64 {
 	var sum uint64
 	for _, h := range s.hosts {
 		sum += pick(h.node.Statistics())
--- a/internal/membership/swim/table.go
+++ b/internal/membership/swim/table.go
@@ -9,23 +9,22 @@
 	"chutelock.dev/chutelock/internal/membership"
 )
 
-// entry is what a node knows of another member.
+// entry holds the record of another member.
 type entry struct {
 	member membership.Member
-	// changed is when the member's record last changed here.
-	changed time.Time
-	// suspectUntil is when a suspicion becomes a death; zero without one.
+	// changedAt is the local time of the record's last change.
+	changedAt time.Time
+	// suspectUntil is when the member is declared dead; zero if not suspected.
 	suspectUntil time.Time
 }
 
-// table holds all known members but the node itself.
+// table holds all known members except the local node.
 type table struct {
 	entries map[string]*entry
-	// hashes holds for each zone the XOR of its members' hashes. Suspicion
-	// and death leave a record's hash unchanged or remove it, so that a
-	// passing suspicion makes no zone exchange its records.
+	// hashes holds the XOR of the record hashes of each zone. A suspicion does
+	// not change a record's hash, so that it triggers no sync between zones.
 	hashes map[string]uint64
-	// byZone lists the names of each zone's members that are not dead, in order.
+	// byZone holds the sorted names of each zone's members that are not dead.
 	byZone map[string][]string
 }
 
@@ -33,7 +32,7 @@
 	return &table{entries: map[string]*entry{}, hashes: map[string]uint64{}, byZone: map[string][]string{}}
 }
 
-// overrides says whether a record replaces an older one of the same member.
+// overrides reports whether a record replaces another of the same member.
 func overrides(newer, older *membership.Member) bool {
 	if newer.Incarnation != older.Incarnation {
 		return newer.Incarnation > older.Incarnation
@@ -41,7 +40,7 @@
 	return newer.State > older.State
 }
 
-// put stores a record and keeps the hashes and the lists of zones true.
+// put stores a record and updates the hashes and member lists of its zones.
 func (t *table) put(member membership.Member, now time.Time) *entry {
 	known, exists := t.entries[member.Name]
 	if !exists {
@@ -50,23 +49,23 @@
 	}
 	t.hashes[known.member.Zone] ^= recordHash(&known.member)
 	if known.member.State != membership.StateDead {
-		t.unlist(known.member.Zone, member.Name)
+		t.removeFromZone(known.member.Zone, member.Name)
 	}
 	known.member = member
-	known.changed = now
+	known.changedAt = now
 	known.suspectUntil = time.Time{}
 	t.hashes[member.Zone] ^= recordHash(&member)
 	if member.State != membership.StateDead {
-		t.list(member.Zone, member.Name)
+		t.addToZone(member.Zone, member.Name)
 	}
 	return known
 }
 
-func (t *table) forget(name string) {
+func (t *table) remove(name string) {
 	delete(t.entries, name)
 }
 
-func (t *table) list(zone, name string) {
+func (t *table) addToZone(zone, name string) {
 	names := t.byZone[zone]
 	index := sort.SearchStrings(names, name)
 	names = append(names, "")
@@ -75,7 +74,7 @@
 	t.byZone[zone] = names
 }
 
-func (t *table) unlist(zone, name string) {
+func (t *table) removeFromZone(zone, name string) {
 	names := t.byZone[zone]
 	index := sort.SearchStrings(names, name)
 	if index < len(names) && names[index] == name {
@@ -83,7 +82,8 @@
 	}
 }
 
-// recordHash hashes what zones must agree on; dead members count nothing.
+// recordHash hashes the part of a record on which zones must agree. It is 0 for a
+// dead member.
 func recordHash(member *membership.Member) uint64 {
 	if member.State == membership.StateDead {
 		return 0
