--- a/internal/membership/agent/agent.go
+++ b/internal/membership/agent/agent.go
@@ -1,5 +1,5 @@
 // Package agent runs the membership protocol of package swim over the
-// transport and publishes its view.
+// transport and publishes the resulting view.
 package agent
 
 import (
@@ -16,7 +16,7 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// Message kinds of membership.
+// Transport message kinds of the membership protocol.
 const (
 	KindDatagram = transport.KindMembership + 1
 	KindSync     = transport.KindMembership + 2
@@ -28,23 +28,23 @@
 	syncQueue   = 16
 )
 
-// Config sets an agent up. Config.Protocol.Self.Incarnation may be zero: the
-// agent then takes the start time.
+// Config configures an Agent. A zero Protocol.Self.Incarnation is replaced by
+// the start time in Unix milliseconds.
 type Config struct {
 	Protocol swim.Config
 	Sender   transport.Sender
 	Receiver transport.Receiver
 }
 
-// Agent keeps a node's membership. It implements membership.Source; all
-// methods may be called concurrently.
+// Agent maintains a node's view of the membership. It implements
+// membership.Source; its methods are safe for concurrent use.
 type Agent struct {
-	sender transport.Sender
-	calls  pond.Pool
-	view   atomic.Pointer[membership.View]
+	sender   transport.Sender
+	callPool pond.Pool
+	view     atomic.Pointer[membership.View]
 
-	// mutex guards node and what follows; nothing is sent and no other lock
-	// is taken while it is held.
+	// mutex guards the fields below. No message is sent and no other lock is
+	// taken while it is held.
 	mutex      sync.Mutex
 	node       *swim.Node
 	version    uint64
@@ -54,7 +54,8 @@
 
 var _ membership.Source = (*Agent)(nil)
 
-// New returns an agent and registers its handlers; Run starts it.
+// New returns an agent and registers its message handlers; Run starts the
+// protocol.
 func New(config Config) *Agent {
 	now := time.Now()
 	if config.Protocol.Self.Incarnation == 0 {
@@ -64,9 +65,9 @@
 		config.Protocol.Seed = uint64(now.UnixNano())
 	}
 	agent := &Agent{
-		sender: config.Sender,
-		calls:  pond.NewPool(syncWorkers, pond.WithQueueSize(syncQueue), pond.WithNonBlocking(true)),
-		node:   swim.New(config.Protocol, now),
+		sender:   config.Sender,
+		callPool: pond.NewPool(syncWorkers, pond.WithQueueSize(syncQueue), pond.WithNonBlocking(true)),
+		node:     swim.New(config.Protocol, now),
 	}
 	agent.view.Store(&membership.View{})
 	agent.publish()
@@ -75,11 +76,11 @@
 	return agent
 }
 
-// Run drives the protocol until ctx ends.
+// Run ticks the protocol until ctx is done.
 func (a *Agent) Run(ctx context.Context) {
 	ticker := time.NewTicker(swim.TickInterval)
 	defer ticker.Stop()
-	defer a.calls.StopAndWait()
+	defer a.callPool.StopAndWait()
 	for {
 		select {
 		case <-ctx.Done():
@@ -94,7 +95,7 @@
 	}
 }
 
-// View returns the newest view.
+// View returns the latest published view.
 func (a *Agent) View() *membership.View { return a.view.Load() }
 
 // Self returns this node's own record.
@@ -104,36 +105,37 @@
 	return a.node.Self()
 }
 
-// Statistics returns the protocol's counts.
+// Statistics returns the protocol's counters.
 func (a *Agent) Statistics() swim.Statistics {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.node.Statistics()
 }
 
-// Leave announces this node's planned stop to the others; it goes on to answer.
+// Leave announces this node's planned stop. The node continues to answer.
 func (a *Agent) Leave() {
 	a.send(context.Background(), a.step(func(now time.Time) []swim.Output { return a.node.Leave(now) }))
 }
 
-// SetContacts passes addresses of nodes from the platform's machine list.
+// SetContacts sets the addresses from the platform's machine list at which other
+// nodes may be found.
 func (a *Agent) SetContacts(addresses []transport.Address) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.node.SetContacts(addresses)
 }
 
-// step runs the protocol once.
+// step calls run under the mutex and logs the resulting events of this node.
 func (a *Agent) step(run func(now time.Time) []swim.Output) []swim.Output {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	outputs := run(time.Now())
-	a.tellOwn()
+	a.logSelfEvents()
 	return outputs
 }
 
-// publish stores a new view after changes, with every tick, so that many
-// changes that come together cost one view. The mutex is held, but by New.
+// publish stores a new view if members changed. It is called once a tick, so that
+// a burst of changes creates one view. Callers other than New hold the mutex.
 func (a *Agent) publish() {
 	if a.node.Version() == a.version {
 		return
@@ -142,11 +144,11 @@
 	previous := a.view.Load()
 	next := &membership.View{Members: a.node.Members()}
 	a.view.Store(next)
-	tellChanges(previous, next, a.node.Self().Name)
+	logMemberEvents(previous, next, a.node.Self().Name)
 }
 
-// tellOwn emits the events about this node itself.
-func (a *Agent) tellOwn() {
+// logSelfEvents logs the events about this node itself.
+func (a *Agent) logSelfEvents() {
 	statistics := a.node.Statistics()
 	if statistics.Refuted > a.statistics.Refuted {
 		eventRefuted.Info("incarnation", a.node.Self().Incarnation)
@@ -155,40 +157,40 @@
 		eventPaused.Info("pauses", statistics.Pauses)
 	}
 	if a.node.Superseded() && !a.superseded {
-		eventSuperseded.Error(trace.BadParameter("two processes of one name"), "name", a.node.Self().Name)
+		eventSuperseded.Error(trace.BadParameter("another process uses this node's name"), "name", a.node.Self().Name)
 	}
 	a.statistics, a.superseded = statistics, a.node.Superseded()
 }
 
-// tellChanges emits the events that lead from one view to the next.
-func tellChanges(previous, next *membership.View, self string) {
+// logMemberEvents logs the differences between two views, except for self.
+func logMemberEvents(previous, next *membership.View, self string) {
 	for _, member := range next.Members {
-		before, known := previous.Member(member.Name)
-		if member.Name == self || (known && before.State == member.State && before.Incarnation == member.Incarnation) {
+		last, known := previous.Member(member.Name)
+		if member.Name == self || (known && last.State == member.State && last.Incarnation == member.Incarnation) {
 			continue
 		}
-		details := []any{"member", member.Name, "zone", member.Zone, "incarnation", member.Incarnation}
+		attrs := []any{"member", member.Name, "zone", member.Zone, "incarnation", member.Incarnation}
 		switch member.State {
 		case membership.StateAlive:
-			eventJoined.Info(details...)
+			eventJoined.Info(attrs...)
 		case membership.StateSuspect:
-			eventSuspected.Info(details...)
+			eventSuspected.Info(attrs...)
 		case membership.StateLeaving:
-			eventLeaving.Info(details...)
+			eventLeaving.Info(attrs...)
 		case membership.StateDead:
-			eventDied.Info(details...)
+			eventDied.Info(attrs...)
 		}
 	}
 }
 
-// send carries out the protocol's outputs.
+// send sends the protocol's outgoing messages.
 func (a *Agent) send(ctx context.Context, outputs []swim.Output) {
 	for _, output := range outputs {
 		if output.Call {
-			a.calls.Submit(func() { a.callSync(ctx, output) })
+			a.callPool.Submit(func() { a.callSync(ctx, output) })
 			continue
 		}
-		// A datagram may be lost anyway; the protocol repeats what matters.
+		// Datagrams may be lost; the protocol retransmits.
 		_ = a.sender.Datagram(output.To, KindDatagram, output.Payload)
 	}
 }
@@ -198,14 +200,14 @@
 	defer cancel()
 	answer, err := a.sender.Call(ctx, output.To, KindSync, output.Payload)
 	if err != nil {
-		return // the next digest asks again
+		return // the next digest starts a new sync
 	}
 	outputs := a.step(func(now time.Time) []swim.Output {
 		outputs, failure := a.node.HandleSyncAnswer(now, answer)
 		err = failure
 		return outputs
 	})
-	a.reject(output.To, err)
+	a.logBadMessage(output.To, err)
 	a.send(ctx, outputs)
 }
 
@@ -216,7 +218,7 @@
 		err = failure
 		return outputs
 	})
-	a.reject(from, err)
+	a.logBadMessage(from, err)
 	a.send(context.Background(), outputs)
 }
 
@@ -228,12 +230,12 @@
 		answer, outputs, err = a.node.HandleSync(now, payload)
 		return outputs
 	})
-	a.reject(from, err)
+	a.logBadMessage(from, err)
 	a.send(context.WithoutCancel(ctx), outputs)
 	return answer, trace.Wrap(err, "membership sync from %s", from)
 }
 
-func (a *Agent) reject(from transport.Address, err error) {
+func (a *Agent) logBadMessage(from transport.Address, err error) {
 	if err != nil {
 		eventBadMessage.Error(err, "peer", string(from))
 	}
