--- a/internal/standin/engine/scheduler/bench_test.go
+++ b/internal/standin/engine/scheduler/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkStep: a step of an engine with full slots and as many waiting.
+// BenchmarkStep measures a step with all slots in use and as many sequences waiting.
 func BenchmarkStep(b *testing.B) {
 	for _, slots := range []int{8, 32, 128} {
 		b.Run(fmt.Sprint(slots, " running"), func(b *testing.B) {
--- a/internal/standin/engine/scheduler/blocks.go
+++ b/internal/standin/engine/scheduler/blocks.go
@@ -7,9 +7,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// HashBlocks names the full blocks of a prompt, each hash chained to the one
-// before, so that equal hashes mean equal prefixes. tokenBytes is the number
-// of bytes that make up one token.
+// HashBlocks returns the hashes of the full blocks of a prompt. Each hash is chained
+// to the previous one, so that equal hashes mean equal prefixes. tokenBytes is the
+// number of bytes per token.
 func HashBlocks(model string, prompt []byte, blockTokens, tokenBytes int) []uint64 {
 	blockBytes := blockTokens * tokenBytes
 	if blockBytes <= 0 {
@@ -29,15 +29,15 @@
 	return hashes
 }
 
-// cachedBlock is a block of a prompt's prefix.
+// cachedBlock is a block in the prefix cache.
 type cachedBlock struct {
 	hash       uint64
 	references int
-	// idle is the block's place in the eviction list while references is 0.
+	// idle is the block's element of the eviction list while references is 0.
 	idle *list.Element
 }
 
-// blockPool counts the KV blocks. Invariant: private + len(cached) <= total.
+// blockPool accounts for the KV blocks. Invariant: private + len(cached) <= total.
 type blockPool struct {
 	total   int
 	private int
@@ -54,7 +54,8 @@
 
 func (p *blockPool) free() int { return p.total - p.private - len(p.cached) }
 
-// reclaim evicts unused prefix blocks until count blocks are free.
+// reclaim evicts unreferenced cached blocks until count blocks are free, and reports
+// whether that succeeded.
 func (p *blockPool) reclaim(count int) bool {
 	for p.free() < count {
 		oldest := p.idle.Front()
@@ -68,8 +69,8 @@
 	return true
 }
 
-// matching counts the leading hashes that are cached.
-func (p *blockPool) matching(hashes []uint64) int {
+// countCached returns the number of leading hashes that are cached.
+func (p *blockPool) countCached(hashes []uint64) int {
 	for i, hash := range hashes {
 		if p.cached[hash] == nil {
 			return i
@@ -93,7 +94,8 @@
 	}
 }
 
-// share turns a private block into the cached one of the hash.
+// share replaces a private block by the cached block of the hash, which it adds if
+// missing.
 func (p *blockPool) share(hash uint64) *cachedBlock {
 	p.private--
 	block := p.cached[hash]
@@ -107,7 +109,7 @@
 	return block
 }
 
-// insert adds an unused cached block, if there is room.
+// insert adds an unreferenced cached block and reports whether there was room.
 func (p *blockPool) insert(hash uint64) bool {
 	if block := p.cached[hash]; block != nil {
 		if block.idle != nil {
--- a/internal/standin/engine/scheduler/config.go
+++ b/internal/standin/engine/scheduler/config.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// Config is the shape of an engine.
+// Config configures a Scheduler.
 type Config struct {
-	// MaxRunning bounds the sequences that hold a slot at once.
+	// MaxRunning limits the number of running sequences (slots).
 	MaxRunning int `koanf:"max_running"`
-	// TokenBudget bounds the tokens that one step computes.
+	// TokenBudget limits the number of tokens that a step computes.
 	TokenBudget int `koanf:"token_budget"`
-	// BlockTokens is the number of tokens that a KV block holds.
+	// BlockTokens is the number of tokens per KV block.
 	BlockTokens int `koanf:"block_tokens"`
 	// Blocks is the number of KV blocks.
 	Blocks int `koanf:"blocks"`
-	// StepBase is the time of a step, however little it computes.
+	// StepBase is the fixed part of a step's duration.
 	StepBase time.Duration `koanf:"step_base"`
 	// StepPerSequence is added for each sequence in the step.
 	StepPerSequence time.Duration `koanf:"step_per_sequence"`
 	// StepPerPrefillToken is added for each prefilled token.
 	StepPerPrefillToken time.Duration `koanf:"step_per_prefill_token"`
-	// BatchPriority is the priority from which a sequence counts as batch work
-	// in Load.
+	// BatchPriority is the lowest priority value that Load counts as batch work.
 	BatchPriority int `koanf:"batch_priority"`
-	// PreemptSlots lets a waiting sequence also take the slot of a running one
-	// of lower priority. Without it only a shortage of KV blocks preempts.
+	// PreemptSlots lets a waiting sequence preempt a running one of lower priority
+	// for its slot. Otherwise, only a shortage of KV blocks causes preemption.
 	PreemptSlots bool `koanf:"preempt_slots"`
 }
 
-// DefaultConfig is a small engine with steps of a few milliseconds.
+// DefaultConfig returns the configuration of a small engine with steps of a few
+// milliseconds.
 func DefaultConfig() Config {
 	return Config{
 		MaxRunning:          32,
@@ -43,30 +43,30 @@
 	}
 }
 
-// Errors of the scheduler.
+// Errors returned by a Scheduler.
 var (
-	// ErrDuplicate: a sequence of this ID is known already.
+	// ErrDuplicate is returned if a sequence with the ID already exists.
 	ErrDuplicate = errors.New("scheduler: duplicate sequence")
-	// ErrUnknown: no sequence of this ID is known in the needed state.
+	// ErrUnknown is returned if no sequence with the ID is in the required state.
 	ErrUnknown = errors.New("scheduler: unknown sequence")
-	// ErrTooLong: the sequence can't fit into KV memory even when alone.
+	// ErrTooLong is returned if the sequence exceeds the total KV memory.
 	ErrTooLong = errors.New("scheduler: sequence exceeds KV memory")
-	// ErrInvalid: the sequence's numbers make no sense.
+	// ErrInvalid is returned for token counts out of range.
 	ErrInvalid = errors.New("scheduler: invalid sequence")
 )
 
-// Sequence is one generation to run.
+// Sequence describes a generation request.
 type Sequence struct {
 	ID string
 	// Priority orders sequences; a lower value goes first.
 	Priority     int
 	PromptTokens int
-	// PrefixHashes names the full blocks of the prompt. Each hash must cover
+	// PrefixHashes identifies the full blocks of the prompt. Each hash must cover
 	// all tokens up to the end of its block; see HashBlocks.
 	PrefixHashes []uint64
 	// MaxTokens is the length of the whole output.
 	MaxTokens int
-	// ResumeFrom is the number of output tokens that the caller already has.
+	// ResumeFrom is the number of output tokens that the caller already received.
 	ResumeFrom int
 }
 
@@ -77,28 +77,31 @@
 	Index int
 }
 
-// Finished is a sequence that emitted its last token.
+// Finished describes a sequence that emitted its last token.
 type Finished struct {
 	ID           string
 	PromptTokens int
-	// CachedTokens were found in the prefix cache when it was first started.
+	// CachedTokens is the number of tokens found in the prefix cache at the first
+	// start.
 	CachedTokens int
-	// OutputTokens is the length of the whole output, resumed part included.
+	// OutputTokens is the length of the whole output, including tokens before
+	// ResumeFrom.
 	OutputTokens int
 }
 
-// StepResult is what one step did. Its slices are reused by the next Step.
+// StepResult is the result of a step. Its slices are reused by the next Step.
 type StepResult struct {
-	// Idle says that nothing could run; the other fields are then empty but
-	// for KV events.
+	// Idle is set if no sequence could run. Only Preempted, Stored and Removed may
+	// then be set.
 	Idle bool
-	// Duration is how long the step takes; its tokens exist at its end.
+	// Duration is the duration of the step. Its tokens exist at its end.
 	Duration time.Duration
 	Tokens   []Token
 	Finished []Finished
-	// Preempted lists sequences that lost their blocks.
+	// Preempted holds the IDs of preempted sequences.
 	Preempted []string
-	// Stored and Removed are the prefix blocks that entered and left the cache.
+	// Stored and Removed are the hashes of blocks added to and evicted from the
+	// prefix cache.
 	Stored  []uint64
 	Removed []uint64
 	// Scheduled and Prefilled count the step's sequences and prefill tokens.
@@ -113,8 +116,9 @@
 	RunningBatch int
 	WaitingBatch int
 	Suspended    int
-	// BlocksInUse are held by running sequences; BlocksCached are only kept
-	// for reuse and BlocksSuspended only for a resume.
+	// BlocksCached counts the unreferenced blocks of the prefix cache,
+	// BlocksSuspended the private blocks retained for suspended sequences, and
+	// BlocksInUse all other used blocks.
 	BlocksInUse     int
 	BlocksCached    int
 	BlocksSuspended int
@@ -124,12 +128,12 @@
 	StepTokens int
 	Steps      uint64
 	Preempted  uint64
-	// Tokens counts the output tokens of all steps, Prefilled the prefilled ones.
+	// Tokens and Prefilled count the output and prefill tokens of all steps.
 	Tokens    uint64
 	Prefilled uint64
 }
 
-// KVUse is the share of blocks in use by running sequences, 0 to 1.
+// KVUse returns the fraction of blocks in use, 0 to 1.
 func (l Load) KVUse() float64 {
 	if l.Blocks == 0 {
 		return 0
--- a/internal/standin/engine/scheduler/fuzz_test.go
+++ b/internal/standin/engine/scheduler/model_test.go
@@ -22,24 +22,24 @@
 	os.Exit(m.Run())
 }
 
-// expectation is what the oracle knows of a sequence.
+// expectation is the model's state of a sequence.
 type expectation struct {
 	Sequence
 	next      int
 	suspended bool
 }
 
-// model checks a scheduler against what each sequence is owed.
+// model checks a scheduler against the tokens expected of each sequence.
 type model struct {
 	scheduler *Scheduler
 	now       time.Time
-	owed      map[string]*expectation
+	expected  map[string]*expectation
 	cached    map[uint64]bool
 	submitted int
 }
 
-// shapes are short of slots, of tokens or of blocks, or of several of them.
-var shapes = []Config{
+// configs are short of slots, tokens per step or blocks.
+var configs = []Config{
 	{MaxRunning: 4, TokenBudget: 16, BlockTokens: 2, Blocks: 16},
 	{MaxRunning: 4, TokenBudget: 3, BlockTokens: 4, Blocks: 10},
 	{MaxRunning: 2, TokenBudget: 8, BlockTokens: 1, Blocks: 40},
@@ -48,12 +48,12 @@
 }
 
 func newModel(t *rapid.T) *model {
-	shape := rapid.SampledFrom(shapes).Draw(t, "shape")
-	shape.StepBase = time.Millisecond
-	shape.PreemptSlots = rapid.Bool().Draw(t, "preempt slots")
+	config := rapid.SampledFrom(configs).Draw(t, "shape")
+	config.StepBase = time.Millisecond
+	config.PreemptSlots = rapid.Bool().Draw(t, "preempt slots")
 	return &model{
-		scheduler: New(shape),
-		owed:      map[string]*expectation{},
+		scheduler: New(config),
+		expected:  map[string]*expectation{},
 		cached:    map[uint64]bool{},
 	}
 }
@@ -62,7 +62,7 @@
 	length := rapid.SampledFrom([]int{1, 5, 8, 12, 16, 20}).Draw(t, "prompt")
 	prompt := []byte("aaaaaaaaaaaaaaaaaaaaaaaa")[:length]
 	prompt = append([]byte(nil), prompt...)
-	// Prompts differ behind a shared beginning.
+	// Prompts share a prefix of random length.
 	if cut := rapid.IntRange(0, length).Draw(t, "cut"); cut < length {
 		prompt[cut] = 'b'
 	}
@@ -82,16 +82,16 @@
 		t.Fatalf("submit of %d tokens: %v", length+maxTokens, err)
 	}
 	if fits {
-		m.owed[submitted.ID] = &expectation{Sequence: submitted, next: submitted.ResumeFrom}
+		m.expected[submitted.ID] = &expectation{Sequence: submitted, next: submitted.ResumeFrom}
 	}
 }
 
-// pick draws one of the sequences that are suspended or not.
+// pick draws a sequence that is suspended, or one that is not.
 func (m *model) pick(t *rapid.T, suspended bool) *expectation {
 	var candidates []*expectation
 	for i := 0; i < m.submitted; i++ {
-		if owed := m.owed[fmt.Sprint(i)]; owed != nil && owed.suspended == suspended {
-			candidates = append(candidates, owed)
+		if expected := m.expected[fmt.Sprint(i)]; expected != nil && expected.suspended == suspended {
+			candidates = append(candidates, expected)
 		}
 	}
 	if len(candidates) == 0 {
@@ -123,16 +123,16 @@
 	if err := m.scheduler.Cancel(picked.ID); err != nil {
 		t.Fatalf("cancel: %v", err)
 	}
-	delete(m.owed, picked.ID)
+	delete(m.expected, picked.ID)
 }
 
-// importBlocks may evict, but only blocks that nobody uses.
+// importBlocks imports the blocks of a random prefix.
 func (m *model) importBlocks(t *rapid.T) {
 	prompt := make([]byte, rapid.IntRange(1, 20).Draw(t, "imported"))
 	m.scheduler.Import(HashBlocks("m", prompt, m.scheduler.config.BlockTokens, 1))
 }
 
-// step checks that tokens come in order, once, and to the end.
+// step runs a step and checks that tokens are emitted in order, once, and completely.
 func (m *model) step(t *rapid.T) StepResult {
 	result := m.scheduler.Step(m.now)
 	m.now = m.now.Add(result.Duration)
@@ -141,24 +141,24 @@
 		finished[done.ID] = true
 	}
 	for _, token := range result.Tokens {
-		owed := m.owed[token.ID]
-		if owed == nil || owed.suspended {
-			t.Fatalf("token of %s, which doesn't run", token.ID)
+		expected := m.expected[token.ID]
+		if expected == nil || expected.suspended {
+			t.Fatalf("token of %s, which is not running", token.ID)
 		}
-		if token.Index != owed.next {
-			t.Fatalf("token %d of %s, want %d", token.Index, token.ID, owed.next)
+		if token.Index != expected.next {
+			t.Fatalf("token %d of %s, want %d", token.Index, token.ID, expected.next)
 		}
-		owed.next++
-		if finished[token.ID] != (owed.next == owed.MaxTokens) {
-			t.Fatalf("%s finished: %v at %d of %d", token.ID, finished[token.ID], owed.next, owed.MaxTokens)
+		expected.next++
+		if finished[token.ID] != (expected.next == expected.MaxTokens) {
+			t.Fatalf("%s finished: %v at %d of %d", token.ID, finished[token.ID], expected.next, expected.MaxTokens)
 		}
 		if finished[token.ID] {
-			delete(m.owed, token.ID)
+			delete(m.expected, token.ID)
 			delete(finished, token.ID)
 		}
 	}
 	if len(finished) > 0 {
-		t.Fatalf("finished without a last token: %v", finished)
+		t.Fatalf("finished without emitting the last token: %v", finished)
 	}
 	m.checkPlan(t)
 	for _, hash := range result.Removed {
@@ -171,37 +171,37 @@
 	return result
 }
 
-// checkPlan: a step keeps to its limits, and nobody computes while someone of a higher priority waits,
-// unless all slots are taken and slots are not preempted.
+// checkPlan checks that the step keeps to its limits, and that no sequence runs while
+// one of higher priority waits, unless all slots are in use and not preemptible.
 func (m *model) checkPlan(t *rapid.T) {
 	s := m.scheduler
 	tokens := 0
-	for _, planned := range s.shares {
+	for _, planned := range s.chunks {
 		tokens += planned.tokens
 		if planned.tokens < 1 {
 			t.Fatalf("%s computes %d tokens", planned.sequence.ID, planned.tokens)
 		}
 	}
-	if tokens > s.config.TokenBudget || len(s.shares) > s.config.MaxRunning {
-		t.Fatalf("a step of %d tokens for %d sequences", tokens, len(s.shares))
+	if tokens > s.config.TokenBudget || len(s.chunks) > s.config.MaxRunning {
+		t.Fatalf("step of %d tokens for %d sequences exceeds the limits", tokens, len(s.chunks))
 	}
-	// A slot that a preemption frees is given out in the next step.
+	// A slot freed by preemption is reused in the next step.
 	full := len(s.running)+len(s.result.Finished)+len(s.result.Preempted) >= s.config.MaxRunning
 	if full && !s.config.PreemptSlots {
 		return
 	}
-	for _, planned := range s.shares {
-		for _, waits := range s.queue {
-			if waits.Priority < planned.sequence.Priority {
+	for _, planned := range s.chunks {
+		for _, queued := range s.queue {
+			if queued.Priority < planned.sequence.Priority {
 				t.Fatalf("%s of priority %d ran while %s of priority %d waited",
-					planned.sequence.ID, planned.sequence.Priority, waits.ID, waits.Priority)
+					planned.sequence.ID, planned.sequence.Priority, queued.ID, queued.Priority)
 			}
 		}
 	}
 }
 
-// checkCache: the events tell the cache. Blocks may enter and leave within one
-// step, so that the order inside of it is not checked.
+// checkCache checks that the Stored and Removed events match the cache. A block may be
+// stored and removed in one step, so their order is not checked.
 func (m *model) checkCache(t *rapid.T, result StepResult) {
 	for _, hash := range result.Stored {
 		m.cached[hash] = m.scheduler.pool.cached[hash] != nil
@@ -210,11 +210,11 @@
 		}
 	}
 	if len(m.cached) != len(m.scheduler.pool.cached) {
-		t.Fatalf("events tell of %d cached blocks, there are %d", len(m.cached), len(m.scheduler.pool.cached))
+		t.Fatalf("%d cached blocks according to events, %d in the cache", len(m.cached), len(m.scheduler.pool.cached))
 	}
 }
 
-// check recounts the blocks.
+// check compares the block accounting with a recount.
 func (m *model) check(t *rapid.T) {
 	pool := &m.scheduler.pool
 	private := 0
@@ -242,12 +242,14 @@
 	if used > m.scheduler.config.Blocks || idle != pool.idle.Len() {
 		t.Fatalf("%d of %d blocks in use, %d idle, %d listed", used, load.Blocks, idle, pool.idle.Len())
 	}
-	if len(m.owed) != load.Running+load.Waiting+load.Suspended {
-		t.Fatalf("%d sequences owed, load %+v", len(m.owed), load)
+	if len(m.expected) != load.Running+load.Waiting+load.Suspended {
+		t.Fatalf("%d sequences expected, load %+v", len(m.expected), load)
 	}
 }
 
-func TestSchedulerAgainstOracle(t *testing.T) {
+// Guards against lost or repeated tokens, starvation and wrong block accounting in
+// random sequences of operations.
+func TestSchedulerMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
 		t.Repeat(map[string]func(*rapid.T){
@@ -261,17 +263,17 @@
 			"step 2":  func(t *rapid.T) { m.step(t) },
 			"":        m.check,
 		})
-		for _, owed := range m.owed {
-			if owed.suspended {
-				if err := m.scheduler.Resume(m.now, owed.ID, owed.next); err != nil {
+		for _, expected := range m.expected {
+			if expected.suspended {
+				if err := m.scheduler.Resume(m.now, expected.ID, expected.next); err != nil {
 					t.Fatalf("resume at the end: %v", err)
 				}
-				owed.suspended = false
+				expected.suspended = false
 			}
 		}
-		for steps := 0; len(m.owed) > 0; steps++ {
+		for steps := 0; len(m.expected) > 0; steps++ {
 			if m.step(t).Idle || steps > 10000 {
-				t.Fatalf("%d sequences never finish", len(m.owed))
+				t.Fatalf("%d sequences never finish", len(m.expected))
 			}
 		}
 		m.check(t)
--- a/internal/standin/engine/scheduler/scheduler.go
+++ b/internal/standin/engine/scheduler/scheduler.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// Scheduler runs sequences step by step.
+// Scheduler schedules sequences step by step. Create it with New.
 type Scheduler struct {
 	config Config
 	pool   blockPool
 	known  map[string]*sequence
-	// running is kept in scheduling order.
+	// running is sorted in scheduling order.
 	running []*sequence
 	queue   waitingQueue
-	// kept holds the sequences that have blocks without running, because they
-	// were suspended; those kept longest come first and lose them first.
-	kept      []*sequence
+	// retained holds the sequences that kept their blocks when suspended, the
+	// longest retained first.
+	retained  []*sequence
 	suspended int
 	serial    uint64
 
 	load   Load
-	shares []share
+	chunks []chunk
 	result StepResult
 }
 
-// New returns an empty scheduler; the zero fields of config are taken from
-// DefaultConfig, but for the step times, which may be 0.
+// New returns an empty scheduler. Counts and priorities in config that are not
+// positive take their value from DefaultConfig; step times may be 0.
 func New(config Config) *Scheduler {
 	defaults := DefaultConfig()
 	for _, field := range []struct {
@@ -51,11 +51,11 @@
 	}
 }
 
-// Config returns the configuration in force, defaults filled in.
+// Config returns the configuration, with defaults filled in.
 func (s *Scheduler) Config() Config { return s.config }
 
-// Submit queues a sequence. It fails with ErrDuplicate, ErrInvalid or
-// ErrTooLong, and then nothing has changed.
+// Submit queues a sequence. It returns ErrDuplicate, ErrInvalid or ErrTooLong without
+// changing anything.
 func (s *Scheduler) Submit(_ time.Time, submitted Sequence) error {
 	if s.known[submitted.ID] != nil {
 		return ErrDuplicate
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// Cancel forgets a sequence in any state and frees its blocks.
+// Cancel removes a sequence in any state and frees its blocks.
 func (s *Scheduler) Cancel(id string) error {
 	cancelled := s.known[id]
 	if cancelled == nil {
@@ -88,25 +88,25 @@
 	return nil
 }
 
-// Suspend parks a running or waiting sequence. It keeps its blocks until
-// memory is short, and its place in the output for good.
+// Suspend suspends a running or waiting sequence. The sequence keeps its output
+// position, and its blocks until memory is short.
 func (s *Scheduler) Suspend(id string) error {
-	parked := s.known[id]
-	if parked == nil || parked.state == suspended {
+	target := s.known[id]
+	if target == nil || target.state == suspended {
 		return ErrUnknown
 	}
-	s.detach(parked)
-	parked.state = suspended
+	s.detach(target)
+	target.state = suspended
 	s.suspended++
-	if parked.blocks() > 0 && !slices.Contains(s.kept, parked) {
-		s.kept = append(s.kept, parked)
+	if target.blockCount() > 0 && !slices.Contains(s.retained, target) {
+		s.retained = append(s.retained, target)
 	}
 	return nil
 }
 
-// Resume queues a suspended sequence again, from the given output token. from
-// may be lower than what was emitted, when the caller did not receive it all,
-// but not higher.
+// Resume queues a suspended sequence again, from the given output token. from may be
+// lower than the number of emitted tokens, which are then emitted again, but not
+// higher.
 func (s *Scheduler) Resume(_ time.Time, id string, from int) error {
 	resumed := s.known[id]
 	if resumed == nil || resumed.state != suspended {
@@ -117,15 +117,15 @@
 	}
 	s.detach(resumed)
 	resumed.emitted = from
-	resumed.computed = max(0, min(resumed.computed, resumed.context()-1))
-	s.trim(resumed)
+	resumed.computed = max(0, min(resumed.computed, resumed.contextTokens()-1))
+	s.freeSurplus(resumed)
 	resumed.state = waiting
 	heap.Push(&s.queue, resumed)
 	return nil
 }
 
-// Emitted returns the number of output tokens of a known sequence, the resumed
-// part included.
+// Emitted returns the number of output tokens of a sequence, including those before
+// ResumeFrom, and whether the sequence exists.
 func (s *Scheduler) Emitted(id string) (int, bool) {
 	found := s.known[id]
 	if found == nil {
@@ -134,27 +134,27 @@
 	return found.emitted, true
 }
 
-// Cached counts the leading hashes that are in the prefix cache.
-func (s *Scheduler) Cached(hashes []uint64) int { return s.pool.matching(hashes) }
+// Cached returns the number of leading hashes that are in the prefix cache.
+func (s *Scheduler) Cached(hashes []uint64) int { return s.pool.countCached(hashes) }
 
-// Import puts prefix blocks into the cache as if they had been computed, and
-// returns how many are there afterwards. It never takes memory from sequences.
+// Import adds blocks to the prefix cache as if they had been computed, and returns
+// how many leading ones are cached. It evicts only unreferenced blocks.
 func (s *Scheduler) Import(hashes []uint64) int {
 	for i, hash := range hashes {
 		if !s.pool.insert(hash) {
 			return i
 		}
 	}
-	return s.pool.matching(hashes)
+	return s.pool.countCached(hashes)
 }
 
-// Reset forgets all sequences and the whole cache, as a restart does.
+// Reset removes all sequences and cached blocks, as a restart does.
 func (s *Scheduler) Reset() { *s = *New(s.config) }
 
-// Waiting counts the sequences that wait for a slot.
+// Waiting returns the number of waiting sequences.
 func (s *Scheduler) Waiting() int { return len(s.queue) }
 
-// Load returns a snapshot; it costs a pass over the running and the waiting.
+// Load returns a snapshot, in time linear in the number of sequences.
 func (s *Scheduler) Load() Load {
 	load := s.load
 	load.Running = len(s.running)
@@ -163,8 +163,8 @@
 	load.Blocks = s.config.Blocks
 	load.RunningBatch = s.countBatch(s.running)
 	load.WaitingBatch = s.countBatch(s.queue)
-	for _, keeper := range s.kept {
-		load.BlocksSuspended += keeper.private
+	for _, holder := range s.retained {
+		load.BlocksSuspended += holder.private
 	}
 	load.BlocksCached = s.pool.idle.Len()
 	load.BlocksInUse = s.pool.private + len(s.pool.cached) - load.BlocksCached - load.BlocksSuspended
@@ -185,26 +185,26 @@
 	return (tokens + s.config.BlockTokens - 1) / s.config.BlockTokens
 }
 
-// detach takes a sequence out of the list of its state.
+// detach removes a sequence from the collection or count of its state.
 func (s *Scheduler) detach(detached *sequence) {
 	switch detached.state {
 	case waiting:
 		heap.Remove(&s.queue, detached.heapIndex)
 	case running:
-		position := s.position(detached)
+		position := s.runningIndex(detached)
 		s.running = slices.Delete(s.running, position, position+1)
 	case suspended:
 		s.suspended--
 	}
 }
 
-// position is where a sequence stands, or would stand, among the running.
-func (s *Scheduler) position(wanted *sequence) int {
-	return sort.Search(len(s.running), func(i int) bool { return !s.running[i].before(wanted) })
+// runningIndex returns the index of a sequence in running, or where to insert it.
+func (s *Scheduler) runningIndex(target *sequence) int {
+	return sort.Search(len(s.running), func(i int) bool { return !s.running[i].before(target) })
 }
 
-// release frees all blocks of a sequence; it has to be prefilled again. The
-// deepest prefix block becomes the first to be evicted.
+// release frees all blocks of a sequence, which must then be prefilled again. The
+// last prefix block is dereferenced first, and thus evicted first.
 func (s *Scheduler) release(released *sequence) {
 	for i := len(released.shared) - 1; i >= 0; i-- {
 		s.pool.dereference(released.shared[i])
@@ -213,18 +213,18 @@
 	released.shared = nil
 	released.private = 0
 	released.computed = 0
-	s.unkeep(released)
+	s.removeRetained(released)
 }
 
-func (s *Scheduler) unkeep(keeper *sequence) {
-	if position := slices.Index(s.kept, keeper); position >= 0 {
-		s.kept = slices.Delete(s.kept, position, position+1)
+func (s *Scheduler) removeRetained(removed *sequence) {
+	if position := slices.Index(s.retained, removed); position >= 0 {
+		s.retained = slices.Delete(s.retained, position, position+1)
 	}
 }
 
-// trim frees the private blocks behind the computed tokens.
-func (s *Scheduler) trim(trimmed *sequence) {
-	surplus := trimmed.blocks() - s.blocksFor(trimmed.computed)
+// freeSurplus frees the private blocks after the computed tokens.
+func (s *Scheduler) freeSurplus(trimmed *sequence) {
+	surplus := trimmed.blockCount() - s.blocksFor(trimmed.computed)
 	surplus = min(surplus, trimmed.private)
 	if surplus > 0 {
 		trimmed.private -= surplus
--- a/internal/standin/engine/scheduler/scheduler_test.go
+++ b/internal/standin/engine/scheduler/scheduler_test.go
@@ -7,7 +7,9 @@
 	"github.com/onsi/gomega"
 )
 
-func TestRunsToTheEndAndReusesThePrefix(t *testing.T) {
+// Guards against wrong token counts or step times, and against prefixes that are not
+// reused.
+func TestSequenceFinishesAndReusesCachedPrefix(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New(Config{BlockTokens: 4, Blocks: 16, TokenBudget: 8, StepBase: time.Millisecond})
 	hashes := HashBlocks("m", []byte("0123456789ab"), 4, 1)
@@ -35,11 +37,13 @@
 	g.Expect(now.UnixMilli()).To(gomega.BeEquivalentTo(4), "two prefill chunks, then two decodes")
 	tokens, finished = run("b")
 	g.Expect(tokens).To(gomega.Equal([]int{0, 1, 2}))
-	g.Expect(finished.CachedTokens).To(gomega.Equal(8), "the last block is left to compute")
+	g.Expect(finished.CachedTokens).To(gomega.Equal(8), "the last prompt block is computed again")
 	g.Expect(s.Load().BlocksInUse).To(gomega.Equal(0))
 }
 
-func TestSuspendAndResumeLoseNothing(t *testing.T) {
+// Guards against a suspended sequence that loses its blocks, or skips or repeats tokens
+// after the requested one.
+func TestResumeContinuesFromRequestedToken(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New(Config{BlockTokens: 4, Blocks: 16, TokenBudget: 8})
 	now := time.Unix(0, 0)
--- a/internal/standin/engine/scheduler/sequence.go
+++ b/internal/standin/engine/scheduler/sequence.go
@@ -2,7 +2,7 @@
 
 import "container/heap"
 
-// state says where a sequence is kept.
+// state is the scheduling state of a sequence.
 type state int
 
 const (
@@ -11,22 +11,22 @@
 	suspended
 )
 
-// sequence is a Sequence with its progress.
+// sequence is a submitted Sequence with its progress.
 type sequence struct {
 	Sequence
 	serial uint64
 	state  state
-	// heapIndex is its place in the waiting queue.
+	// heapIndex is the index in the waiting queue.
 	heapIndex int
-	// emitted counts output tokens, the resumed part included.
+	// emitted counts output tokens, including those before ResumeFrom.
 	emitted int
-	// computed counts the tokens of the context that have KV entries.
+	// computed counts the context tokens that have KV entries.
 	computed int
-	// shared are the prefix blocks, a leading part of PrefixHashes; private
-	// counts the blocks behind them.
+	// shared holds the cached blocks of the leading PrefixHashes. private counts
+	// the blocks after them.
 	shared  []*cachedBlock
 	private int
-	// cachedTokens were found in the cache at the first start.
+	// cachedTokens is the number of tokens found in the cache at the first start.
 	cachedTokens int
 	started      bool
 }
@@ -38,11 +38,11 @@
 	return s.serial < other.serial
 }
 
-func (s *sequence) context() int { return s.PromptTokens + s.emitted }
+func (s *sequence) contextTokens() int { return s.PromptTokens + s.emitted }
 
-func (s *sequence) blocks() int { return len(s.shared) + s.private }
+func (s *sequence) blockCount() int { return len(s.shared) + s.private }
 
-// waitingQueue is a heap in scheduling order.
+// waitingQueue is a heap of waiting sequences in scheduling order.
 type waitingQueue []*sequence
 
 var _ heap.Interface = (*waitingQueue)(nil)
--- a/internal/standin/engine/scheduler/step.go
+++ b/internal/standin/engine/scheduler/step.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// share is a sequence's part of a step.
-type share struct {
+// chunk is the number of tokens that a step computes for a sequence.
+type chunk struct {
 	sequence *sequence
 	tokens   int
 }
 
-// Step plans and runs one step that begins now. The tokens in its result
-// exist after its Duration; call Step again at that time or later. An idle
-// result means that there is nothing to do before the next Submit or Resume.
+// Step plans and runs one step. The tokens in its result exist after its Duration,
+// and Step must not be called again before. An idle result means that no sequence
+// can run before the next Submit or Resume.
 func (s *Scheduler) Step(_ time.Time) StepResult {
 	spareStored, spareRemoved := s.result.Stored[:0], s.result.Removed[:0]
 	s.result = StepResult{
@@ -23,41 +23,40 @@
 		Preempted: s.result.Preempted[:0],
 	}
 	s.plan()
-	if len(s.shares) > 0 {
+	if len(s.chunks) > 0 {
 		s.compute()
 	}
-	s.result.Idle = len(s.shares) == 0
+	s.result.Idle = len(s.chunks) == 0
 	s.result.Stored, s.pool.stored = s.pool.stored, spareStored
 	s.result.Removed, s.pool.removed = s.pool.removed, spareRemoved
 	return s.result
 }
 
-// plan walks running and waiting sequences in one order and gives each its
-// share of the token budget. Only sequences behind the present one are ever
-// preempted, so a planned share is never taken back.
+// plan divides the token budget among running and waiting sequences in scheduling
+// order. Only sequences without a chunk are preempted, so no chunk is revoked.
 func (s *Scheduler) plan() {
-	s.shares = s.shares[:0]
+	s.chunks = s.chunks[:0]
 	budget := s.config.TokenBudget
 	admitting := true
 	for next := 0; budget > 0; {
-		candidate := s.candidate(next, admitting)
+		candidate := s.nextCandidate(next, admitting)
 		if candidate == nil {
 			return
 		}
-		if !s.place(candidate, next, budget) {
+		if !s.schedule(candidate, next, budget) {
 			admitting = false
 			continue
 		}
-		tokens := min(candidate.context()-candidate.computed, budget)
+		tokens := min(candidate.contextTokens()-candidate.computed, budget)
 		budget -= tokens
-		s.shares = append(s.shares, share{candidate, tokens})
+		s.chunks = append(s.chunks, chunk{candidate, tokens})
 		next++
 	}
 }
 
-// candidate is the first in order of the running sequences from next on and,
-// while admitting, the waiting ones.
-func (s *Scheduler) candidate(next int, admitting bool) *sequence {
+// nextCandidate returns the first in scheduling order of the running sequences from
+// index next on and, if admitting, the waiting ones.
+func (s *Scheduler) nextCandidate(next int, admitting bool) *sequence {
 	var first *sequence
 	if next < len(s.running) {
 		first = s.running[next]
@@ -68,10 +67,10 @@
 	return first
 }
 
-// place gives the candidate the blocks for its part of the step; it stands at
-// position next of the running sequences if that worked. A running candidate
-// that finds no blocks is preempted itself.
-func (s *Scheduler) place(candidate *sequence, next, budget int) bool {
+// schedule allocates the blocks for the candidate's chunk and reports whether the
+// candidate is now at index next of the running sequences. A running candidate for
+// which there are no blocks is itself preempted.
+func (s *Scheduler) schedule(candidate *sequence, next, budget int) bool {
 	if candidate.state == waiting {
 		return s.admit(candidate, next, budget)
 	}
@@ -85,14 +84,14 @@
 	return true
 }
 
-// admit starts a waiting candidate. It may only preempt sequences of a lower
-// priority, so that equals don't take turns in throwing each other out.
+// admit starts a waiting candidate. It only preempts sequences of lower priority, so
+// that sequences of equal priority do not preempt each other in turn.
 func (s *Scheduler) admit(candidate *sequence, next, budget int) bool {
 	if len(s.running) >= s.config.MaxRunning && !(s.config.PreemptSlots && s.preemptBelow(candidate)) {
 		return false
 	}
-	s.unkeep(candidate)
-	s.reuse(candidate)
+	s.removeRetained(candidate)
+	s.attachCachedPrefix(candidate)
 	for !s.allocate(candidate, budget) {
 		if !s.preemptBelow(candidate) {
 			s.release(candidate)
@@ -109,13 +108,13 @@
 	return true
 }
 
-// reuse takes the cached part of the candidate's prompt. At least one token is
-// left to compute, because only computing yields the next one.
-func (s *Scheduler) reuse(candidate *sequence) {
-	if candidate.blocks() > 0 {
+// attachCachedPrefix references the cached blocks of the candidate's prompt. It
+// leaves at least one token to compute, which is needed to emit the next one.
+func (s *Scheduler) attachCachedPrefix(candidate *sequence) {
+	if candidate.blockCount() > 0 {
 		return
 	}
-	usable := min(s.pool.matching(candidate.PrefixHashes), (candidate.context()-1)/s.config.BlockTokens)
+	usable := min(s.pool.countCached(candidate.PrefixHashes), (candidate.contextTokens()-1)/s.config.BlockTokens)
 	for _, hash := range candidate.PrefixHashes[:usable] {
 		block := s.pool.cached[hash]
 		s.pool.reference(block)
@@ -124,26 +123,27 @@
 	candidate.computed = usable * s.config.BlockTokens
 }
 
-// allocate makes sure that the candidate has the blocks for its next tokens.
+// allocate allocates the missing blocks for the candidate's next tokens and reports
+// whether there were enough.
 func (s *Scheduler) allocate(candidate *sequence, budget int) bool {
-	tokens := min(candidate.context()-candidate.computed, budget)
-	missing := s.blocksFor(candidate.computed+tokens) - candidate.blocks()
+	tokens := min(candidate.contextTokens()-candidate.computed, budget)
+	missing := s.blocksFor(candidate.computed+tokens) - candidate.blockCount()
 	if missing <= 0 {
 		return true
 	}
 	for !s.pool.reclaim(missing) {
-		if len(s.kept) == 0 {
+		if len(s.retained) == 0 {
 			return false
 		}
-		s.release(s.kept[0])
+		s.release(s.retained[0])
 	}
 	candidate.private += missing
 	s.pool.private += missing
 	return true
 }
 
-// preemptBelow preempts the last running sequence if its priority is lower
-// than the candidate's.
+// preemptBelow preempts the last running sequence if its priority is lower than the
+// candidate's, and reports whether it did.
 func (s *Scheduler) preemptBelow(candidate *sequence) bool {
 	if len(s.running) == 0 {
 		return false
@@ -165,10 +165,10 @@
 	s.result.Preempted = append(s.result.Preempted, victim.ID)
 }
 
-// compute carries out the planned shares.
+// compute executes the planned chunks.
 func (s *Scheduler) compute() {
 	duration := s.config.StepBase
-	for _, planned := range s.shares {
+	for _, planned := range s.chunks {
 		duration += s.config.StepPerSequence
 		if planned.tokens > 1 {
 			s.result.Prefilled += planned.tokens
@@ -177,7 +177,7 @@
 	}
 	duration += time.Duration(s.result.Prefilled) * s.config.StepPerPrefillToken
 	s.result.Duration = duration
-	s.result.Scheduled = len(s.shares)
+	s.result.Scheduled = len(s.chunks)
 	s.load.Steps++
 	s.load.StepTime = duration
 	s.load.StepTokens = len(s.result.Tokens)
@@ -187,8 +187,8 @@
 
 func (s *Scheduler) advance(advanced *sequence, tokens int) {
 	advanced.computed += tokens
-	s.publish(advanced)
-	if advanced.computed < advanced.context() {
+	s.cachePromptBlocks(advanced)
+	if advanced.computed < advanced.contextTokens() {
 		return
 	}
 	s.result.Tokens = append(s.result.Tokens, Token{ID: advanced.ID, Index: advanced.emitted})
@@ -207,8 +207,8 @@
 	delete(s.known, advanced.ID)
 }
 
-// publish moves the prompt blocks that are full by now into the prefix cache.
-func (s *Scheduler) publish(computed *sequence) {
+// cachePromptBlocks moves fully computed prompt blocks into the prefix cache.
+func (s *Scheduler) cachePromptBlocks(computed *sequence) {
 	full := min(computed.computed/s.config.BlockTokens, len(computed.PrefixHashes))
 	for len(computed.shared) < full {
 		block := s.pool.share(computed.PrefixHashes[len(computed.shared)])
