--- a/internal/standin/platform/objects/leases.go
+++ b/internal/standin/platform/objects/leases.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Lease is a claim with an end. Its epoch rises with each new holder and when
-// a holder takes it again after it had lapsed.
+// Lease is a lease that expires a TTL after its last renewal. Its epoch increases
+// when it is acquired after a release or expiry.
 type Lease struct {
 	Name    string        `json:"name"`
 	Holder  string        `json:"holder"`
@@ -12,14 +12,14 @@
 	Renewed time.Time     `json:"renewed"`
 }
 
-func (l Lease) lapsed(now time.Time) bool {
+func (l Lease) expired(now time.Time) bool {
 	return l.Holder == "" || now.Sub(l.Renewed) >= l.TTL
 }
 
-// Leases grants leases. A released or lapsed lease keeps its epoch.
+// Leases grants leases. A released or expired lease keeps its epoch.
 type Leases struct{ byName map[string]Lease }
 
-// NewLeases returns leases with the given state.
+// NewLeases returns a Leases with the given initial state.
 func NewLeases(state []Lease) *Leases {
 	leases := &Leases{byName: map[string]Lease{}}
 	for _, lease := range state {
@@ -28,11 +28,11 @@
 	return leases
 }
 
-// Acquire takes or renews a lease. With ErrConflict it returns the lease of
-// the present holder.
+// Acquire acquires or renews a lease. If another holder has it, Acquire returns that
+// lease and ErrConflict.
 func (l *Leases) Acquire(now time.Time, name, holder string, ttl time.Duration) (Lease, error) {
 	lease := l.byName[name]
-	if lease.lapsed(now) {
+	if lease.expired(now) {
 		lease.Epoch++
 	} else if lease.Holder != holder {
 		return lease, ErrConflict
@@ -45,7 +45,7 @@
 	return lease, nil
 }
 
-// Release ends the holder's claim of the epoch.
+// Release releases a lease. It returns ErrConflict if the holder or the epoch differs.
 func (l *Leases) Release(name, holder string, epoch uint64) (Lease, error) {
 	lease, found := l.byName[name]
 	if !found {
@@ -59,7 +59,7 @@
 	return lease, nil
 }
 
-// Get returns a lease as it stands.
+// Get returns a lease, which may have expired.
 func (l *Leases) Get(name string) (Lease, error) {
 	lease, found := l.byName[name]
 	if !found {
@@ -68,7 +68,7 @@
 	return lease, nil
 }
 
-// All returns all leases, in no order.
+// All returns all leases in unspecified order.
 func (l *Leases) All() []Lease {
 	all := make([]Lease, 0, len(l.byName))
 	for _, lease := range l.byName {
--- a/internal/standin/platform/objects/fuzz_test.go
+++ b/internal/standin/platform/objects/model_test.go
@@ -23,19 +23,19 @@
 	os.Exit(m.Run())
 }
 
-// reader follows one kind by list and watch, as a client does.
-type reader struct {
+// watcher tracks the objects of one kind by list and watch, as a client does.
+type watcher struct {
 	kind     string
-	seen     map[Key]Object
+	objects  map[Key]Object
 	revision uint64
 }
 
-// storeModel is a plain map beside the store.
+// storeModel compares a store with a map.
 type storeModel struct {
 	store    *Store
 	objects  map[Key]Object
 	revision uint64
-	readers  []*reader
+	watchers []*watcher
 }
 
 func drawKey(t *rapid.T) Key {
@@ -45,7 +45,7 @@
 	}
 }
 
-// drawRevision is right, or stale, or invented.
+// drawRevision draws the current revision of the key, or any.
 func (m *storeModel) drawRevision(t *rapid.T, key Key) uint64 {
 	if rapid.Bool().Draw(t, "right") {
 		return m.objects[key].Revision
@@ -57,17 +57,17 @@
 	key := drawKey(t)
 	expected := m.drawRevision(t, key)
 	spec := json.RawMessage(rapid.StringMatching(`[0-9]{1,3}`).Draw(t, "spec"))
-	present, exists := m.objects[key]
+	current, exists := m.objects[key]
 	var want error
 	switch {
 	case !exists && expected != 0:
 		want = ErrNotFound
-	case present.Revision != expected:
+	case current.Revision != expected:
 		want = ErrConflict
 	}
 	written, err := m.store.Put(Object{Key: key, Revision: expected, Spec: spec})
 	if !errors.Is(err, want) {
-		t.Fatalf("put %v at %d over %d: %v, want %v", key, expected, present.Revision, err, want)
+		t.Fatalf("put %v at %d over %d: %v, want %v", key, expected, current.Revision, err, want)
 	}
 	if want == nil {
 		m.revision++
@@ -81,12 +81,12 @@
 func (m *storeModel) delete(t *rapid.T) {
 	key := drawKey(t)
 	expected := m.drawRevision(t, key)
-	present, exists := m.objects[key]
+	current, exists := m.objects[key]
 	var want error
 	switch {
 	case !exists:
 		want = ErrNotFound
-	case expected != 0 && present.Revision != expected:
+	case expected != 0 && current.Revision != expected:
 		want = ErrConflict
 	}
 	if _, err := m.store.Delete(key, expected); !errors.Is(err, want) {
@@ -102,66 +102,69 @@
 	m.store.Compact(rapid.Uint64Range(0, m.revision+2).Draw(t, "compact"))
 }
 
-// follow brings a reader up to date; it may have to list again.
-func (m *storeModel) follow(t *rapid.T) {
-	followed := m.readers[rapid.IntRange(0, len(m.readers)-1).Draw(t, "reader")]
-	changes, revision, err := m.store.Since(followed.kind, followed.revision)
-	if (err != nil) != (followed.revision < m.store.Compacted()) {
-		t.Fatalf("since %d, compacted to %d: %v", followed.revision, m.store.Compacted(), err)
+// catchUp updates a watcher, which lists again if its revision was compacted, and
+// checks its objects.
+func (m *storeModel) catchUp(t *rapid.T) {
+	watched := m.watchers[rapid.IntRange(0, len(m.watchers)-1).Draw(t, "reader")]
+	changes, revision, err := m.store.Since(watched.kind, watched.revision)
+	if (err != nil) != (watched.revision < m.store.Compacted()) {
+		t.Fatalf("since %d, compacted to %d: %v", watched.revision, m.store.Compacted(), err)
 	}
 	if err != nil {
-		followed.seen = map[Key]Object{}
-		for _, object := range m.store.List(followed.kind) {
-			followed.seen[object.Key] = object
+		watched.objects = map[Key]Object{}
+		for _, object := range m.store.List(watched.kind) {
+			watched.objects[object.Key] = object
 		}
-		followed.revision = m.store.Revision()
+		watched.revision = m.store.Revision()
 	}
 	for _, change := range changes {
-		m.apply(t, followed, change)
+		m.apply(t, watched, change)
 	}
 	if err == nil {
-		followed.revision = revision
+		watched.revision = revision
 	}
 	want := map[Key]Object{}
 	for key, object := range m.objects {
-		if key.Kind == followed.kind {
+		if key.Kind == watched.kind {
 			want[key] = object
 		}
 	}
-	if !maps.EqualFunc(followed.seen, want, equal) {
-		t.Fatalf("reader of %s sees %v, want %v", followed.kind, followed.seen, want)
+	if !maps.EqualFunc(watched.objects, want, equal) {
+		t.Fatalf("watcher of %s has %v, want %v", watched.kind, watched.objects, want)
 	}
 }
 
-func (m *storeModel) apply(t *rapid.T, followed *reader, change Change) {
-	if change.Object.Revision <= followed.revision {
-		t.Fatalf("revision %d after %d", change.Object.Revision, followed.revision)
+func (m *storeModel) apply(t *rapid.T, watched *watcher, change Change) {
+	if change.Object.Revision <= watched.revision {
+		t.Fatalf("revision %d after %d", change.Object.Revision, watched.revision)
 	}
-	followed.revision = change.Object.Revision
-	_, known := followed.seen[change.Object.Key]
+	watched.revision = change.Object.Revision
+	_, known := watched.objects[change.Object.Key]
 	if known == (change.Type == Added) {
 		t.Fatalf("%s of %v, known: %v", change.Type, change.Object.Key, known)
 	}
 	if change.Type == Deleted {
-		delete(followed.seen, change.Object.Key)
+		delete(watched.objects, change.Object.Key)
 		return
 	}
-	followed.seen[change.Object.Key] = change.Object
+	watched.objects[change.Object.Key] = change.Object
 }
 
 func equal(a, b Object) bool {
 	return a.Key == b.Key && a.Revision == b.Revision && string(a.Spec) == string(b.Spec)
 }
 
-func TestStoreAgainstMap(t *testing.T) {
+// Guards against lost updates, wrong revisions, and watches that miss or repeat a
+// change.
+func TestStoreMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &storeModel{
 			store:   NewStore(nil, 0, rapid.IntRange(1, 20).Draw(t, "history")),
 			objects: map[Key]Object{},
-			readers: []*reader{
-				{kind: "settings", seen: map[Key]Object{}},
-				{kind: "settings", seen: map[Key]Object{}},
-				{kind: "shards", seen: map[Key]Object{}},
+			watchers: []*watcher{
+				{kind: "settings", objects: map[Key]Object{}},
+				{kind: "settings", objects: map[Key]Object{}},
+				{kind: "shards", objects: map[Key]Object{}},
 			},
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -169,14 +172,13 @@
 			"again":   m.put,
 			"delete":  m.delete,
 			"compact": m.compact,
-			"follow":  m.follow,
+			"follow":  m.catchUp,
 		})
 	})
 }
 
-// TestLeasesAgainstHolder: nobody gets a lease that another holds, and the
-// epoch tells any two holders apart.
-func TestLeasesAgainstHolder(t *testing.T) {
+// Guards against a lease with two holders, and against two holders with equal epochs.
+func TestLeasesMatchModel(t *testing.T) {
 	const ttl = 10 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
 		leases := NewLeases(nil)
@@ -190,11 +192,11 @@
 				now = now.Add(time.Duration(rapid.IntRange(1, 12).Draw(t, "seconds")) * time.Second)
 			},
 			"acquire": func(t *rapid.T) {
-				wanted := drawHolder(t)
+				claimant := drawHolder(t)
 				held := holder != "" && now.Before(until)
-				lease, err := leases.Acquire(now, "l", wanted, ttl)
-				if (err != nil) != (held && holder != wanted) {
-					t.Fatalf("%s acquires from %q until %v at %v: %v", wanted, holder, until, now, err)
+				lease, err := leases.Acquire(now, "l", claimant, ttl)
+				if (err != nil) != (held && holder != claimant) {
+					t.Fatalf("%s acquires from %q until %v at %v: %v", claimant, holder, until, now, err)
 				}
 				if err != nil {
 					return
@@ -202,13 +204,13 @@
 				if (lease.Epoch > epoch) == held {
 					t.Fatalf("epoch %d after %d, held: %v", lease.Epoch, epoch, held)
 				}
-				holder, until, epoch = wanted, now.Add(ttl), lease.Epoch
+				holder, until, epoch = claimant, now.Add(ttl), lease.Epoch
 			},
 			"release": func(t *rapid.T) {
-				wanted := drawHolder(t)
-				_, err := leases.Release("l", wanted, epoch)
-				if (err == nil) != (epoch > 0 && holder == wanted) {
-					t.Fatalf("%s releases from %q: %v", wanted, holder, err)
+				claimant := drawHolder(t)
+				_, err := leases.Release("l", claimant, epoch)
+				if (err == nil) != (epoch > 0 && holder == claimant) {
+					t.Fatalf("%s releases from %q: %v", claimant, holder, err)
 				}
 				if err == nil {
 					holder = ""
@@ -218,7 +220,8 @@
 	})
 }
 
-func TestMachinesLagAndExpire(t *testing.T) {
+// Guards against changes visible before the lag, and machines that outlive their TTL.
+func TestMachineListLagsAndExpires(t *testing.T) {
 	const lag = 2 * time.Second
 	machines := NewMachines()
 	at := func(seconds int) time.Time { return time.Unix(int64(seconds), 0) }
