--- a/cmd/chutelock/objects.go
+++ b/cmd/chutelock/objects.go
@@ -9,19 +9,19 @@
 	"chutelock.dev/chutelock/platform"
 )
 
-// serveObjects runs a node on a platform of objects until the signals' end,
-// then drains it.
-func serveObjects(signals context.Context, hangups <-chan os.Signal, settings *config.Node, load func() (*config.Node, error)) error {
-	running, err := system.Open(settings, platform.NewAdapter(settings.Platform.Address))
+// serveObjects runs a node on a platform that stores configuration and engines
+// as objects until ctx is done, then drains it.
+func serveObjects(ctx context.Context, hangups <-chan os.Signal, settings *config.Node, load func() (*config.Node, error)) error {
+	n, err := system.Open(settings, platform.NewAdapter(settings.Platform.Address))
 	if err != nil {
 		return err
 	}
-	if err := running.Start(); err != nil {
+	if err := n.Start(); err != nil {
 		return err
 	}
-	followSettings(signals, hangups, settings, load, running.Reload)
-	bounded, cancel := context.WithTimeout(context.Background(), settings.Drain.Timeout)
+	watchSettings(ctx, hangups, settings, load, n.Reload)
+	drainCtx, cancel := context.WithTimeout(context.Background(), settings.Drain.Timeout)
 	defer cancel()
-	running.Drain(bounded)
+	n.Drain(drainCtx)
 	return nil
 }
--- a/cmd/chutelock/reload.go
+++ b/cmd/chutelock/reload.go
@@ -12,41 +12,40 @@
 	"chutelock.dev/chutelock/internal/system"
 )
 
-// reloadInterval is how often the settings file is looked at without a signal.
+// reloadInterval is how often the settings file is read without a SIGHUP.
 const reloadInterval = 3 * time.Second
 
-// takeHangups takes SIGHUPs from now on for good: one that nobody takes ends the process,
-// with all that it has under way, also before its settings are followed and while it
-// stops.
-func takeHangups() <-chan os.Signal {
+// notifyHangups catches SIGHUP for the life of the process, because an uncaught
+// SIGHUP would end it, also during startup and drain.
+func notifyHangups() <-chan os.Signal {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	return hangups
 }
 
-// followSettings reads the settings again at each hangup and now and then, and hands
-// them on if they changed, until ctx ends.
-func followSettings(
-	ctx context.Context, hangups <-chan os.Signal, inForce *config.Node, load func() (*config.Node, error), apply func(*config.Node),
+// watchSettings loads the settings at each SIGHUP and every reloadInterval until ctx is
+// done. It applies them after a SIGHUP, or if they changed.
+func watchSettings(
+	ctx context.Context, hangups <-chan os.Signal, current *config.Node, load func() (*config.Node, error), apply func(*config.Node),
 ) {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	for {
-		asked := false
+		signaled := false
 		select {
 		case <-ctx.Done():
 			return
 		case <-hangups:
-			asked = true
+			signaled = true
 		case <-ticker.C:
 		}
-		read, err := load()
+		loaded, err := load()
 		switch {
-		case err != nil && asked:
+		case err != nil && signaled:
 			system.EventSettingsRefused.Error(err)
-		case err == nil && (asked || !reflect.DeepEqual(read, inForce)):
-			inForce = read
-			apply(read)
+		case err == nil && (signaled || !reflect.DeepEqual(loaded, current)):
+			current = loaded
+			apply(loaded)
 		}
 	}
 }
