--- a/cmd/chutelockctl/apply.go
+++ b/cmd/chutelockctl/apply.go
@@ -39,9 +39,10 @@
 -recover-store writes what is in force to a store that had gone back (an old
 copy was restored), and makes all nodes take the store's word again.`
 
-// fileList is a flag that may be given several times.
+// fileList is a repeatable flag.
 type fileList []string
 
+// String implements flag.Value.
 func (l *fileList) String() string { return fmt.Sprint(*l) }
 
 // Set implements flag.Value.
@@ -57,7 +58,7 @@
 	change.register(flags)
 	flags.Var(&files, "f", "YAML `file`, or folder of files; may be repeated")
 	recover := flags.Bool("recover-store", false, "write what is in force to a store that went back")
-	usageOf(flags, applyUsage)
+	setUsage(flags, applyUsage)
 	if code, ok := change.parse(flags, arguments); !ok {
 		return code
 	}
@@ -72,10 +73,10 @@
 	if code != exitOK {
 		return code
 	}
-	return change.change(operator.ApplyRequest{Nodes: nodes})
+	return change.apply(operator.ApplyRequest{Nodes: nodes})
 }
 
-// readNodes reads and checks all files.
+// readNodes reads and validates the nodes of all files; the code is exitOK on success.
 func readNodes(files []string) ([]operator.NodeBody, int) {
 	var bodies []operator.NodeBody
 	for _, file := range files {
--- a/cmd/chutelockctl/batch.go
+++ b/cmd/chutelockctl/batch.go
@@ -14,7 +14,7 @@
 	pathBatches = "/v1/batches"
 )
 
-// batchObject is OpenAI's batch, as far as it is shown.
+// batchObject holds the fields of an OpenAI batch that are shown.
 type batchObject struct {
 	ID               string            `json:"id"`
 	Status           string            `json:"status"`
@@ -36,9 +36,10 @@
 	Failed    int `json:"failed"`
 }
 
+// final reports whether the status can't change any more.
 func (b *batchObject) final() bool { return b.Status != "in_progress" && b.Status != "validating" }
 
-// exitCode is the exit code for a final batch.
+// exitCode returns the exit code for a final batch.
 func (b *batchObject) exitCode() int {
 	if b.RequestCounts.Completed == b.RequestCounts.Total {
 		return exitOK
@@ -57,38 +58,37 @@
 	return time.Unix(seconds, 0).UTC().Format(time.RFC3339)
 }
 
-// printBatches writes batches in the chosen format; JSON has one batch alone
-// as an object.
-func printBatches(shared *connection, value any, batches ...batchObject) int {
+// printBatches writes batches as a table, or value as JSON, to standard output.
+func printBatches(conn *connection, value any, batches ...batchObject) int {
 	rows := make([]string, 0, len(batches))
 	for i := range batches {
 		rows = append(rows, batches[i].row())
 	}
-	if err := shared.print(os.Stdout, value, batchHeader, rows); err != nil {
+	if err := conn.print(os.Stdout, value, batchHeader, rows); err != nil {
 		fmt.Fprintf(os.Stderr, "print: %v\n", err)
 		return exitFailure
 	}
 	return exitOK
 }
 
-// getBatch reads one batch.
+// getBatch reads a batch; the code is exitOK on success.
 func getBatch(client *resty.Client, id string) (batchObject, int) {
 	var found batchObject
 	response, err := client.R().SetResult(&found).SetPathParam("id", id).Get(pathBatches + "/{id}")
-	return found, failed("get batch "+id, response, err)
+	return found, responseExitCode("get batch "+id, response, err)
 }
 
 const (
-	firstPoll   = 200 * time.Millisecond
-	longestPoll = 5 * time.Second
+	minPollInterval = 200 * time.Millisecond
+	maxPollInterval = 5 * time.Second
 )
 
-// waitForBatch waits until the batch is final and shows its progress on
-// standard error. It goes on while the server can't be reached.
+// waitForBatch polls a batch until it is final or the timeout passes, and shows
+// progress on standard error. It keeps polling while the server is unavailable.
 func waitForBatch(client *resty.Client, id string, timeout time.Duration) (batchObject, int) {
 	deadline := time.Now().Add(timeout)
 	shown := ""
-	for poll := firstPoll; ; poll = min(poll*3/2, longestPoll) {
+	for interval := minPollInterval; ; interval = min(interval*3/2, maxPollInterval) {
 		found, code := getBatch(client, id)
 		if code != exitOK && code != exitUnavailable {
 			return found, code
@@ -103,11 +103,11 @@
 			fmt.Fprintf(os.Stderr, "%s is not final after %s\n", id, timeout)
 			return found, exitFailure
 		}
-		time.Sleep(poll)
+		time.Sleep(interval)
 	}
 }
 
-// showProgress writes a line if it differs from the last one shown.
+// showProgress writes a progress line if it differs from shown, and returns it.
 func showProgress(found *batchObject, shown string) string {
 	counts := found.RequestCounts
 	progress := fmt.Sprintf("%s: %s, %d of %d done, %d failed", found.ID, found.Status, counts.Completed, counts.Total,
@@ -118,12 +118,12 @@
 	return progress
 }
 
-// progressReader counts what is read of an upload and shows it now and then.
+// progressReader reads a file and reports progress every progressInterval.
 type progressReader struct {
-	file  *os.File
-	size  int64
-	read  int64
-	shown time.Time
+	file      *os.File
+	size      int64
+	read      int64
+	lastShown time.Time
 }
 
 const progressInterval = time.Second
@@ -132,8 +132,8 @@
 func (p *progressReader) Read(into []byte) (int, error) {
 	count, err := p.file.Read(into)
 	p.read += int64(count)
-	if time.Since(p.shown) >= progressInterval {
-		p.shown = time.Now()
+	if time.Since(p.lastShown) >= progressInterval {
+		p.lastShown = time.Now()
 		fmt.Fprintf(os.Stderr, "uploaded %d of %d bytes\n", p.read, p.size)
 	}
 	return count, err
--- a/cmd/chutelockctl/cancel.go
+++ b/cmd/chutelockctl/cancel.go
@@ -13,10 +13,10 @@
 }
 
 func runCancel(arguments []string) int {
-	var shared connection
+	var conn connection
 	flags := flag.NewFlagSet("cancel", flag.ContinueOnError)
-	shared.register(flags)
-	if code, ok := shared.parse(flags, arguments); !ok {
+	conn.register(flags)
+	if code, ok := conn.parse(flags, arguments); !ok {
 		return code
 	}
 	if flags.NArg() != 1 {
@@ -24,10 +24,10 @@
 		return exitUsage
 	}
 	var cancelled batchObject
-	response, err := shared.client().R().SetResult(&cancelled).SetPathParam("id", flags.Arg(0)).
+	response, err := conn.client().R().SetResult(&cancelled).SetPathParam("id", flags.Arg(0)).
 		Post(pathBatches + "/{id}/cancel")
-	if code := failed("cancel", response, err); code != exitOK {
+	if code := responseExitCode("cancel", response, err); code != exitOK {
 		return code
 	}
-	return printBatches(&shared, cancelled, cancelled)
+	return printBatches(&conn, cancelled, cancelled)
 }
--- a/cmd/chutelockctl/connection.go
+++ b/cmd/chutelockctl/connection.go
@@ -13,12 +13,12 @@
 	"github.com/go-resty/resty/v2"
 )
 
-// Exit codes of every verb, beside exitUsage.
+// Exit codes of the subcommands, besides exitUsage.
 const (
 	exitOK          = 0
-	exitFailure     = 1 // the request failed, or its outcome is not known
+	exitFailure     = 1 // the request failed, or its outcome is unknown
 	exitRefused     = 3 // the server refused the request (4xx)
-	exitUnavailable = 4 // the server could not be reached, or answered not_run
+	exitUnavailable = 4 // the server was unreachable or responded not_run
 	exitIncomplete  = 5 // the job ended with failed, expired or cancelled items
 )
 
@@ -28,7 +28,7 @@
 	outputJSON  = "json"
 )
 
-// Environment variables that give the defaults of the connection flags.
+// Environment variables with defaults of the connection flags.
 const (
 	environmentServer = "CHUTELOCK_SERVER"
 	environmentKey    = "CHUTELOCK_KEY"
@@ -39,7 +39,7 @@
 	requestTimeout = 60 * time.Second
 )
 
-// connection holds the flags that every verb shares.
+// connection holds the flags for the server and the output format.
 type connection struct {
 	server string
 	key    string
@@ -53,8 +53,8 @@
 	flags.StringVar(&c.output, "o", outputTable, "output format: table or json")
 }
 
-// parse parses the verb's arguments and checks the shared flags; ok is false
-// when the verb must return code.
+// parse parses the arguments and checks the output format; if ok is false, the
+// subcommand must return code.
 func (c *connection) parse(flags *flag.FlagSet, arguments []string) (code int, ok bool) {
 	if err := flags.Parse(arguments); err != nil {
 		if errors.Is(err, flag.ErrHelp) {
@@ -69,7 +69,7 @@
 	return exitOK, true
 }
 
-// client returns an HTTP client for the server, with the key set.
+// client returns an HTTP client for the server that sends the key.
 func (c *connection) client() *resty.Client {
 	client := resty.New().SetBaseURL(c.server).SetTimeout(requestTimeout)
 	if c.key != "" {
@@ -93,7 +93,7 @@
 	return table.Flush()
 }
 
-// errorBody is the OpenAI-shaped error of an answer.
+// errorBody is an error response in OpenAI's format.
 type errorBody struct {
 	Error struct {
 		Code    string `json:"code"`
@@ -102,9 +102,9 @@
 	} `json:"error"`
 }
 
-// failed reports a failed call on standard error and returns the exit code;
-// it returns exitOK for a call that succeeded.
-func failed(step string, response *resty.Response, err error) int {
+// responseExitCode returns the exit code for a response, and writes a failure to
+// standard error.
+func responseExitCode(step string, response *resty.Response, err error) int {
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", step, err)
 		return exitUnavailable
--- a/cmd/chutelockctl/delete.go
+++ b/cmd/chutelockctl/delete.go
@@ -27,7 +27,7 @@
 	var change changeFlags
 	change.register(flags)
 	recursive := flags.Bool("r", false, "delete all below the paths as well")
-	usageOf(flags, deleteUsage)
+	setUsage(flags, deleteUsage)
 	if code, ok := change.parse(flags, arguments); !ok {
 		return code
 	}
@@ -35,5 +35,5 @@
 		fmt.Fprintln(os.Stderr, "delete: name the paths; `chutelockctl delete -h` explains")
 		return exitUsage
 	}
-	return change.change(operator.ApplyRequest{Change: command.Change{Delete: flags.Args(), Recursive: *recursive}})
+	return change.apply(operator.ApplyRequest{Change: command.Change{Delete: flags.Args(), Recursive: *recursive}})
 }
--- a/cmd/chutelockctl/events.go
+++ b/cmd/chutelockctl/events.go
@@ -29,8 +29,8 @@
 
 func runEvents(arguments []string) int {
 	flags := flag.NewFlagSet("events", flag.ContinueOnError)
-	var connection connection
-	connection.register(flags)
+	var conn connection
+	conn.register(flags)
 	from := flags.Int("from", 0, "lowest event `number`")
 	to := flags.Int("to", 9999, "highest event `number`")
 	limit := flags.Int("limit", 50, "largest `count` of events")
@@ -38,14 +38,14 @@
 		fmt.Fprintln(flags.Output(), eventsUsage)
 		flags.PrintDefaults()
 	}
-	if code, ok := connection.parse(flags, arguments); !ok {
+	if code, ok := conn.parse(flags, arguments); !ok {
 		return code
 	}
 	var records []telemetry.Record
-	response, err := connection.client().R().SetResult(&records).SetQueryParams(map[string]string{
+	response, err := conn.client().R().SetResult(&records).SetQueryParams(map[string]string{
 		"from": strconv.Itoa(*from), "to": strconv.Itoa(*to), "limit": strconv.Itoa(*limit),
 	}).Get(query.PathEvents)
-	if code := failed("events", response, err); code != exitOK {
+	if code := responseExitCode("events", response, err); code != exitOK {
 		return code
 	}
 	var rows []string
@@ -53,14 +53,14 @@
 		rows = append(rows, fmt.Sprintf("%s\t%d\t%s\t%s", record.At.Format(time.TimeOnly+".000"),
 			record.Number, record.Name, detailText(record)))
 	}
-	if err := connection.print(os.Stdout, records, "AT\tNUMBER\tEVENT\tDETAILS", rows); err != nil {
+	if err := conn.print(os.Stdout, records, "AT\tNUMBER\tEVENT\tDETAILS", rows); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitFailure
 	}
 	return exitOK
 }
 
-// detailText puts the details of an event that say something in one line.
+// detailText formats an event's nonzero details and its error in one line.
 func detailText(record telemetry.Record) string {
 	var parts []string
 	for key, value := range record.Details {
--- a/cmd/chutelockctl/explain.go
+++ b/cmd/chutelockctl/explain.go
@@ -23,10 +23,10 @@
 
 func runExplain(arguments []string) int {
 	flags := flag.NewFlagSet("explain", flag.ContinueOnError)
-	var connection connection
-	connection.register(flags)
-	usageOf(flags, explainUsage)
-	if code, ok := connection.parse(flags, arguments); !ok {
+	var conn connection
+	conn.register(flags)
+	setUsage(flags, explainUsage)
+	if code, ok := conn.parse(flags, arguments); !ok {
 		return code
 	}
 	if flags.NArg() != 1 {
@@ -34,15 +34,15 @@
 		return exitUsage
 	}
 	var explanation tree.Explanation
-	response, err := connection.client().R().SetQueryParam("path", flags.Arg(0)).SetResult(&explanation).Get(operator.PathExplain)
+	response, err := conn.client().R().SetQueryParam("path", flags.Arg(0)).SetResult(&explanation).Get(operator.PathExplain)
 	if err != nil || !response.IsSuccess() {
-		return explainFailure(response, err, "")
+		return settingsFailure(response, err, "")
 	}
 	var rows []string
 	for _, value := range explanation.Values {
 		rows = append(rows, fmt.Sprintf("%s\t%s\t%s", value.Field, value.Value, value.From))
 	}
-	if err := connection.print(os.Stdout, explanation, "FIELD\tVALUE\tFROM", rows); err != nil {
+	if err := conn.print(os.Stdout, explanation, "FIELD\tVALUE\tFROM", rows); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitFailure
 	}
--- a/cmd/chutelockctl/explainrequest.go
+++ b/cmd/chutelockctl/explainrequest.go
@@ -13,17 +13,17 @@
 
 func init() {
 	subcommands = append(subcommands, commandline.Verb{
-		Name: "explain-request", Summary: "the story of a request, item or job from log files or standard input", Run: explainRequest,
+		Name: "explain-request", Summary: "the story of a request, item or job from log files or standard input", Run: runExplainRequest,
 	})
 }
 
-// Exit codes of explain-request beside exitUsage.
+// Exit codes of explain-request and explain-span, besides exitUsage.
 const (
-	exitUnread   = 1 // a file can't be read
-	exitNotFound = 3 // no line names the identifier
+	exitReadFailure = 1 // a file can't be read, or the output can't be written
+	exitNotFound    = 3 // no log line matches
 )
 
-func explainRequest(arguments []string) int {
+func runExplainRequest(arguments []string) int {
 	flags := flag.NewFlagSet("explain-request", flag.ContinueOnError)
 	format := flags.String("o", "table", "`format`: table or json")
 	flags.Usage = func() {
@@ -37,7 +37,7 @@
 	entries, err := readLogs(flags.Args()[1:])
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "chutelockctl:", err)
-		return exitUnread
+		return exitReadFailure
 	}
 	story := logstory.Tell(entries, flags.Arg(0))
 	if len(story) == 0 {
@@ -46,7 +46,7 @@
 	}
 	if err := writeStory(os.Stdout, *format, story); err != nil {
 		fmt.Fprintln(os.Stderr, "chutelockctl:", err)
-		return exitUnread
+		return exitReadFailure
 	}
 	return 0
 }
@@ -58,7 +58,7 @@
 	return logstory.Write(out, story)
 }
 
-// readLogs reads the files, or standard input if there are none.
+// readLogs reads log files, or standard input if paths is empty.
 func readLogs(paths []string) ([]logstory.Entry, error) {
 	if len(paths) == 0 {
 		return logstory.Read(os.Stdin, "stdin")
--- a/cmd/chutelockctl/explainspan.go
+++ b/cmd/chutelockctl/explainspan.go
@@ -18,7 +18,7 @@
 
 func init() {
 	subcommands = append(subcommands, commandline.Verb{
-		Name: "explain-span", Summary: "what happened in each second, from log files or standard input", Run: explainSpan,
+		Name: "explain-span", Summary: "what happened in each second, from log files or standard input", Run: runExplainSpan,
 	})
 }
 
@@ -29,34 +29,34 @@
 
   chutelockctl explain-span -since 2026-07-31T07:51:10Z front-*.log data-*.log`
 
-func explainSpan(arguments []string) int {
+func runExplainSpan(arguments []string) int {
 	flags := flag.NewFlagSet("explain-span", flag.ContinueOnError)
 	format := flags.String("o", "table", "`format`: table or json")
-	each := flags.Duration("each", time.Second, "length of a row")
+	length := flags.Duration("each", time.Second, "length of a row")
 	var since, until time.Time
 	flags.Func("since", "first `time` (RFC 3339)", parseTime(&since))
 	flags.Func("until", "`time` (RFC 3339) from which on nothing is told", parseTime(&until))
-	usageOf(flags, explainSpanUsage)
+	setUsage(flags, explainSpanUsage)
 	if flags.Parse(arguments) != nil {
 		return exitUsage
 	}
-	if *each <= 0 || (*format != "table" && *format != "json") {
+	if *length <= 0 || (*format != "table" && *format != "json") {
 		flags.Usage()
 		return exitUsage
 	}
 	entries, err := readLogs(flags.Args())
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "chutelockctl:", err)
-		return exitUnread
+		return exitReadFailure
 	}
-	spans := logstory.Spans(entries, since, until, *each)
+	spans := logstory.Spans(entries, since, until, *length)
 	if len(spans) == 0 {
 		fmt.Fprintln(os.Stderr, "chutelockctl: no line tells of requests or items")
 		return exitNotFound
 	}
 	if err := writeSpans(os.Stdout, *format, spans); err != nil {
 		fmt.Fprintln(os.Stderr, "chutelockctl:", err)
-		return exitUnread
+		return exitReadFailure
 	}
 	return 0
 }
@@ -77,13 +77,13 @@
 	for i := range spans {
 		s := &spans[i]
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\n", s.From.Format("15:04:05.000"), s.Served, s.Late,
-			s.RefusedTotal(), s.HeldMost, s.Aborted, s.Left, s.Failed, s.ItemsOpen, s.ItemsRunning, s.ItemsSent, s.ItemsCut, cmp.Or(strings.Join(s.Drained, " "), "-"), byCause(s.Refused))
+			s.RefusedTotal(), s.HeldMost, s.Aborted, s.Left, s.Failed, s.ItemsOpen, s.ItemsRunning, s.ItemsSent, s.ItemsCut, cmp.Or(strings.Join(s.Drained, " "), "-"), formatCauses(s.Refused))
 	}
 	return table.Flush()
 }
 
-// byCause lists counts by cause, the greatest first.
-func byCause(counts map[string]int) string {
+// formatCauses lists counts by cause in descending order.
+func formatCauses(counts map[string]int) string {
 	causes := make([]string, 0, len(counts))
 	for cause := range counts {
 		causes = append(causes, cause)
@@ -94,9 +94,9 @@
 		}
 		return strings.Compare(a, b)
 	})
-	told := make([]string, 0, len(causes))
+	parts := make([]string, 0, len(causes))
 	for _, cause := range causes {
-		told = append(told, fmt.Sprintf("%d %s", counts[cause], cause))
+		parts = append(parts, fmt.Sprintf("%d %s", counts[cause], cause))
 	}
-	return strings.Join(told, "; ")
+	return strings.Join(parts, "; ")
 }
--- a/cmd/chutelockctl/explainspan_test.go
+++ b/cmd/chutelockctl/explainspan_test.go
@@ -10,7 +10,8 @@
 	"chutelock.dev/chutelock/internal/logstory"
 )
 
-func TestASpansRowTellsRefusalsByCause(t *testing.T) {
+// Guards against a row that misplaces columns or omits causes of refusals.
+func TestWriteSpansListsRefusalsByCause(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var out strings.Builder
 	g.Expect(writeSpans(&out, "table", []logstory.Span{{
--- a/cmd/chutelockctl/fleet.go
+++ b/cmd/chutelockctl/fleet.go
@@ -32,23 +32,23 @@
 
   chutelockctl fleet -server http://127.0.0.1:9080 engines`
 
-// Parts of the listing.
+// Arguments of fleet, each of which names a table.
 const (
-	partNodes   = "nodes"
-	partEngines = "engines"
-	partZones   = "zones"
-	partShards  = "shards"
-	partVersion = "settings"
+	partNodes    = "nodes"
+	partEngines  = "engines"
+	partZones    = "zones"
+	partShards   = "shards"
+	partSettings = "settings"
 )
 
-// fleetView is all that a node tells of the fleet.
+// fleetView is the fleet's state as reported by one node.
 type fleetView struct {
 	query.Fleet
 	Ledger   replica.Status        `json:"ledger"`
 	Settings settings.StatusAnswer `json:"settings"`
 }
 
-// readFleet asks the node for all parts.
+// readFleet requests the state from the node; the code is exitOK on success.
 func readFleet(client *resty.Client) (*fleetView, int) {
 	var view fleetView
 	for path, into := range map[string]any{
@@ -57,7 +57,7 @@
 		settings.PathStatus: &view.Settings,
 	} {
 		response, err := client.R().SetResult(into).Get(path)
-		if code := failed("fleet", response, err); code != exitOK {
+		if code := responseExitCode("fleet", response, err); code != exitOK {
 			return nil, code
 		}
 	}
@@ -66,24 +66,24 @@
 
 func runFleet(arguments []string) int {
 	flags := flag.NewFlagSet("fleet", flag.ContinueOnError)
-	var connection connection
-	connection.register(flags)
+	var conn connection
+	conn.register(flags)
 	flags.Usage = func() {
 		fmt.Fprintln(flags.Output(), fleetUsage)
 		flags.PrintDefaults()
 	}
-	if code, ok := connection.parse(flags, arguments); !ok {
+	if code, ok := conn.parse(flags, arguments); !ok {
 		return code
 	}
 	parts := flags.Args()
 	if len(parts) == 0 {
 		parts = []string{partNodes, partEngines, partShards}
 	}
-	fleet, code := readFleet(connection.client())
+	fleet, code := readFleet(conn.client())
 	if code != exitOK {
 		return code
 	}
-	if connection.output == outputJSON {
+	if conn.output == outputJSON {
 		parts = parts[:1]
 	}
 	for _, part := range parts {
@@ -92,7 +92,7 @@
 			fmt.Fprintf(os.Stderr, "fleet: no part %q; want nodes, engines, zones, shards or settings\n", part)
 			return exitUsage
 		}
-		if err := connection.print(os.Stdout, fleet, header, rows); err != nil {
+		if err := conn.print(os.Stdout, fleet, header, rows); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			return exitFailure
 		}
@@ -100,8 +100,8 @@
 	return exitOK
 }
 
-// fleetTable returns the header and the rows of a part, or no header for an
-// unknown one.
+// fleetTable returns the header and rows of a part; the header is empty if the
+// part is unknown.
 func fleetTable(fleet *fleetView, part string, now time.Time) (header string, rows []string) {
 	switch part {
 	case partNodes:
@@ -112,7 +112,7 @@
 		return "ZONE\tMODEL\tENGINES\tRUNNING\tWAITING\tAGE", zoneRows(fleet, now)
 	case partShards:
 		return "SHARD\tLEADER\tTERM\tHERE\tCOMMIT\tQUORUM\tREPLICAS", shardRows(fleet)
-	case partVersion:
+	case partSettings:
 		return "ZONE\tIN FORCE\tNODES", versionRows(fleet)
 	}
 	return "", nil
@@ -185,7 +185,7 @@
 	return rows
 }
 
-// age says how old a report is; a report that never came is "never".
+// age formats a report's age, or "never" if there was no report.
 func age(now, at time.Time) string {
 	if at.IsZero() {
 		return "never"
--- a/cmd/chutelockctl/get.go
+++ b/cmd/chutelockctl/get.go
@@ -27,37 +27,37 @@
 
 func runGet(arguments []string) int {
 	flags := flag.NewFlagSet("get", flag.ContinueOnError)
-	var connection connection
-	connection.register(flags)
+	var conn connection
+	conn.register(flags)
 	recursive := flags.Bool("r", false, "show all below the path as well")
 	asYAML := flags.Bool("yaml", false, "print YAML documents for apply")
-	usageOf(flags, getUsage)
-	if code, ok := connection.parse(flags, arguments); !ok {
+	setUsage(flags, getUsage)
+	if code, ok := conn.parse(flags, arguments); !ok {
 		return code
 	}
 	if flags.NArg() > 1 {
 		fmt.Fprintln(os.Stderr, "get: name at most one path; `chutelockctl get -h` explains")
 		return exitUsage
 	}
-	request := connection.client().R().SetQueryParam("path", flags.Arg(0))
+	request := conn.client().R().SetQueryParam("path", flags.Arg(0))
 	if *recursive || flags.Arg(0) == "" {
 		request.SetQueryParam("recursive", "1")
 	}
 	var list operator.NodesAnswer
 	response, err := request.SetResult(&list).Get(operator.PathNodes)
 	if err != nil || !response.IsSuccess() {
-		return explainFailure(response, err, "")
+		return settingsFailure(response, err, "")
 	}
-	if err := printNodes(&connection, &list, *asYAML); err != nil {
+	if err := printNodes(&conn, &list, *asYAML); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitFailure
 	}
 	return exitOK
 }
 
-func printNodes(connection *connection, list *operator.NodesAnswer, asYAML bool) error {
+func printNodes(conn *connection, list *operator.NodesAnswer, asYAML bool) error {
 	if !asYAML {
-		return connection.print(os.Stdout, list, "PATH\tREVISION\tSETS", nodeRows(list))
+		return conn.print(os.Stdout, list, "PATH\tREVISION\tSETS", nodeRows(list))
 	}
 	for _, body := range list.Nodes {
 		text, err := tree.FormatYAML(body.Path, body.Revision, body.Spec)
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// nodeRows shows what each node sets, without who changed it.
+// nodeRows lists the fields that each node sets, without its change metadata.
 func nodeRows(list *operator.NodesAnswer) []string {
 	var rows []string
 	for _, body := range list.Nodes {
--- a/cmd/chutelockctl/jobs.go
+++ b/cmd/chutelockctl/jobs.go
@@ -13,27 +13,27 @@
 	subcommands = append(subcommands, commandline.Verb{Name: "jobs", Summary: "list batch jobs, or show or watch one", Run: runJobs})
 }
 
-const defaultListed = 20
+const defaultListLimit = 20
 
 func runJobs(arguments []string) int {
-	var shared connection
+	var conn connection
 	flags := flag.NewFlagSet("jobs", flag.ContinueOnError)
-	shared.register(flags)
-	limit := flags.Int("limit", defaultListed, "how many to list, 1 to 100")
+	conn.register(flags)
+	limit := flags.Int("limit", defaultListLimit, "how many to list, 1 to 100")
 	after := flags.String("after", "", "list those behind this job")
 	wait := flags.Bool("wait", false, "with a job: wait until it is final, and show its progress")
 	waitTimeout := flags.Duration("wait-timeout", defaultWaitTimeout, "longest wait with -wait")
-	if code, ok := shared.parse(flags, arguments); !ok {
+	if code, ok := conn.parse(flags, arguments); !ok {
 		return code
 	}
-	client := shared.client()
+	client := conn.client()
 	switch {
 	case flags.NArg() > 1 || (*wait && flags.NArg() == 0):
 		fmt.Fprintln(os.Stderr, "usage: chutelockctl jobs [flags] [JOB]")
 		return exitUsage
 	case *wait:
 		found, code := waitForBatch(client, flags.Arg(0), *waitTimeout)
-		if printed := printBatches(&shared, found, found); printed != exitOK {
+		if printed := printBatches(&conn, found, found); printed != exitOK {
 			return printed
 		}
 		return code
@@ -42,28 +42,28 @@
 		if code != exitOK {
 			return code
 		}
-		return printBatches(&shared, found, found)
+		return printBatches(&conn, found, found)
 	default:
-		return listJobs(&shared, *limit, *after)
+		return listJobs(&conn, *limit, *after)
 	}
 }
 
-func listJobs(shared *connection, limit int, after string) int {
+func listJobs(conn *connection, limit int, after string) int {
 	var list struct {
 		Data    []batchObject `json:"data"`
 		HasMore bool          `json:"has_more"`
 		LastID  string        `json:"last_id,omitempty"`
 	}
-	request := shared.client().R().SetResult(&list).SetQueryParam("limit", strconv.Itoa(limit))
+	request := conn.client().R().SetResult(&list).SetQueryParam("limit", strconv.Itoa(limit))
 	if after != "" {
 		request.SetQueryParam("after", after)
 	}
 	response, err := request.Get(pathBatches)
-	if code := failed("list jobs", response, err); code != exitOK {
+	if code := responseExitCode("list jobs", response, err); code != exitOK {
 		return code
 	}
-	code := printBatches(shared, list, list.Data...)
-	if list.HasMore && shared.output == outputTable {
+	code := printBatches(conn, list, list.Data...)
+	if list.HasMore && conn.output == outputTable {
 		fmt.Fprintf(os.Stderr, "there are more: -after %s\n", list.LastID)
 	}
 	return code
--- a/cmd/chutelockctl/main.go
+++ b/cmd/chutelockctl/main.go
@@ -1,4 +1,4 @@
-// Command chutelockctl is the command line of operators and clerks.
+// Command chutelockctl manages settings and batch jobs, and shows the fleet's state.
 package main
 
 import (
@@ -7,7 +7,7 @@
 	"chutelock.dev/chutelock/internal/commandline"
 )
 
-// exitUsage is the exit code for a wrong command line.
+// exitUsage is the exit code for an invalid command line.
 const exitUsage = commandline.ExitUsage
 
 // subcommands is filled by the init functions of this package's other files.
--- a/cmd/chutelockctl/results.go
+++ b/cmd/chutelockctl/results.go
@@ -15,19 +15,19 @@
 }
 
 func runResults(arguments []string) int {
-	var shared connection
+	var conn connection
 	flags := flag.NewFlagSet("results", flag.ContinueOnError)
-	shared.register(flags)
+	conn.register(flags)
 	errorsOnly := flags.Bool("errors", false, "write the error file: items that failed, expired or were cancelled")
 	target := flags.String("f", "", "file to write; default standard output")
-	if code, ok := shared.parse(flags, arguments); !ok {
+	if code, ok := conn.parse(flags, arguments); !ok {
 		return code
 	}
 	if flags.NArg() != 1 {
 		fmt.Fprintln(os.Stderr, "usage: chutelockctl results [flags] JOB")
 		return exitUsage
 	}
-	found, code := getBatch(shared.client(), flags.Arg(0))
+	found, code := getBatch(conn.client(), flags.Arg(0))
 	if code != exitOK {
 		return code
 	}
@@ -42,15 +42,15 @@
 		fmt.Fprintln(os.Stderr, "there are none")
 		return exitOK
 	}
-	return download(&shared, fileID, *target)
+	return download(&conn, fileID, *target)
 }
 
-// download writes a file's content, to a file only once it is whole.
-func download(shared *connection, fileID, target string) int {
-	client := shared.client().SetTimeout(uploadTimeout)
+// download writes a file's content to standard output or, atomically, to target.
+func download(conn *connection, fileID, target string) int {
+	client := conn.client().SetTimeout(uploadTimeout)
 	response, err := client.R().SetDoNotParseResponse(true).SetPathParam("id", fileID).Get(pathFiles + "/{id}/content")
 	if err != nil {
-		return failed("read results", response, err)
+		return responseExitCode("read results", response, err)
 	}
 	content := response.RawBody()
 	defer func() { _ = content.Close() }()
@@ -62,7 +62,7 @@
 	if target == "" {
 		_, err = io.Copy(os.Stdout, content)
 	} else {
-		err = writeWhole(target, content)
+		err = writeAtomically(target, content)
 	}
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "read results: %v\n", err)
@@ -71,15 +71,16 @@
 	return exitOK
 }
 
-// maxErrorBody bounds what is shown of an error, in bytes.
+// maxErrorBody is the maximum length of an error that is shown, in bytes.
 const maxErrorBody = 4 << 10
 
-func writeWhole(target string, content io.Reader) error {
+// writeAtomically creates or replaces target only after all content is read.
+func writeAtomically(target string, content io.Reader) error {
 	temporary, err := os.CreateTemp(filepath.Dir(target), ".results-*")
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.Remove(temporary.Name()) }() // gone already after the rename
+	defer func() { _ = os.Remove(temporary.Name()) }() // fails harmlessly after the rename
 	if _, err := io.Copy(temporary, content); err != nil {
 		_ = temporary.Close()
 		return err
--- a/cmd/chutelockctl/settings.go
+++ b/cmd/chutelockctl/settings.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	// changeTries bounds the tries of a change whose answer is lost; the id of
-	// the change makes them safe.
-	changeTries = 4
-	changeRetry = 500 * time.Millisecond
-	waitPoll    = 200 * time.Millisecond
+	// maxChangeAttempts bounds the attempts of a change; its id makes retries
+	// idempotent.
+	maxChangeAttempts  = 4
+	changeRetryDelay   = 500 * time.Millisecond
+	statusPollInterval = 200 * time.Millisecond
 )
 
-// changeFlags are what all verbs that change settings share.
+// changeFlags holds the flags of subcommands that change settings.
 type changeFlags struct {
 	connection
 	id      string
@@ -43,8 +43,8 @@
 	flags.DurationVar(&c.timeout, "timeout", 30*time.Second, "longest `time` to wait with -wait")
 }
 
-// usageOf teaches a verb.
-func usageOf(flags *flag.FlagSet, text string) {
+// setUsage makes -h print text, the flags and the exit codes.
+func setUsage(flags *flag.FlagSet, text string) {
 	flags.Usage = func() {
 		fmt.Fprintln(flags.Output(), text)
 		fmt.Fprintln(flags.Output(), "\nFlags:")
@@ -64,23 +64,23 @@
   4  no node could be reached, or the node can't take changes now: try again,
      or another -server`
 
-// send makes a change, and tries again with the same id when an answer is lost.
+// send posts a change, and retries it if its outcome is unknown or the node is unavailable.
 func (c *changeFlags) send(path string, body any, answer any) int {
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		response, err := c.client().R().SetBody(body).SetResult(answer).Post(path)
 		if err == nil && response.IsSuccess() {
 			return exitOK
 		}
-		lost := err != nil || response.StatusCode() == http.StatusGatewayTimeout || response.StatusCode() == http.StatusServiceUnavailable
-		if !lost || try == changeTries {
-			return explainFailure(response, err, c.id)
+		retryable := err != nil || response.StatusCode() == http.StatusGatewayTimeout || response.StatusCode() == http.StatusServiceUnavailable
+		if !retryable || attempt == maxChangeAttempts {
+			return settingsFailure(response, err, c.id)
 		}
-		time.Sleep(changeRetry)
+		time.Sleep(changeRetryDelay)
 	}
 }
 
-// explainFailure reports a refused or failed settings call.
-func explainFailure(response *resty.Response, err error, id string) int {
+// settingsFailure reports a failed settings request and returns the exit code.
+func settingsFailure(response *resty.Response, err error, id string) int {
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%v\nno answer: try another -server", err)
 		if id != "" {
@@ -117,8 +117,8 @@
 	return paths
 }
 
-// change sends a change, shows what it did, and waits if it was asked to.
-func (c *changeFlags) change(request operator.ApplyRequest) int {
+// apply sends a change, prints its result and, with -wait, waits until it is in force.
+func (c *changeFlags) apply(request operator.ApplyRequest) int {
 	if c.id == "" {
 		c.id = uuid.NewString()
 	}
@@ -153,39 +153,39 @@
 	return rows
 }
 
-// waitInForce returns once every zone reports a version in force.
+// waitInForce waits until every zone reports the version in force, for c.timeout at most.
 func (c *changeFlags) waitInForce(version settings.Version) int {
-	began := time.Now()
+	start := time.Now()
 	for {
 		var status operator.StatusAnswer
 		response, err := c.client().R().SetResult(&status).Get(operator.PathStatus)
-		late := ""
+		behind := ""
 		if err == nil && response.IsSuccess() {
-			if late = lateZones(&status, version); late == "" {
-				fmt.Fprintf(os.Stderr, "%s is in force in all %d zones after %s\n", version, len(status.Zones), time.Since(began).Round(time.Millisecond))
+			if behind = zonesBehind(&status, version); behind == "" {
+				fmt.Fprintf(os.Stderr, "%s is in force in all %d zones after %s\n", version, len(status.Zones), time.Since(start).Round(time.Millisecond))
 				return exitOK
 			}
 		}
-		if time.Since(began) >= c.timeout {
-			fmt.Fprintf(os.Stderr, "written as %s, but not known to be in force everywhere after %s: %s; see `chutelockctl fleet`\n", version, c.timeout, late)
+		if time.Since(start) >= c.timeout {
+			fmt.Fprintf(os.Stderr, "written as %s, but not known to be in force everywhere after %s: %s; see `chutelockctl fleet`\n", version, c.timeout, behind)
 			return exitFailure
 		}
-		time.Sleep(waitPoll)
+		time.Sleep(statusPollInterval)
 	}
 }
 
-// lateZones names the zones that lack a version; empty if none does.
-func lateZones(status *operator.StatusAnswer, version settings.Version) string {
+// zonesBehind lists the zones where version is not in force, or returns "".
+func zonesBehind(status *operator.StatusAnswer, version settings.Version) string {
 	if len(status.Zones) == 0 {
 		return "the zones are not known: " + status.ZonesError
 	}
-	late := ""
+	behind := ""
 	for i := range status.Zones {
 		zone := &status.Zones[i]
 		if zone.InForceAt(version) {
 			continue
 		}
-		late += fmt.Sprintf("%s (%d of %d nodes report, at least %s) ", zone.Zone, zone.Reported-zone.Unset, zone.Members, zone.Minimum)
+		behind += fmt.Sprintf("%s (%d of %d nodes report, at least %s) ", zone.Zone, zone.Reported-zone.Unset, zone.Members, zone.Minimum)
 	}
-	return late
+	return behind
 }
--- a/cmd/chutelockctl/settings_test.go
+++ b/cmd/chutelockctl/settings_test.go
@@ -13,9 +13,9 @@
 	"chutelock.dev/chutelock/internal/settings/operator"
 )
 
-// operatorServer answers applies with the given statuses in turn, the last
-// one for ever, and notes the ids of the changes.
-func operatorServer(t *testing.T, ids *[]string, statuses ...int) string {
+// newOperatorServer responds to changes with the given statuses in turn, then
+// repeats the last one, and appends the ids of the changes to ids.
+func newOperatorServer(t *testing.T, ids *[]string, statuses ...int) string {
 	t.Helper()
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+operator.PathApply, func(writer http.ResponseWriter, request *http.Request) {
@@ -42,6 +42,7 @@
 	return server.URL
 }
 
+// Guards against wrong exit codes, and against retries with another id.
 func TestApplyExitCodesAndRetries(t *testing.T) {
 	folder := t.TempDir()
 	write := func(name, text string) string {
@@ -58,8 +59,8 @@
 	}{
 		"done":                 {[]string{"-f", good}, []int{200}, exitOK, 1},
 		"answer lost":          {[]string{"-f", good, "-id", "mine"}, []int{504, 200}, exitOK, 2},
-		"never known":          {[]string{"-f", good}, []int{504}, exitFailure, changeTries},
-		"node not ready":       {[]string{"-f", good}, []int{503}, exitUnavailable, changeTries},
+		"never known":          {[]string{"-f", good}, []int{504}, exitFailure, maxChangeAttempts},
+		"node not ready":       {[]string{"-f", good}, []int{503}, exitUnavailable, maxChangeAttempts},
 		"conflict":             {[]string{"-f", good}, []int{409}, exitRefused, 1},
 		"not in force in time": {[]string{"-f", good, "-wait", "-timeout", "1ms"}, []int{200}, exitFailure, 1},
 		"bad file":             {[]string{"-f", bad}, []int{200}, exitRefused, 0},
@@ -70,20 +71,21 @@
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			var ids []string
-			server := operatorServer(t, &ids, test.statuses...)
+			server := newOperatorServer(t, &ids, test.statuses...)
 			g.Expect(runApply(append([]string{"-server", server}, test.arguments...))).To(gomega.Equal(test.want))
 			g.Expect(ids).To(gomega.HaveLen(test.calls))
 			for _, id := range ids {
-				g.Expect(id).To(gomega.Equal(ids[0]), "a repeated change has the same id")
+				g.Expect(id).To(gomega.Equal(ids[0]), "id of a retried change")
 			}
 		})
 	}
 }
 
-func TestDeleteNeedsPaths(t *testing.T) {
+// Guards against a delete without a path, and against a wrong code if no node responds.
+func TestDeleteRequiresPath(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var ids []string
-	server := operatorServer(t, &ids, 200)
+	server := newOperatorServer(t, &ids, 200)
 	g.Expect(runDelete([]string{"-server", server})).To(gomega.Equal(exitUsage))
 	g.Expect(runDelete([]string{"-server", server, "-r", "fleet/a"})).To(gomega.Equal(exitOK))
 	g.Expect(runExplain([]string{"-server", "http://127.0.0.1:1", "fleet"})).To(gomega.Equal(exitUnavailable))
--- a/cmd/chutelockctl/submit.go
+++ b/cmd/chutelockctl/submit.go
@@ -20,20 +20,20 @@
 	subcommands = append(subcommands, commandline.Verb{Name: "submit", Summary: "submit a JSONL file as a batch job", Run: runSubmit})
 }
 
-// submitOptions are the flags of submit.
+// submitOptions holds the flags of submit.
 type submitOptions struct {
 	connection
-	window      string
-	deadline    string
-	key         string
-	endpoint    string
-	once        bool
-	wait        bool
-	waitTimeout time.Duration
-	metadata    metadataFlag
+	window         string
+	deadline       string
+	idempotencyKey string
+	endpoint       string
+	notRepeatable  bool
+	wait           bool
+	waitTimeout    time.Duration
+	metadata       metadataFlag
 }
 
-// metadataFlag collects repeated NAME=VALUE flags.
+// metadataFlag is a repeatable NAME=VALUE flag.
 type metadataFlag map[string]string
 
 // String implements flag.Value.
@@ -53,11 +53,11 @@
 	defaultWindow      = "24h"
 	defaultWaitTimeout = 24 * time.Hour
 	uploadTimeout      = 30 * time.Minute
-	// submitTries is how often a submission whose outcome is not known is sent
-	// again; the idempotency key makes it the same job.
-	submitTries = 8
-	retryWait   = 500 * time.Millisecond
-	longestWait = 5 * time.Second
+	// maxSubmitAttempts bounds the attempts of an upload or a submission; the
+	// idempotency key keeps a retry from creating a second job.
+	maxSubmitAttempts = 8
+	minRetryDelay     = 500 * time.Millisecond
+	maxRetryDelay     = 5 * time.Second
 )
 
 func runSubmit(arguments []string) int {
@@ -66,9 +66,9 @@
 	options.connection.register(flags)
 	flags.StringVar(&options.window, "window", defaultWindow, "time to complete, such as 24h, 90m or 7d")
 	flags.StringVar(&options.deadline, "deadline", "", "deadline as in RFC 3339; goes before -window")
-	flags.StringVar(&options.key, "idempotency-key", "", "key that makes a resend the same job; default a fresh one")
+	flags.StringVar(&options.idempotencyKey, "idempotency-key", "", "key that makes a resend the same job; default a fresh one")
 	flags.StringVar(&options.endpoint, "endpoint", "", "path of the items; default that of the first line")
-	flags.BoolVar(&options.once, "not-repeatable", false, "send each item to an engine at most once")
+	flags.BoolVar(&options.notRepeatable, "not-repeatable", false, "send each item to an engine at most once")
 	flags.BoolVar(&options.wait, "wait", false, "wait until the job is final, and show its progress")
 	flags.DurationVar(&options.waitTimeout, "wait-timeout", defaultWaitTimeout, "longest wait with -wait")
 	flags.Var(options.metadata, "metadata", "NAME=VALUE to keep with the job; may be repeated")
@@ -83,12 +83,12 @@
 }
 
 func (o *submitOptions) run(path string) int {
-	if o.key == "" {
-		o.key = rand.Text()
+	if o.idempotencyKey == "" {
+		o.idempotencyKey = rand.Text()
 	}
 	if o.endpoint == "" {
 		var err error
-		if o.endpoint, err = firstURL(path); err != nil {
+		if o.endpoint, err = firstItemURL(path); err != nil {
 			fmt.Fprintf(os.Stderr, "%s: %v\n", path, err)
 			return exitFailure
 		}
@@ -112,8 +112,8 @@
 	return code
 }
 
-// firstURL reads the url of a file's first line.
-func firstURL(path string) (string, error) {
+// firstItemURL returns the url field of a file's first item.
+func firstItemURL(path string) (string, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return "", err
@@ -131,20 +131,20 @@
 	return line.URL, nil
 }
 
-// upload stores the file; it may be repeated, for a file that no job names is
-// removed in time.
+// upload stores the file. Retries are safe because files without a job are
+// removed after a while.
 func (o *submitOptions) upload(client *resty.Client, path string) (fileID string, code int) {
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		fileID, code = uploadOnce(client, path)
-		if code != exitUnavailable || try == submitTries {
+		if code != exitUnavailable || attempt == maxSubmitAttempts {
 			return fileID, code
 		}
-		time.Sleep(waitBefore(try))
+		time.Sleep(retryDelay(attempt))
 	}
 }
 
-func waitBefore(try int) time.Duration {
-	return min(retryWait<<(try-1), longestWait)
+func retryDelay(attempt int) time.Duration {
+	return min(minRetryDelay<<(attempt-1), maxRetryDelay)
 }
 
 func uploadOnce(client *resty.Client, path string) (fileID string, code int) {
@@ -162,18 +162,18 @@
 	var stored struct {
 		ID string `json:"id"`
 	}
-	uploading := resty.NewWithClient(client.GetClient()).SetBaseURL(client.BaseURL).SetAuthToken(client.Token).
+	uploadClient := resty.NewWithClient(client.GetClient()).SetBaseURL(client.BaseURL).SetAuthToken(client.Token).
 		SetTimeout(uploadTimeout)
-	reader := &progressReader{file: file, size: info.Size(), shown: time.Now()}
-	response, err := uploading.R().SetResult(&stored).
+	reader := &progressReader{file: file, size: info.Size(), lastShown: time.Now()}
+	response, err := uploadClient.R().SetResult(&stored).
 		SetMultipartFormData(map[string]string{"purpose": "batch"}).
 		SetFileReader("file", filepath.Base(path), reader).
 		Post(pathFiles)
-	return stored.ID, failed("upload", response, err)
+	return stored.ID, responseExitCode("upload", response, err)
 }
 
-// submit creates the batch. While the outcome is not known it sends the same
-// key again.
+// submit creates the batch, and retries with the same key unless the server
+// refuses it.
 func (o *submitOptions) submit(client *resty.Client, fileID string) (batchObject, int) {
 	body := map[string]any{"input_file_id": fileID, "endpoint": o.endpoint, "completion_window": o.window}
 	if o.deadline != "" {
@@ -184,18 +184,18 @@
 	}
 	var created batchObject
 	code := exitFailure
-	for try := 1; try <= submitTries; try++ {
-		request := client.R().SetResult(&created).SetBody(body).SetHeader("Idempotency-Key", o.key)
-		if o.once {
+	for attempt := 1; attempt <= maxSubmitAttempts; attempt++ {
+		request := client.R().SetResult(&created).SetBody(body).SetHeader("Idempotency-Key", o.idempotencyKey)
+		if o.notRepeatable {
 			request.SetHeader("Chutelock-Repeatable", "false")
 		}
 		response, err := request.Post(pathBatches)
-		code = failed("submit", response, err)
+		code = responseExitCode("submit", response, err)
 		if code == exitOK || code == exitRefused {
 			return created, code
 		}
-		time.Sleep(waitBefore(try))
+		time.Sleep(retryDelay(attempt))
 	}
-	fmt.Fprintf(os.Stderr, "it is not known whether the job was accepted; submit again with -idempotency-key %s\n", o.key)
+	fmt.Fprintf(os.Stderr, "it is not known whether the job was accepted; submit again with -idempotency-key %s\n", o.idempotencyKey)
 	return created, code
 }
