--- a/cmd/chutelock-lab/engine.go
+++ b/cmd/chutelock-lab/engine.go
@@ -43,10 +43,10 @@
 	return exitOK
 }
 
-// serveEngine runs the engine until a signal. It then says that it is leaving,
-// goes on with what it has, and ends when that is done.
+// serveEngine runs the engine until a stop signal. It then reports that it drains,
+// and waits at most config.DrainTime for the requests in flight.
 func serveEngine(config engine.Config, log *truth.Log, readyFile string) error {
-	stopped, stop := stopSignals()
+	stopped, stop := stopContext()
 	defer stop()
 	server, err := engine.New(config, log)
 	if err != nil {
@@ -68,23 +68,23 @@
 	}
 	defer host.Close()
 	ready := host.Ready()
-	registering, deregister := context.WithCancel(ctx)
+	registerCtx, deregister := context.WithCancel(ctx)
 	deregistered := make(chan struct{})
 	go func() {
 		defer close(deregistered)
-		server.Register(registering, ready.Address)
+		server.Register(registerCtx, ready.Address)
 	}()
 	if err := process.WriteReadyFile(readyFile, ready); err != nil {
 		deregister()
 		return err
 	}
 	engine.EventReady.Info("engine", config.Name, "address", ready.Address, "control", ready.Control)
-	err = untilStopped(stopped, host)
+	err = waitStopped(stopped, host)
 	server.Drain(true)
-	draining, stopDraining := context.WithTimeout(ctx, config.DrainTime)
-	defer stopDraining()
-	server.WaitIdle(draining)
-	host.Shutdown(draining)
+	drainCtx, cancelDrain := context.WithTimeout(ctx, config.DrainTime)
+	defer cancelDrain()
+	server.WaitIdle(drainCtx)
+	host.Shutdown(drainCtx)
 	deregister()
 	<-deregistered
 	engine.EventStopped.Info("engine", config.Name)
--- a/cmd/chutelock-lab/expected.go
+++ b/cmd/chutelock-lab/expected.go
@@ -5,5 +5,5 @@
 	"chutelock.dev/chutelock/internal/standin/truth"
 )
 
-// expectedText is how stand-in engines answer.
+// expectedText returns the text that stand-in engines generate for a prompt.
 var expectedText load.ExpectedText = truth.ExpectedText
--- a/cmd/chutelock-lab/load.go
+++ b/cmd/chutelock-lab/load.go
@@ -26,14 +26,14 @@
 	})
 }
 
-// Defaults of the load verb.
+// Defaults of the load subcommand.
 const (
 	defaultDuration    = 10 * time.Second
 	defaultTimeout     = 30 * time.Second
 	defaultMaxInFlight = 2000
 )
 
-// listFlag is a flag that may be repeated or hold a comma-separated list.
+// listFlag is a repeatable flag with comma-separated values.
 type listFlag []string
 
 // String implements flag.Value.
@@ -46,12 +46,12 @@
 }
 
 type loadFlags struct {
-	config load.Config
-	json   string
-	output int
-	own    int
-	check  bool
-	strict bool
+	config       load.Config
+	json         string
+	outputTokens int
+	ownTokens    int
+	check        bool
+	strict       bool
 }
 
 func parseLoadFlags(arguments []string) (loadFlags, error) {
@@ -71,8 +71,8 @@
 	flags.BoolVar(&config.Chat, "chat", false, "use chat completions")
 	flags.IntVar(&prompts.Families, "prompt-families", 8, "families of prompts that share a prefix")
 	flags.IntVar(&prompts.SharedTokens, "shared-tokens", 64, "tokens of the shared prefix")
-	flags.IntVar(&parsed.own, "own-tokens", 32, "tokens of a prompt's own part")
-	flags.IntVar(&parsed.output, "max-tokens", 32, "tokens asked for")
+	flags.IntVar(&parsed.ownTokens, "own-tokens", 32, "tokens of a prompt's own part")
+	flags.IntVar(&parsed.outputTokens, "max-tokens", 32, "tokens asked for")
 	flags.Uint64Var(&config.Seed, "seed", 1, "seed of the traffic")
 	flags.StringVar(&config.Label, "label", "", "keeps the prompts of this run apart from other runs; default from the seed")
 	flags.BoolVar(&parsed.check, "check", true, "compare each answer with the stand-in engine's text")
@@ -82,8 +82,8 @@
 	if err := flags.Parse(arguments); err != nil {
 		return loadFlags{}, err
 	}
-	prompts.OwnTokens = arrivals.Span{Min: parsed.own, Max: parsed.own}
-	prompts.OutputTokens = arrivals.Span{Min: parsed.output, Max: parsed.output}
+	prompts.OwnTokens = arrivals.Span{Min: parsed.ownTokens, Max: parsed.ownTokens}
+	prompts.OutputTokens = arrivals.Span{Min: parsed.outputTokens, Max: parsed.outputTokens}
 	if config.Label == "" {
 		config.Label = fmt.Sprintf("s%d", config.Seed)
 	}
--- a/cmd/chutelock-lab/main.go
+++ b/cmd/chutelock-lab/main.go
@@ -1,5 +1,5 @@
-// Command chutelock-lab runs the stand-ins of the platform and of an engine,
-// drives load, and runs experiments in virtual time.
+// Command chutelock-lab runs stand-ins of the platform and of engines,
+// generates load, and runs experiments in virtual time.
 package main
 
 import (
@@ -8,12 +8,12 @@
 	"chutelock.dev/chutelock/internal/commandline"
 )
 
-// Exit codes of all verbs.
+// Exit codes of all subcommands.
 const (
 	exitOK         = 0
 	exitFailure    = 1 // the run itself failed
 	exitUsage      = commandline.ExitUsage
-	exitBadAnswers = 3 // a wrong or truncated answer was seen
+	exitBadAnswers = 3 // an answer was wrong or truncated
 )
 
 // subcommands is filled by the init functions of this package's other files.
--- a/cmd/chutelock-lab/overhead.go
+++ b/cmd/chutelock-lab/overhead.go
@@ -23,29 +23,30 @@
 	})
 }
 
-// Goals of the gateway's overhead.
+// Upper limits of the gateway's overhead.
 const (
 	goalAddedP50        = 0.5 // milliseconds
 	goalAddedP99        = 2.0 // milliseconds
-	goalCPUMicroseconds = 5.0 // a relayed token
+	goalCPUMicroseconds = 5.0 // per relayed token
 )
 
-// exitGoalMissed is the exit code when a goal is missed, as in load -strict.
+// exitGoalMissed is the exit code if a goal is missed, as for load -strict.
 const exitGoalMissed = 3
 
-// overhead is what the gateway adds.
+// overhead is the latency and processor time that the gateway adds.
 type overhead struct {
-	// addedP50 and addedP99 are medians over rounds, in milliseconds.
+	// addedP50 and addedP99 are medians over rounds of the time added to the
+	// first token, in milliseconds.
 	addedP50 float64
 	addedP99 float64
-	// perRequest and perToken are the node's processor time, in microseconds.
-	perRequest float64
-	perToken   float64
-	// failed counts the requests that were not answered whole, on both ways.
+	// cpuPerRequest and cpuPerToken are processor times of the node, in microseconds.
+	cpuPerRequest float64
+	cpuPerToken   float64
+	// failed counts incomplete requests, direct and through the gateway.
 	failed int
 }
 
-// cpuRun is the node's processor time during a run, in seconds.
+// cpuRun holds a run's summary and the node's processor times, in seconds.
 type cpuRun struct {
 	summary load.Summary
 	user    float64
@@ -96,22 +97,22 @@
 	}
 	var runs []cpuRun
 	for line := range strings.Lines(string(content)) {
-		var name string
-		var read cpuRun
-		if _, err := fmt.Sscan(line, &name, &read.user, &read.system); err != nil {
+		var summaryPath string
+		var run cpuRun
+		if _, err := fmt.Sscan(line, &summaryPath, &run.user, &run.system); err != nil {
 			return nil, fmt.Errorf("%s: %q: %w", path, line, err)
 		}
-		read.user /= ticksPerSecond
-		read.system /= ticksPerSecond
-		if read.summary, err = readLoadSummary(name); err != nil {
+		run.user /= ticksPerSecond
+		run.system /= ticksPerSecond
+		if run.summary, err = readLoadSummary(summaryPath); err != nil {
 			return nil, err
 		}
-		runs = append(runs, read)
+		runs = append(runs, run)
 	}
 	return runs, nil
 }
 
-// measureOverhead compares the time to the first token round by round.
+// measureOverhead compares direct and gateway runs pairwise by round.
 func measureOverhead(direct, gateway []load.Summary, runs []cpuRun) overhead {
 	var measured overhead
 	var added50, added99 []float64
@@ -123,12 +124,12 @@
 		}
 	}
 	measured.addedP50, measured.addedP99 = median(added50), median(added99)
-	measured.perRequest, measured.perToken = splitCPU(runs)
+	measured.cpuPerRequest, measured.cpuPerToken = splitCPU(runs)
 	return measured
 }
 
-// splitCPU fits the processor time by least squares to a share for each
-// request and one for each token, in microseconds.
+// splitCPU fits processor time by least squares to a cost per request and a
+// cost per token, in microseconds. It returns NaN if the runs don't determine them.
 func splitCPU(runs []cpuRun) (perRequest, perToken float64) {
 	var rr, rt, tt, rc, tc float64
 	for _, run := range runs {
@@ -152,12 +153,12 @@
 	return sorted[len(sorted)/2]
 }
 
-// reportOverhead prints each round and the verdict.
+// reportOverhead prints each round and each goal, and returns the exit code.
 func reportOverhead(out io.Writer, direct, gateway []load.Summary, runs []cpuRun) int {
 	table := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(table, "ROUND\tWAY\tREQUESTS\tWHOLE\tFIRST TOKEN p50 ms\tp99 ms\tBETWEEN TOKENS p50 ms\tp99 ms")
-	row := func(round int, way string, summary load.Summary) {
-		fmt.Fprintf(table, "%d\t%s\t%d\t%d\t%.2f\t%.2f\t%.2f\t%.2f\n", round, way, summary.Requests, summary.Outcomes[load.OutcomeOK],
+	row := func(round int, route string, summary load.Summary) {
+		fmt.Fprintf(table, "%d\t%s\t%d\t%d\t%.2f\t%.2f\t%.2f\t%.2f\n", round, route, summary.Requests, summary.Outcomes[load.OutcomeOK],
 			summary.TimeToFirstToken.P50, summary.TimeToFirstToken.P99, summary.BetweenTokens.P50, summary.BetweenTokens.P99)
 	}
 	for i := range direct {
@@ -182,15 +183,15 @@
 	}{
 		{"added to the first token, p50, median of the rounds", measured.addedP50, goalAddedP50, "ms"},
 		{"added to the first token, p99, median of the rounds", measured.addedP99, goalAddedP99, "ms"},
-		{"processor time a relayed token", measured.perToken, goalCPUMicroseconds, "µs"},
+		{"processor time a relayed token", measured.cpuPerToken, goalCPUMicroseconds, "µs"},
 		{"requests not answered whole", float64(measured.failed), 0, ""},
 	} {
-		verdict := "met"
-		if !(goal.value <= goal.limit) { // so that a missing value is no success
-			verdict, code = "MISSED", exitGoalMissed
+		status := "met"
+		if !(goal.value <= goal.limit) { // true for NaN
+			status, code = "MISSED", exitGoalMissed
 		}
-		fmt.Fprintf(out, "%s: %.2f %s (goal %.1f, %s)\n", goal.name, goal.value, goal.unit, goal.limit, verdict)
+		fmt.Fprintf(out, "%s: %.2f %s (goal %.1f, %s)\n", goal.name, goal.value, goal.unit, goal.limit, status)
 	}
-	fmt.Fprintf(out, "processor time a request beside its tokens: %.2f µs\n", measured.perRequest)
+	fmt.Fprintf(out, "processor time a request beside its tokens: %.2f µs\n", measured.cpuPerRequest)
 	return code
 }
--- a/cmd/chutelock-lab/platform.go
+++ b/cmd/chutelock-lab/platform.go
@@ -18,8 +18,8 @@
 	})
 }
 
-// platformShutdown bounds how long a planned stop waits; open watches are cut.
-const platformShutdown = 500 * time.Millisecond
+// platformShutdownTimeout bounds a shutdown; open watches are closed after it.
+const platformShutdownTimeout = 500 * time.Millisecond
 
 func runPlatform(arguments []string) int {
 	flags := newStandinFlags("platform")
@@ -48,7 +48,7 @@
 }
 
 func servePlatform(config platform.Config, log *truth.Log, readyFile string) error {
-	stopped, stop := stopSignals()
+	stopped, stop := stopContext()
 	defer stop()
 	server, err := platform.New(config, log)
 	if err != nil {
@@ -72,10 +72,10 @@
 		return err
 	}
 	platform.EventReady.Info("platform", config.Name, "address", ready.Address, "control", ready.Control)
-	err = untilStopped(stopped, host)
-	stopping, cancel := context.WithTimeout(context.Background(), platformShutdown)
+	err = waitStopped(stopped, host)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), platformShutdownTimeout)
 	defer cancel()
-	host.Shutdown(stopping)
+	host.Shutdown(shutdownCtx)
 	platform.EventStopped.Info("platform", config.Name)
 	return err
 }
--- a/cmd/chutelock-lab/report.go
+++ b/cmd/chutelock-lab/report.go
@@ -20,7 +20,7 @@
 func runReport(arguments []string) int {
 	flags := flag.NewFlagSet("report", flag.ContinueOnError)
 	reference := flags.String("reference", "controller", "policy that the others are compared with")
-	page := flags.String("html", "", "write an HTML page to this file")
+	htmlPath := flags.String("html", "", "write an HTML page to this file")
 	if err := flags.Parse(arguments); err != nil {
 		return exitUsage
 	}
@@ -34,10 +34,10 @@
 		return exitUsage
 	}
 	outcome.WriteText(os.Stdout)
-	if *page == "" {
+	if *htmlPath == "" {
 		return 0
 	}
-	if err := writeWith(*page, outcome.WriteHTML); err != nil {
+	if err := createFile(*htmlPath, outcome.WriteHTML); err != nil {
 		fmt.Fprintln(os.Stderr, "report:", err)
 		return exitFailure
 	}
--- a/cmd/chutelock-lab/run.go
+++ b/cmd/chutelock-lab/run.go
@@ -19,12 +19,12 @@
 	})
 }
 
-// defaultParallel is how many seeds run at once.
+// defaultParallel is the number of seeds that run concurrently.
 const defaultParallel = 4
 
 func runExperiment(arguments []string) int {
 	flags := flag.NewFlagSet("run", flag.ContinueOnError)
-	output := flags.String("out", "", "folder for NAME.csv and NAME.html; empty writes no files")
+	outputFolder := flags.String("out", "", "folder for NAME.csv and NAME.html; empty writes no files")
 	parallel := flags.Int("parallel", defaultParallel, "seeds that run at once")
 	seeds := flags.Int("seeds", 0, "number of seeds; 0 takes the file's")
 	if err := flags.Parse(arguments); err != nil {
@@ -48,10 +48,10 @@
 		return exitFailure
 	}
 	outcome.WriteText(os.Stdout)
-	if *output == "" {
+	if *outputFolder == "" {
 		return 0
 	}
-	if err := writeOutcome(outcome, filepath.Join(*output, file.Name)); err != nil {
+	if err := writeOutcome(outcome, filepath.Join(*outputFolder, file.Name)); err != nil {
 		fmt.Fprintln(os.Stderr, "run:", err)
 		return exitFailure
 	}
@@ -59,13 +59,13 @@
 }
 
 func writeOutcome(outcome *experiment.Outcome, base string) error {
-	if err := writeWith(base+".csv", outcome.WriteCSV); err != nil {
+	if err := createFile(base+".csv", outcome.WriteCSV); err != nil {
 		return err
 	}
-	return writeWith(base+".html", outcome.WriteHTML)
+	return createFile(base+".html", outcome.WriteHTML)
 }
 
-func writeWith(path string, write func(io.Writer) error) error {
+func createFile(path string, write func(io.Writer) error) error {
 	out, err := os.Create(path)
 	if err != nil {
 		return err
--- a/cmd/chutelock-lab/standin.go
+++ b/cmd/chutelock-lab/standin.go
@@ -11,7 +11,7 @@
 	"chutelock.dev/chutelock/internal/standin/process"
 )
 
-// standinFlags are common to both stand-ins.
+// standinFlags holds the flags that both stand-ins have.
 type standinFlags struct {
 	set       *flag.FlagSet
 	config    string
@@ -33,14 +33,14 @@
 	return flags
 }
 
-// override puts a flag's value over the settings file's.
-func override(target *string, flagged string) {
-	if flagged != "" {
-		*target = flagged
+// override sets target to a flag's value, if the flag is set.
+func override(target *string, flagValue string) {
+	if flagValue != "" {
+		*target = flagValue
 	}
 }
 
-// parse reads the command line; done says that there is nothing more to do.
+// parse parses the command line. If done is true, the program exits with code.
 func (f *standinFlags) parse(arguments []string) (code int, done bool) {
 	err := f.set.Parse(arguments)
 	switch {
@@ -60,14 +60,14 @@
 	return exitFailure
 }
 
-// stopSignals ends its context at SIGTERM or SIGINT. It must be called before
-// the ready file is written, because a stop may follow that at once.
-func stopSignals() (context.Context, context.CancelFunc) {
+// stopContext returns a context that ends at SIGTERM or SIGINT. It must be called
+// before the ready file is written, since a signal may follow at once.
+func stopContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 }
 
-// untilStopped waits for the end of stopped, or for serving to fail.
-func untilStopped(stopped context.Context, host *process.Host) error {
+// waitStopped waits until stopped is done, or returns the error that ended serving.
+func waitStopped(stopped context.Context, host *process.Host) error {
 	select {
 	case <-stopped.Done():
 		return nil
--- a/cmd/chutelock-lab/standin_test.go
+++ b/cmd/chutelock-lab/standin_test.go
@@ -22,36 +22,36 @@
 	"chutelock.dev/chutelock/internal/standin/truth"
 )
 
-// argumentsVariable makes the test's own binary run as the program.
-const argumentsVariable = "CHUTELOCK_LAB_TEST_ARGUMENTS"
+// argumentsEnv makes the test binary run as chutelock-lab with these arguments.
+const argumentsEnv = "CHUTELOCK_LAB_TEST_ARGUMENTS"
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 func TestMain(m *testing.M) {
-	if arguments := os.Getenv(argumentsVariable); arguments != "" {
+	if arguments := os.Getenv(argumentsEnv); arguments != "" {
 		os.Args = append(os.Args[:1], strings.Split(arguments, "\n")...)
 		main()
 	}
 	os.Exit(m.Run())
 }
 
-// program is a stand-in that runs as a process.
-type program struct {
+// standinProcess is a stand-in that runs as a child process.
+type standinProcess struct {
 	process.Ready
 	command *exec.Cmd
 	output  *bytes.Buffer
 }
 
-// run starts the program and gives its ready file's content.
-func run(t *testing.T, arguments ...string) *program {
+// startReady starts a stand-in and reads its ready file.
+func startReady(t *testing.T, arguments ...string) *standinProcess {
 	t.Helper()
 	readyFile := filepath.Join(t.TempDir(), "ready")
-	started := prepare(t, append(arguments, "-ready-file", readyFile)...)
+	started := newStandinProcess(t, append(arguments, "-ready-file", readyFile)...)
 	if err := started.command.Start(); err != nil {
 		t.Fatalf("start: %v", err)
 	}
 	t.Cleanup(func() { _ = started.command.Process.Kill() })
-	for began := time.Now(); time.Since(began) < patience; time.Sleep(10 * time.Millisecond) {
+	for start := time.Now(); time.Since(start) < testTimeout; time.Sleep(10 * time.Millisecond) {
 		content, err := os.ReadFile(readyFile)
 		if err != nil {
 			continue
@@ -65,19 +65,19 @@
 	return nil
 }
 
-func prepare(t *testing.T, arguments ...string) *program {
+func newStandinProcess(t *testing.T, arguments ...string) *standinProcess {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
-	prepared := &program{command: exec.CommandContext(ctx, os.Args[0]), output: &bytes.Buffer{}}
-	prepared.command.Env = append(os.Environ(), argumentsVariable+"="+strings.Join(arguments, "\n"))
+	prepared := &standinProcess{command: exec.CommandContext(ctx, os.Args[0]), output: &bytes.Buffer{}}
+	prepared.command.Env = append(os.Environ(), argumentsEnv+"="+strings.Join(arguments, "\n"))
 	prepared.command.Stdout = prepared.output
 	prepared.command.Stderr = prepared.output
 	return prepared
 }
 
-// exitCode waits for the end.
-func (p *program) exitCode(t *testing.T) int {
+// waitExit waits for the process to exit and returns its exit code.
+func (p *standinProcess) waitExit(t *testing.T) int {
 	t.Helper()
 	err := p.command.Wait()
 	var exited *exec.ExitError
@@ -107,7 +107,8 @@
 	return name
 }
 
-func TestWrongCommandLinesAndSettings(t *testing.T) {
+// Guards against invalid flags or settings that are accepted or not named.
+func TestStandinExitCodes(t *testing.T) {
 	for name, tested := range map[string]struct {
 		arguments []string
 		code      int
@@ -125,9 +126,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			started := prepare(t, tested.arguments...)
+			started := newStandinProcess(t, tested.arguments...)
 			g.Expect(started.command.Start()).To(gomega.Succeed())
-			g.Expect(started.exitCode(t)).To(gomega.Equal(tested.code), started.output.String())
+			g.Expect(started.waitExit(t)).To(gomega.Equal(tested.code), started.output.String())
 			g.Expect(started.output.String()).To(gomega.ContainSubstring(tested.output))
 		})
 	}
@@ -135,26 +136,26 @@
 
 const slowEngine = "models: [draft]\nscheduler: {step_base: 10ms}\nfaults: [{kind: slow, latency: 1ms}]\n"
 
-// TestEngineStops: told to stop, it finishes what it has; crashed, it doesn't,
-// and its truth log tells the difference.
-func TestEngineStops(t *testing.T) {
+// Guards against a stopped engine that drops requests in flight, and against a
+// truth log that records crashed requests as finished.
+func TestEngineFinishesRequestsUnlessCrashed(t *testing.T) {
 	for name, tested := range map[string]struct {
-		stop     func(*testing.T, *program)
+		stop     func(*testing.T, *standinProcess)
 		tokens   int
 		code     int
 		finished bool
 	}{
 		"planned": {
-			func(_ *testing.T, p *program) { _ = p.command.Process.Signal(syscall.SIGTERM) }, 50, exitOK, true,
+			func(_ *testing.T, p *standinProcess) { _ = p.command.Process.Signal(syscall.SIGTERM) }, 50, exitOK, true,
 		},
 		"crash": {
-			func(t *testing.T, p *program) { post(t, p.Control, "/control/faults", `{"kind":"crash"}`) }, 3000, process.CrashExitCode, false,
+			func(t *testing.T, p *standinProcess) { post(t, p.Control, "/control/faults", `{"kind":"crash"}`) }, 3000, process.CrashExitCode, false,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			truthLog := filepath.Join(t.TempDir(), "truth")
-			running := run(t, "engine", "-name", "e7", "-config", writeFile(t, slowEngine), "-truth-log", truthLog)
+			running := startReady(t, "engine", "-name", "e7", "-config", writeFile(t, slowEngine), "-truth-log", truthLog)
 			g.Expect(running.Name).To(gomega.Equal("e7"))
 			answered := make(chan string, 1)
 			go func() {
@@ -165,9 +166,9 @@
 				g.Expect(err).NotTo(gomega.HaveOccurred())
 				return truth.Attempts(entries)
 			}
-			g.Eventually(attempts, patience).Should(gomega.HaveLen(1))
+			g.Eventually(attempts, testTimeout).Should(gomega.HaveLen(1))
 			tested.stop(t, running)
-			g.Expect(running.exitCode(t)).To(gomega.Equal(tested.code), running.output.String())
+			g.Expect(running.waitExit(t)).To(gomega.Equal(tested.code), running.output.String())
 			answer := <-answered
 			g.Expect(strings.Contains(answer, truth.ExpectedText("draft", "x", tested.tokens))).To(gomega.Equal(tested.finished), answer)
 			g.Expect(attempts()[0].Cause == truth.CauseFinished).To(gomega.Equal(tested.finished))
@@ -175,11 +176,11 @@
 	}
 }
 
-// TestPlatformSurvivesKill: what was acknowledged is there after SIGKILL.
-func TestPlatformSurvivesKill(t *testing.T) {
+// Guards against the loss of acknowledged writes at SIGKILL.
+func TestPlatformKeepsAcknowledgedWritesAfterSIGKILL(t *testing.T) {
 	g := gomega.NewWithT(t)
 	folder := t.TempDir()
-	running := run(t, "platform", "-folder", folder)
+	running := startReady(t, "platform", "-folder", folder)
 	put := func(value int) {
 		request, _ := http.NewRequest(http.MethodPut, fmt.Sprintf("http://%s/apis/chutelock.dev/v1/settings/n%d", running.Address, value), strings.NewReader(`{"spec":1}`))
 		response, err := http.DefaultClient.Do(request)
@@ -192,8 +193,8 @@
 		put(value)
 	}
 	g.Expect(running.command.Process.Kill()).To(gomega.Succeed())
-	running.exitCode(t)
-	running = run(t, "platform", "-folder", folder)
+	running.waitExit(t)
+	running = startReady(t, "platform", "-folder", folder)
 	response, err := http.Get("http://" + running.Address + "/apis/chutelock.dev/v1/settings")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	defer func() { _ = response.Body.Close() }()
--- a/cmd/chutelock-lab/verify.go
+++ b/cmd/chutelock-lab/verify.go
@@ -25,7 +25,7 @@
 	flags := flag.NewFlagSet("verify", flag.ContinueOnError)
 	input := flags.String("input", "", "the job's input `file`")
 	output := flags.String("output", "", "the job's output `file`")
-	failures := flags.String("errors", "", "the job's error `file`, if it has one")
+	errorsFile := flags.String("errors", "", "the job's error `file`, if it has one")
 	flags.Usage = func() {
 		fmt.Fprintln(flags.Output(), "usage: chutelock-lab verify -input F -output F [-errors F] [TRUTH-LOG ...]\n"+
 			"Prints counts as JSON; exit code 0 only if every item has exactly one right result.")
@@ -36,7 +36,7 @@
 	} else if err != nil {
 		return exitUsage
 	}
-	summary, err := verifyFiles(*input, flags.Args(), *output, *failures)
+	summary, err := verifyFiles(*input, flags.Args(), *output, *errorsFile)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "verify:", err)
 		return exitFailure
