--- a/Makefile
+++ b/Makefile
@@ -37,7 +37,7 @@
 	scripts/bench.sh
 
 bench-table:
-	UPDATE_BENCH=1 $(GO) test -count=1 -run TheTableOfDeployments ./test/docs
+	UPDATE_BENCH=1 $(GO) test -count=1 -run BenchTable ./test/docs
 
 events:
 	UPDATE_EVENTS=1 $(GO) test -count=1 -run Events ./test/docs
--- a/test/docs/bench_test.go
+++ b/test/docs/bench_test.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	benchPage = "../../docs/BENCH.md"
-	journal   = "../../journal"
-	// The table of the page lies between these lines.
+	benchPage     = "../../docs/BENCH.md"
+	journalFolder = "../../journal"
+	// Lines around the generated table of the page.
 	tableBegin = "<!-- table of deployments: made by make bench-table -->"
 	tableEnd   = "<!-- end of the table -->"
 )
 
-// entry is what the table takes of a run's entry in the journal.
-type entry struct {
+// journalEntry holds the fields of a journal file that the table uses.
+type journalEntry struct {
 	ID      string   `json:"id"`
 	At      []string `json:"at"`
 	Command string   `json:"cmd"`
@@ -30,55 +30,57 @@
 	Figures struct {
 		Gate float64 `json:"gate"`
 	} `json:"figures"`
-	Days []day `json:"days"`
+	Days []dayResult `json:"days"`
 }
 
-type day struct {
+// dayResult is the result of one scenario of a run.
+type dayResult struct {
 	Name  string         `json:"name"`
-	Worth float64        `json:"G"`
+	Score float64        `json:"G"`
 	Slot  string         `json:"slot"`
 	Rules map[string]any `json:"rules"`
 }
 
-// row is a deployment with its newest score and its newest hunt.
-type row struct{ score, hunt *entry }
+// siteRow holds a deployment's newest runs of the commands score and hunt.
+type siteRow struct{ score, hunt *journalEntry }
 
-func readJournal(t *testing.T) map[string]*row {
+// readJournal returns the newest successful runs by deployment.
+func readJournal(t *testing.T) map[string]*siteRow {
 	g := gomega.NewWithT(t)
-	paths, err := filepath.Glob(filepath.Join(journal, "*.json"))
+	paths, err := filepath.Glob(filepath.Join(journalFolder, "*.json"))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	sort.Strings(paths) // by time
-	rows := map[string]*row{}
+	sort.Strings(paths) // file names begin with the time
+	rows := map[string]*siteRow{}
 	for _, path := range paths {
 		content, err := os.ReadFile(path)
 		g.Expect(err).NotTo(gomega.HaveOccurred(), path)
-		var read entry
-		g.Expect(json.Unmarshal(content, &read)).To(gomega.Succeed(), path)
-		if read.Site == "" || len(read.Days) == 0 || !read.OK {
+		var run journalEntry
+		g.Expect(json.Unmarshal(content, &run)).To(gomega.Succeed(), path)
+		if run.Site == "" || len(run.Days) == 0 || !run.OK {
 			continue
 		}
-		if rows[read.Site] == nil {
-			rows[read.Site] = &row{}
+		if rows[run.Site] == nil {
+			rows[run.Site] = &siteRow{}
 		}
-		switch read.Command {
+		switch run.Command {
 		case "score":
-			rows[read.Site].score = &read
+			rows[run.Site].score = &run
 		case "hunt":
-			rows[read.Site].hunt = &read
+			rows[run.Site].hunt = &run
 		}
 	}
 	return rows
 }
 
-// drawnPrefix begins the name of a day that was drawn for one score; it counts for the
+// freshPrefix begins the names of days generated for a single run, which count for the
 // gate only.
-const drawnPrefix = "fresh"
+const freshPrefix = "fresh"
 
-// benchTable writes a line a deployment.
-func benchTable(rows map[string]*row) string {
+// benchTable formats the table with a row for each deployment that has a score.
+func benchTable(rows map[string]*siteRow) string {
 	var sites []string
-	for site, one := range rows {
-		if one.score != nil {
+	for site, row := range rows {
+		if row.score != nil {
 			sites = append(sites, site)
 		}
 	}
@@ -89,44 +91,45 @@
 		score := rows[site].score
 		var quiet, trouble []string
 		sum := 0.0
-		for _, one := range score.Days {
-			if strings.HasPrefix(one.Name, drawnPrefix) {
+		for _, d := range score.Days {
+			if strings.HasPrefix(d.Name, freshPrefix) {
 				continue
 			}
-			worth := fmt.Sprintf("%.3f", one.Worth)
-			if one.Slot == "quiet" {
-				quiet = append(quiet, worth)
+			value := fmt.Sprintf("%.3f", d.Score)
+			if d.Slot == "quiet" {
+				quiet = append(quiet, value)
 				continue
 			}
-			trouble = append(trouble, worth)
-			sum += one.Worth
+			trouble = append(trouble, value)
+			sum += d.Score
 		}
 		gate := "passed"
 		if score.Figures.Gate < 1 {
 			gate = "failed"
 		}
 		fmt.Fprintf(&b, "| %s | %s | %s | %s | %.3f | %s (%s) | %s |\n", site, gate, strings.Join(quiet, " "),
-			strings.Join(trouble, " "), sum/float64(max(1, len(trouble))), score.At[0][:10], score.ID, rows[site].hunt.describe())
+			strings.Join(trouble, " "), sum/float64(max(1, len(trouble))), score.At[0][:10], score.ID, rows[site].hunt.summary())
 	}
 	return b.String()
 }
 
-func (e *entry) describe() string {
+// summary formats the number of days, how many broke rules, and the run's id.
+func (e *journalEntry) summary() string {
 	if e == nil {
 		return "none"
 	}
 	broken := 0
-	for _, one := range e.Days {
-		if len(one.Rules) > 0 {
+	for _, d := range e.Days {
+		if len(d.Rules) > 0 {
 			broken++
 		}
 	}
 	return fmt.Sprintf("%d, %d (%s)", len(e.Days), broken, e.ID)
 }
 
-// TestTheTableOfDeploymentsIsTheJournals compares the page with the journal; with
-// UPDATE_BENCH set, as by "make bench-table", it writes the table.
-func TestTheTableOfDeploymentsIsTheJournals(t *testing.T) {
+// Guards against a stale table in docs/BENCH.md. With UPDATE_BENCH set, as by "make
+// bench-table", it writes the table.
+func TestBenchTableMatchesJournal(t *testing.T) {
 	g := gomega.NewWithT(t)
 	content, err := os.ReadFile(benchPage)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -134,10 +137,10 @@
 	g.Expect(found).To(gomega.BeTrue())
 	_, after, found := strings.Cut(rest, tableEnd+"\n")
 	g.Expect(found).To(gomega.BeTrue())
-	wanted := before + tableBegin + "\n" + benchTable(readJournal(t)) + tableEnd + "\n" + after
+	want := before + tableBegin + "\n" + benchTable(readJournal(t)) + tableEnd + "\n" + after
 	if os.Getenv("UPDATE_BENCH") != "" {
-		g.Expect(os.WriteFile(benchPage, []byte(wanted), 0o644)).To(gomega.Succeed())
+		g.Expect(os.WriteFile(benchPage, []byte(want), 0o644)).To(gomega.Succeed())
 		return
 	}
-	g.Expect(string(content)).To(gomega.Equal(wanted), "run make bench-table")
+	g.Expect(string(content)).To(gomega.Equal(want), "run make bench-table")
 }
--- a/test/docs/events_test.go
+++ b/test/docs/events_test.go
@@ -1,4 +1,4 @@
-// Package docs checks that pages made from the code are up to date.
+// Package docs checks that pages match the code and the journal.
 package docs
 
 import (
@@ -8,7 +8,7 @@
 
 	"github.com/onsi/gomega"
 
-	// All packages that define events.
+	// Packages imported for the events that they define.
 	_ "chutelock.dev/chutelock/internal/lab/load"
 	_ "chutelock.dev/chutelock/internal/node"
 	_ "chutelock.dev/chutelock/internal/standin/engine"
@@ -20,8 +20,8 @@
 
 const eventsPage = "../../docs/EVENTS.md"
 
-// TestEventsPageIsUpToDate compares docs/EVENTS.md with the catalogue; with
-// UPDATE_EVENTS set, as by "make events", it writes the page.
+// Guards against a stale docs/EVENTS.md. With UPDATE_EVENTS set, as by "make
+// events", it writes the page.
 func TestEventsPageIsUpToDate(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var page bytes.Buffer
--- a/test/docs/settings_test.go
+++ b/test/docs/settings_test.go
@@ -10,7 +10,7 @@
 	"chutelock.dev/chutelock/internal/config"
 )
 
-// Each setting has a row in the operators' page.
+// Guards against settings that docs/OPERATING.md omits.
 func TestEachSettingIsDocumented(t *testing.T) {
 	g := gomega.NewWithT(t)
 	page, err := os.ReadFile("../../docs/OPERATING.md")
