--- a/test/e2e/client_test.go
+++ b/test/e2e/client_test.go
@@ -18,16 +18,16 @@
 	"chutelock.dev/chutelock/internal/standin/truth"
 )
 
-// itemTokens is the length of a batch item's output.
+// itemTokens is the length of a batch item's output in tokens.
 const itemTokens = 12
 
-// client is the published client, pointed at a node.
+// client returns the published OpenAI client for a node, without retries.
 func client(n *node, key string) openai.Client {
 	return openai.NewClient(
 		option.WithBaseURL("http://"+n.callers+"/v1"),
 		option.WithAPIKey(key),
 		option.WithMaxRetries(0),
-		option.WithRequestTimeout(patience),
+		option.WithRequestTimeout(eventTimeout),
 	)
 }
 
@@ -35,8 +35,8 @@
 
 func customID(index int) string { return fmt.Sprintf("child-%d", index) }
 
-// input is a JSONL file of items; change may alter a line's fields.
-func input(items int, change func(index int, line map[string]any)) []byte {
+// jobInput returns a JSONL file of items; change, if not nil, may alter each line.
+func jobInput(items int, change func(index int, line map[string]any)) []byte {
 	var file bytes.Buffer
 	encoder := json.NewEncoder(&file)
 	for i := range items {
@@ -52,8 +52,8 @@
 	return file.Bytes()
 }
 
-// upload stores an input file.
-func upload(n *node, file []byte) string {
+// uploadInput stores an input file and returns its id.
+func uploadInput(n *node, file []byte) string {
 	ginkgo.GinkgoHelper()
 	c := client(n, batchKey)
 	stored, err := c.Files.New(context.Background(), openai.FileNewParams{
@@ -62,8 +62,8 @@
 	return stored.ID
 }
 
-// create submits a job under an idempotency key.
-func create(n *node, fileID, key string, options ...option.RequestOption) (*openai.Batch, error) {
+// createJob submits a job with an idempotency key.
+func createJob(n *node, fileID, key string, options ...option.RequestOption) (*openai.Batch, error) {
 	c := client(n, batchKey)
 	return c.Batches.New(context.Background(), openai.BatchNewParams{
 		InputFileID:      fileID,
@@ -72,49 +72,49 @@
 	}, append(options, option.WithHeader("Idempotency-Key", key))...)
 }
 
-// submit uploads and creates, and sends again until it is answered: what a
-// caller does who must not lose a job.
-func submit(n *node, items int, key string) *openai.Batch {
+// submitJob uploads an input file and submits a job, with retries under the same
+// key until it is accepted.
+func submitJob(n *node, items int, key string) *openai.Batch {
 	ginkgo.GinkgoHelper()
-	fileID := upload(n, input(items, nil))
+	fileID := uploadInput(n, jobInput(items, nil))
 	var job *openai.Batch
 	gomega.Eventually(func() (err error) {
-		job, err = create(n, fileID, key)
+		job, err = createJob(n, fileID, key)
 		return err
-	}, patience, "200ms").Should(gomega.Succeed())
+	}, eventTimeout, "200ms").Should(gomega.Succeed())
 	return job
 }
 
-func job(n *node, id string) (*openai.Batch, error) {
+func getJob(n *node, id string) (*openai.Batch, error) {
 	c := client(n, batchKey)
 	return c.Batches.Get(context.Background(), id)
 }
 
-// waitJob waits until the job is final at any node that answers.
-func waitJob(d *deployment, id string) *openai.Batch {
+// waitFinal waits until the job is final.
+func waitFinal(d *deployment, id string) *openai.Batch {
 	ginkgo.GinkgoHelper()
 	var last *openai.Batch
 	gomega.Eventually(func() (string, error) {
-		batch, err := job(d.liveNode(), id)
+		batch, err := getJob(d.liveNode(), id)
 		if err != nil {
 			return "", err
 		}
 		last = batch
 		return string(batch.Status), nil
-	}, patience, "200ms").Should(gomega.BeElementOf("completed", "cancelled", "expired", "failed"), "job %s", id)
+	}, eventTimeout, "200ms").Should(gomega.BeElementOf("completed", "cancelled", "expired", "failed"), "job %s", id)
 	return last
 }
 
-// waitStarted waits until some items of the job have results.
-func waitStarted(d *deployment, id string) {
+// waitPartlyDone waits until some items of the job have results.
+func waitPartlyDone(d *deployment, id string) {
 	ginkgo.GinkgoHelper()
 	gomega.Eventually(func() (int64, error) {
-		batch, err := job(d.liveNode(), id)
+		batch, err := getJob(d.liveNode(), id)
 		if err != nil {
 			return 0, err
 		}
 		return batch.RequestCounts.Completed, nil
-	}, patience, "20ms").Should(gomega.BeNumerically(">", 0))
+	}, eventTimeout, "20ms").Should(gomega.BeNumerically(">", 0))
 }
 
 // resultLine is a line of an output or error file.
@@ -136,8 +136,8 @@
 	} `json:"error"`
 }
 
-// results reads an output file whole.
-func results(n *node, fileID string) map[string]resultLine {
+// readResults returns the lines of an output or error file by custom id.
+func readResults(n *node, fileID string) map[string]resultLine {
 	ginkgo.GinkgoHelper()
 	c := client(n, batchKey)
 	response, err := c.Files.Content(context.Background(), fileID)
@@ -156,11 +156,11 @@
 	return lines
 }
 
-// expectWholeJob checks that every item has exactly one result, its own, at
-// every running node.
-func expectWholeJob(d *deployment, id string, items int) {
+// expectCompleteJob waits for the job, then checks at every running node that each
+// item has exactly one result, with the expected text.
+func expectCompleteJob(d *deployment, id string, items int) {
 	ginkgo.GinkgoHelper()
-	batch := waitJob(d, id)
+	batch := waitFinal(d, id)
 	gomega.Expect(string(batch.Status)).To(gomega.Equal("completed"))
 	gomega.Expect(batch.RequestCounts).To(gomega.And(
 		gomega.HaveField("Total", gomega.BeEquivalentTo(items)),
@@ -170,42 +170,42 @@
 		if !n.running() || !n.ready {
 			continue
 		}
-		lines := results(n, batch.OutputFileID)
+		lines := readResults(n, batch.OutputFileID)
 		gomega.Expect(lines).To(gomega.HaveLen(items))
 		for i := range items {
 			line, ok := lines[customID(i)]
 			gomega.Expect(ok).To(gomega.BeTrue(), "item %d is lost", i)
 			gomega.Expect(line.Response.Body.Choices).To(gomega.HaveLen(1))
 			gomega.Expect(line.Response.Body.Choices[0].Text).To(gomega.Equal(
-				truth.ExpectedText(model, itemPrompt(i), itemTokens)), "item %d has another answer", i)
+				truth.ExpectedText(model, itemPrompt(i), itemTokens)), "item %d has a wrong text", i)
 		}
 	}
 }
 
-// answer is how one online request ended.
-type answer struct {
+// completion is the outcome of an online request.
+type completion struct {
 	prompt    string
 	requestID string
 	status    int
 	code      string
 	text      string
-	whole     bool
+	complete  bool
 	err       error
-	took      time.Duration
+	duration  time.Duration
 }
 
-// right says whether the caller got the whole answer to its own request.
-func (a answer) right(tokens int) bool {
-	return a.whole && a.text == truth.ExpectedText(model, a.prompt, tokens)
+// correct reports whether the caller got the complete, expected text.
+func (c completion) correct(tokens int) bool {
+	return c.complete && c.text == truth.ExpectedText(model, c.prompt, tokens)
 }
 
-// ask sends one streamed completion and reads it to its end.
-func ask(n *node, prompt string, tokens int, headers map[string]string) answer {
-	started := time.Now()
+// sendCompletion sends a streamed completion request and reads the response.
+func sendCompletion(n *node, prompt string, tokens int, headers map[string]string) completion {
+	start := time.Now()
 	body, _ := json.Marshal(map[string]any{"model": model, "prompt": prompt, "max_tokens": tokens, "stream": true})
 	request, err := http.NewRequest(http.MethodPost, "http://"+n.callers+"/v1/completions", bytes.NewReader(body))
 	if err != nil {
-		return answer{prompt: prompt, err: err}
+		return completion{prompt: prompt, err: err}
 	}
 	request.Header.Set("Authorization", "Bearer "+onlineKey)
 	request.Header.Set("Content-Type", "application/json")
@@ -214,20 +214,20 @@
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return answer{prompt: prompt, err: err}
+		return completion{prompt: prompt, err: err}
 	}
 	defer response.Body.Close()
-	a := answer{prompt: prompt, status: response.StatusCode, requestID: response.Header.Get("Chutelock-Request-Id")}
-	a.read(bufio.NewScanner(response.Body))
-	a.took = time.Since(started)
-	return a
+	c := completion{prompt: prompt, status: response.StatusCode, requestID: response.Header.Get("Chutelock-Request-Id")}
+	c.read(bufio.NewScanner(response.Body))
+	c.duration = time.Since(start)
+	return c
 }
 
-func (a *answer) read(lines *bufio.Scanner) {
+func (c *completion) read(lines *bufio.Scanner) {
 	for lines.Scan() {
 		data, isEvent := strings.CutPrefix(lines.Text(), "data: ")
 		if data == "[DONE]" {
-			a.whole = true
+			c.complete = true
 			continue
 		}
 		if !isEvent {
@@ -245,11 +245,11 @@
 			continue
 		}
 		if event.Error != nil {
-			a.code = event.Error.Code
+			c.code = event.Error.Code
 		}
 		for _, choice := range event.Choices {
-			a.text += choice.Text
+			c.text += choice.Text
 		}
 	}
-	a.err = lines.Err()
+	c.err = lines.Err()
 }
--- a/test/e2e/deployment_test.go
+++ b/test/e2e/deployment_test.go
@@ -30,7 +30,7 @@
 
 var zones = []string{"bayanzurkh", "songino", "khan-uul"}
 
-// standin is a stand-in process and its addresses.
+// standin is a process that stands in for the platform or an engine.
 type standin struct {
 	*process
 	arguments []string
@@ -38,7 +38,7 @@
 	Control   string `json:"control"`
 }
 
-// node is a chutelock process and where it stands.
+// node is a chutelock process with its addresses and folders.
 type node struct {
 	*process
 	name      string
@@ -48,56 +48,56 @@
 	peers     string
 	data      string
 	settings  string
-	// ready is set once the node said so after its last start.
+	// ready is set once the node has written its ready file after the last start.
 	ready bool
 }
 
-// shape is how large a deployment is, and its engines' speed.
-type shape struct {
+// deploymentConfig holds the size of a deployment and additional settings.
+type deploymentConfig struct {
 	nodes          int
 	enginesPerZone int
-	// engineSettings is added to each engine's settings file.
+	// engineSettings is appended to each engine's settings file.
 	engineSettings string
-	// nodeSettings is added to each node's.
+	// nodeSettings is appended to each node's settings file.
 	nodeSettings string
 }
 
-// deployment is a whole fleet of separate processes on loopback.
+// deployment is a platform, engines and nodes as processes on loopback.
 type deployment struct {
 	folder   string
-	shape    shape
+	config   deploymentConfig
 	platform *standin
 	engines  []*standin
 	nodes    []*node
 	http     *resty.Client
 }
 
-// newDeployment starts a fleet, waits until every node is ready, and ends it
-// after the spec.
-func newDeployment(shape shape) *deployment {
+// newDeployment starts a deployment, waits until every node is ready, and stops
+// it after the spec.
+func newDeployment(config deploymentConfig) *deployment {
 	ginkgo.GinkgoHelper()
-	d := &deployment{folder: ginkgo.GinkgoT().TempDir(), shape: shape, http: resty.New().SetTimeout(patience)}
-	ginkgo.DeferCleanup(d.end)
-	d.write("keys", "00112233445566778899aabbccddeeff\n")
-	d.write("platform.yaml", "name: platform\nrequest_rate: 400\n")
+	d := &deployment{folder: ginkgo.GinkgoT().TempDir(), config: config, http: resty.New().SetTimeout(eventTimeout)}
+	ginkgo.DeferCleanup(d.stopAll)
+	d.writeFile("keys", "00112233445566778899aabbccddeeff\n")
+	d.writeFile("platform.yaml", "name: platform\nrequest_rate: 400\n")
 	d.platform = d.startStandin("platform", "platform", "-folder", filepath.Join(d.folder, "platform.state"), "-listen", freeAddress())
 	d.writeSettings()
-	for i := range shape.enginesPerZone * len(zones) {
+	for i := range config.enginesPerZone * len(zones) {
 		d.addEngine(fmt.Sprintf("engine-%d", i+1), zones[i%len(zones)])
 	}
-	for i := range shape.nodes {
-		d.nodes = append(d.nodes, d.describeNode(fmt.Sprintf("node-%d", i+1), zones[i%len(zones)]))
+	for i := range config.nodes {
+		d.nodes = append(d.nodes, d.newNode(fmt.Sprintf("node-%d", i+1), zones[i%len(zones)]))
 	}
 	for _, n := range d.nodes {
 		d.startNode(n)
 	}
 	for _, n := range d.nodes {
-		d.waitNode(n)
+		d.waitNodeReady(n)
 	}
 	return d
 }
 
-func (d *deployment) end() {
+func (d *deployment) stopAll() {
 	if ginkgo.CurrentSpecReport().Failed() {
 		d.showLogs()
 	}
@@ -115,7 +115,7 @@
 	}
 }
 
-// showLogs adds the end of each node's log to a failure's report.
+// showLogs adds the end of each node's log to the report.
 func (d *deployment) showLogs() {
 	const tail = 3000
 	for _, n := range d.nodes {
@@ -124,7 +124,7 @@
 	}
 }
 
-func (d *deployment) write(name, content string) string {
+func (d *deployment) writeFile(name, content string) string {
 	ginkgo.GinkgoHelper()
 	path := filepath.Join(d.folder, name)
 	gomega.Expect(os.WriteFile(path, []byte(content), 0o600)).To(gomega.Succeed())
@@ -141,8 +141,8 @@
 	return s
 }
 
-// restart starts a stand-in again at its addresses.
-func (d *deployment) restart(s *standin) {
+// restartStandin starts a stopped stand-in again with the same arguments.
+func (d *deployment) restartStandin(s *standin) {
 	ginkgo.GinkgoHelper()
 	s.process = startProcess(d.folder, s.name, labBinary, s.arguments...)
 	s.waitReady(s)
@@ -150,8 +150,8 @@
 
 func (d *deployment) addEngine(name, zone string) *standin {
 	ginkgo.GinkgoHelper()
-	d.write(name+".yaml", fmt.Sprintf("name: %s\nzone: %s\nregion: %s\nmodels: [%s]\nplatform: %s\n%s",
-		name, zone, region, model, d.platform.Address, d.shape.engineSettings))
+	d.writeFile(name+".yaml", fmt.Sprintf("name: %s\nzone: %s\nregion: %s\nmodels: [%s]\nplatform: %s\n%s",
+		name, zone, region, model, d.platform.Address, d.config.engineSettings))
 	engine := d.startStandin("engine", name, "-listen", freeAddress())
 	d.engines = append(d.engines, engine)
 	return engine
@@ -159,8 +159,8 @@
 
 func (d *deployment) truthLog(name string) string { return filepath.Join(d.folder, name+".truth") }
 
-// truth reads what the engines really did, up to now.
-func (d *deployment) truth() []truth.Entry {
+// truthEntries reads the truth logs of all engines.
+func (d *deployment) truthEntries() []truth.Entry {
 	ginkgo.GinkgoHelper()
 	var files []string
 	for _, engine := range d.engines {
@@ -171,12 +171,12 @@
 	return entries
 }
 
-// store is a client of the platform's object store.
-func (d *deployment) store() *objecthttp.Client {
+// objectStore returns a client of the platform's object store.
+func (d *deployment) objectStore() *objecthttp.Client {
 	return objecthttp.New(d.platform.Address, objecthttp.Options{})
 }
 
-// writeSettings puts the example's settings tree into the store.
+// writeSettings stores the example's settings tree on the platform.
 func (d *deployment) writeSettings() {
 	ginkgo.GinkgoHelper()
 	nodes, problems, err := tree.ReadFolder(settingsDir)
@@ -185,14 +185,14 @@
 	for _, n := range nodes {
 		spec, err := tree.Encode(n)
 		gomega.Expect(err).NotTo(gomega.HaveOccurred())
-		_, err = d.store().Put(context.Background(), platform.Object{
+		_, err = d.objectStore().Put(context.Background(), platform.Object{
 			Kind: platform.KindSetting, Name: tree.ObjectName(n.Path), Spec: spec})
 		gomega.Expect(err).NotTo(gomega.HaveOccurred())
 	}
 }
 
-// describeNode chooses a node's addresses and folder.
-func (d *deployment) describeNode(name, zone string) *node {
+// newNode assigns addresses and folders to a node without starting it.
+func (d *deployment) newNode(name, zone string) *node {
 	ginkgo.GinkgoHelper()
 	return &node{
 		name: name, zone: zone,
@@ -209,18 +209,18 @@
 	for _, other := range d.nodes {
 		seeds = append(seeds, fmt.Sprintf("%q", other.peers))
 	}
-	d.write(n.name+".yaml", fmt.Sprintf(`node: {name: %s, zone: %s, region: %s}
+	d.writeFile(n.name+".yaml", fmt.Sprintf(`node: {name: %s, zone: %s, region: %s}
 listen: {callers: %q, operators: %q, peers: %q}
 peers: {seeds: [%s], key_file: %q}
 platform: {address: %q}
 data: {folder: %q}
 %s`, n.name, n.zone, region, n.callers, n.operators, n.peers, strings.Join(seeds, ", "),
-		filepath.Join(d.folder, "keys"), d.platform.Address, n.data, d.shape.nodeSettings))
+		filepath.Join(d.folder, "keys"), d.platform.Address, n.data, d.config.nodeSettings))
 	n.ready = false
 	n.process = startProcess(d.folder, n.name, nodeBinary, "-config", n.settings)
 }
 
-func (d *deployment) waitNode(n *node) {
+func (d *deployment) waitNodeReady(n *node) {
 	ginkgo.GinkgoHelper()
 	var addresses struct{ Callers string }
 	n.waitReady(&addresses)
@@ -228,14 +228,14 @@
 	n.ready = true
 }
 
-// wipe removes a stopped node's disk.
-func (n *node) wipe() {
+// removeData deletes a stopped node's data folder.
+func (n *node) removeData() {
 	ginkgo.GinkgoHelper()
 	gomega.Expect(os.RemoveAll(n.data)).To(gomega.Succeed())
 }
 
-// fault sets a fault at a stand-in's control endpoint.
-func (d *deployment) fault(s *standin, body string) {
+// injectFault adds a fault at a stand-in's control endpoint.
+func (d *deployment) injectFault(s *standin, body string) {
 	ginkgo.GinkgoHelper()
 	response, err := d.http.R().SetHeader("Content-Type", "application/json").SetBody(body).
 		Post("http://" + s.Control + "/control/faults")
@@ -243,7 +243,7 @@
 	gomega.Expect(response.StatusCode()).To(gomega.BeNumerically("<", http.StatusMultipleChoices), response.String())
 }
 
-// liveNode returns a node that takes requests.
+// liveNode returns the first node that is running and ready.
 func (d *deployment) liveNode() *node {
 	ginkgo.GinkgoHelper()
 	for _, n := range d.nodes {
@@ -255,5 +255,5 @@
 	return nil
 }
 
-// settle is a pause in which nothing is expected to happen.
-func settle(duration time.Duration) { time.Sleep(duration) }
+// sleep lets faults take effect, or shows that nothing more happens.
+func sleep(duration time.Duration) { time.Sleep(duration) }
--- a/test/e2e/online_failures_test.go
+++ b/test/e2e/online_failures_test.go
@@ -13,21 +13,20 @@
 	"chutelock.dev/chutelock/internal/standin/truth"
 )
 
-// leavingBound is how long after an engine said that it is leaving it may
-// still be given work, by the promise.
-const leavingBound = 3 * time.Second
+// maxDrainDelay is the guaranteed time after the start of an engine's drain
+// within which it may still get requests.
+const maxDrainDelay = 3 * time.Second
 
-// traffic sends online requests from several callers until it is stopped.
+// traffic sends online requests from concurrent callers until it is stopped.
 type traffic struct {
-	stop    chan struct{}
-	callers sync.WaitGroup
-	mutex   sync.Mutex
-	answers []answer
+	stop        chan struct{}
+	callers     sync.WaitGroup
+	mutex       sync.Mutex
+	completions []completion
 }
 
-// startTraffic lets callers ask the nodes in turn; a caller goes to another
-// node when one refuses it as not run or can't be reached, as a client with a
-// list of nodes does.
+// startTraffic starts callers that send requests to the nodes in turn, and pause
+// briefly after an error.
 func startTraffic(d *deployment, callers, tokens int, headers map[string]string) *traffic {
 	t := &traffic{stop: make(chan struct{})}
 	var next atomic.Int64
@@ -41,12 +40,12 @@
 				}
 				number := next.Add(1)
 				n := d.nodes[int(number)%len(d.nodes)]
-				a := ask(n, fmt.Sprintf("online request %d", number), tokens, headers)
+				c := sendCompletion(n, fmt.Sprintf("online request %d", number), tokens, headers)
 				t.mutex.Lock()
-				t.answers = append(t.answers, a)
+				t.completions = append(t.completions, c)
 				t.mutex.Unlock()
-				if a.status == 0 || a.code != "" {
-					settle(20 * time.Millisecond)
+				if c.status == 0 || c.code != "" {
+					sleep(20 * time.Millisecond)
 				}
 			}
 		})
@@ -54,40 +53,40 @@
 	return t
 }
 
-func (t *traffic) finish() []answer {
+func (t *traffic) stopAndWait() []completion {
 	close(t.stop)
 	t.callers.Wait()
-	return t.answers
+	return t.completions
 }
 
-func count(answers []answer, match func(answer) bool) int {
+func countMatching(completions []completion, match func(completion) bool) int {
 	matching := 0
-	for _, a := range answers {
-		if match(a) {
+	for _, c := range completions {
+		if match(c) {
 			matching++
 		}
 	}
 	return matching
 }
 
-// expectHonest checks answers against the engines' truth: whole and right, or
-// an honest error; "not run" only if no engine saw the request.
-func expectHonest(d *deployment, answers []answer, tokens int) {
+// expectValidCompletions checks completions against the truth logs: the text is the
+// request's own, complete if reported so, and a not_run request ran on no engine.
+func expectValidCompletions(d *deployment, completions []completion, tokens int) {
 	ginkgo.GinkgoHelper()
 	ran := map[string]int{}
-	for _, entry := range d.truth() {
+	for _, entry := range d.truthEntries() {
 		if entry.Kind == truth.KindAccepted {
 			ran[entry.Request]++
 		}
 	}
-	for _, a := range answers {
-		expected := truth.ExpectedText(model, a.prompt, tokens)
-		gomega.Expect(strings.HasPrefix(expected, a.text)).To(gomega.BeTrue(), "%q got foreign text %q", a.prompt, a.text)
-		if a.whole {
-			gomega.Expect(a.text).To(gomega.Equal(expected), "a whole answer of %q", a.prompt)
+	for _, c := range completions {
+		expected := truth.ExpectedText(model, c.prompt, tokens)
+		gomega.Expect(strings.HasPrefix(expected, c.text)).To(gomega.BeTrue(), "%q got another text %q", c.prompt, c.text)
+		if c.complete {
+			gomega.Expect(c.text).To(gomega.Equal(expected), "complete response to %q", c.prompt)
 		}
-		if a.code == "not_run" {
-			gomega.Expect(ran[a.requestID]).To(gomega.BeZero(), "%q was said not to have run", a.prompt)
+		if c.code == "not_run" {
+			gomega.Expect(ran[c.requestID]).To(gomega.BeZero(), "%q ran but was reported as not_run", c.prompt)
 		}
 	}
 }
@@ -95,88 +94,88 @@
 var _ = ginkgo.Describe("Online requests", func() {
 	const tokens = 40
 
-	ginkgo.It("are not cut by a rolling restart of every node", func() {
-		d := newDeployment(fiveCopies)
+	ginkgo.It("are not interrupted by a rolling restart of every node", func() {
+		d := newDeployment(fiveReplicas)
 		load := startTraffic(d, 12, tokens, nil)
 		for _, n := range d.nodes {
-			n.stop()
+			n.terminate()
 			d.startNode(n)
-			d.waitNode(n)
+			d.waitNodeReady(n)
 		}
-		answers := load.finish()
-		expectHonest(d, answers, tokens)
-		gomega.Expect(count(answers, func(a answer) bool { return a.right(tokens) })).To(gomega.BeNumerically(">", 100))
-		for _, a := range answers {
-			refused := a.status == 0 || a.code == "not_run"
-			gomega.Expect(a.right(tokens) || refused).To(gomega.BeTrue(), "cut: %+v", a)
+		completions := load.stopAndWait()
+		expectValidCompletions(d, completions, tokens)
+		gomega.Expect(countMatching(completions, func(c completion) bool { return c.correct(tokens) })).To(gomega.BeNumerically(">", 100))
+		for _, c := range completions {
+			refused := c.status == 0 || c.code == "not_run"
+			gomega.Expect(c.correct(tokens) || refused).To(gomega.BeTrue(), "interrupted: %+v", c)
 		}
 	})
 
-	ginkgo.It("are whole or honestly refused when engines die and answers are lost, late, doubled or crossed", func() {
-		d := newDeployment(fiveCopies)
+	ginkgo.It("are complete or get an accurate error when engines die and responses are lost, late, duplicated or swapped", func() {
+		d := newDeployment(fiveReplicas)
 		for i, fault := range []string{
 			`{"kind":"lost_answer","probability":0.3,"after_tokens":7}`,
 			`{"kind":"crossed","probability":0.3}`,
 			`{"kind":"duplicate","probability":0.5}`,
 			`{"kind":"late","latency":"30ms","probability":0.3}`,
 		} {
-			d.fault(d.engines[i], fault)
+			d.injectFault(d.engines[i], fault)
 		}
 		load := startTraffic(d, 12, tokens, nil)
-		settle(3 * time.Second)
+		sleep(3 * time.Second)
 		d.engines[5].kill()
-		settle(5 * time.Second)
-		answers := load.finish()
-		expectHonest(d, answers, tokens)
-		right := count(answers, func(a answer) bool { return a.right(tokens) })
-		gomega.Expect(right).To(gomega.BeNumerically(">=", len(answers)*9/10), "repeatable requests are retried and resumed")
+		sleep(5 * time.Second)
+		completions := load.stopAndWait()
+		expectValidCompletions(d, completions, tokens)
+		correct := countMatching(completions, func(c completion) bool { return c.correct(tokens) })
+		gomega.Expect(correct).To(gomega.BeNumerically(">=", len(completions)*9/10), "repeatable requests are retried and resumed")
 	})
 
 	ginkgo.It("that are not repeatable run at most once", func() {
-		d := newDeployment(fiveCopies)
+		d := newDeployment(fiveReplicas)
 		for _, engine := range d.engines[:4] {
-			d.fault(engine, `{"kind":"lost_answer","probability":0.3,"after_tokens":3}`)
+			d.injectFault(engine, `{"kind":"lost_answer","probability":0.3,"after_tokens":3}`)
 		}
 		load := startTraffic(d, 8, tokens, map[string]string{"Chutelock-Repeatable": "false"})
-		settle(3 * time.Second)
+		sleep(3 * time.Second)
 		d.engines[5].kill()
 		d.nodes[4].kill()
-		settle(3 * time.Second)
-		answers := load.finish()
-		expectHonest(d, answers, tokens)
+		sleep(3 * time.Second)
+		completions := load.stopAndWait()
+		expectValidCompletions(d, completions, tokens)
 		times := map[string]int{}
-		for _, entry := range d.truth() {
+		for _, entry := range d.truthEntries() {
 			if entry.Kind == truth.KindAccepted {
 				times[entry.Request]++
 				gomega.Expect(times[entry.Request]).To(gomega.Equal(1), entry.Request)
 			}
 		}
-		unknown := count(answers, func(a answer) bool { return a.code == "outcome_unknown" })
-		gomega.Expect(unknown).To(gomega.BeNumerically(">", 0), "lost answers are told as such")
+		unknown := countMatching(completions, func(c completion) bool { return c.code == "outcome_unknown" })
+		gomega.Expect(unknown).To(gomega.BeNumerically(">", 0), "lost responses are reported as outcome_unknown")
 	})
 
-	ginkgo.It("do not reach a leaving engine after three seconds, also from a node just started", func() {
-		d := newDeployment(fiveCopies)
+	ginkgo.It("do not reach a draining engine after three seconds, also from a node just started", func() {
+		d := newDeployment(fiveReplicas)
 		load := startTraffic(d, 12, tokens, nil)
-		settle(2 * time.Second)
-		leaving := d.engines[0]
-		response, err := d.http.R().Post("http://" + leaving.Control + "/control/drain")
+		sleep(2 * time.Second)
+		draining := d.engines[0]
+		response, err := d.http.R().Post("http://" + draining.Control + "/control/drain")
 		gomega.Expect(err).NotTo(gomega.HaveOccurred())
 		gomega.Expect(response.IsSuccess()).To(gomega.BeTrue(), response.String())
-		left := time.Now()
+		drained := time.Now()
 		d.nodes[3].kill()
 		d.startNode(d.nodes[3])
-		d.waitNode(d.nodes[3])
-		settle(6 * time.Second)
-		expectHonest(d, load.finish(), tokens)
+		d.waitNodeReady(d.nodes[3])
+		sleep(6 * time.Second)
+		expectValidCompletions(d, load.stopAndWait(), tokens)
 		reached, last := 0, time.Time{}
-		for _, entry := range d.truth() {
-			if entry.Source == leaving.name && entry.Kind == truth.KindAccepted {
+		for _, entry := range d.truthEntries() {
+			if entry.Source == draining.name && entry.Kind == truth.KindAccepted {
 				reached++
 				last = entry.At
 			}
 		}
-		gomega.Expect(reached).To(gomega.BeNumerically(">", 0), "it had work before")
-		gomega.Expect(last).To(gomega.BeTemporally("<", left.Add(leavingBound)))
+		gomega.Expect(reached).To(gomega.BeNumerically(">", 0), "the engine had work before its drain")
+		gomega.Expect(last).To(gomega.BeTemporally("<", drained.Add(maxDrainDelay)))
 	})
 })
--- a/test/e2e/process_test.go
+++ b/test/e2e/process_test.go
@@ -15,11 +15,11 @@
 	"chutelock.dev/chutelock/internal/lab/ports"
 )
 
-// patience bounds every wait for something that must happen; it is generous,
-// because no verdict may depend on the machine's speed.
-const patience = 90 * time.Second
+// eventTimeout bounds waits for events that must happen; it is long so that
+// results don't depend on the machine's speed.
+const eventTimeout = 90 * time.Second
 
-// process is one running program of the deployment.
+// process is a program of the deployment.
 type process struct {
 	name      string
 	command   *exec.Cmd
@@ -27,7 +27,7 @@
 	exited    chan struct{}
 }
 
-// startProcess starts a program whose output goes to a log in folder.
+// startProcess starts a program that logs to NAME.log in folder.
 func startProcess(folder, name, binary string, arguments ...string) *process {
 	ginkgo.GinkgoHelper()
 	p := &process{name: name, readyFile: filepath.Join(folder, name+".ready"), exited: make(chan struct{})}
@@ -46,7 +46,7 @@
 	return p
 }
 
-// waitReady reads the ready file into content once it is there.
+// waitReady waits for the ready file and decodes it into content.
 func (p *process) waitReady(content any) {
 	ginkgo.GinkgoHelper()
 	gomega.Eventually(func() error {
@@ -60,26 +60,26 @@
 			return err
 		}
 		return json.Unmarshal(data, content)
-	}, patience, "20ms").Should(gomega.Succeed(), p.name)
+	}, eventTimeout, "20ms").Should(gomega.Succeed(), p.name)
 }
 
 func (p *process) signal(signal syscall.Signal) { _ = p.command.Process.Signal(signal) }
 
-// kill ends the process as a machine that vanishes.
+// kill ends the process without a drain, as a machine failure does.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.exited
 }
 
-// pause freezes the process; resume lets it go on.
+// pause suspends the process; resume continues it.
 func (p *process) pause()  { p.signal(syscall.SIGSTOP) }
 func (p *process) resume() { p.signal(syscall.SIGCONT) }
 
-// stop is a planned stop; it returns when the process has ended by itself.
-func (p *process) stop() {
+// terminate requests a drain and waits until the process has exited.
+func (p *process) terminate() {
 	ginkgo.GinkgoHelper()
 	p.signal(syscall.SIGTERM)
-	gomega.Eventually(p.exited, patience).Should(gomega.BeClosed(), p.name)
+	gomega.Eventually(p.exited, eventTimeout).Should(gomega.BeClosed(), p.name)
 }
 
 func (p *process) running() bool {
@@ -91,22 +91,21 @@
 	}
 }
 
-// Ports below the range that the system takes ports for outgoing connections from, and
-// below those of the other tests.
+// Ports below the ephemeral range and below those of the other tests.
 const (
 	firstPort = 12000
 	lastPort  = 18000
-	// portsOfRun are the ports that one run of the tests takes in turn.
-	portsOfRun = 1500
+	// portsPerRun is the number of ports that a run of the tests claims.
+	portsPerRun = 1500
 )
 
-var portsHere = sync.OnceValues(func() (*ports.Block, error) { return ports.Claim(firstPort, lastPort, portsOfRun) })
+var claimPorts = sync.OnceValues(func() (*ports.Block, error) { return ports.Claim(firstPort, lastPort, portsPerRun) })
 
-// freeAddress finds a port that is free for TCP and UDP and will stay so long
-// enough: a restarted node must come back at its address.
+// freeAddress returns a loopback address whose port is free for TCP and UDP and
+// stays reserved for this run, so that a restarted node gets it again.
 func freeAddress() string {
 	ginkgo.GinkgoHelper()
-	block, err := portsHere()
+	block, err := claimPorts()
 	if err != nil {
 		ginkgo.Fail(err.Error())
 	}
--- a/test/e2e/published_client_test.go
+++ b/test/e2e/published_client_test.go
@@ -12,9 +12,9 @@
 	"chutelock.dev/chutelock/internal/standin/truth"
 )
 
-var _ = ginkgo.Describe("The whole path", func() {
+var _ = ginkgo.Describe("The public API", func() {
 	ginkgo.It("serves the published client online and in batch at every node", func() {
-		d := newDeployment(shape{nodes: 3, enginesPerZone: 1, nodeSettings: "ledger: {copies: 3}\n"})
+		d := newDeployment(deploymentConfig{nodes: 3, enginesPerZone: 1, nodeSettings: "ledger: {copies: 3}\n"})
 		ctx := context.Background()
 		for _, n := range d.nodes {
 			c := client(n, onlineKey)
@@ -42,14 +42,14 @@
 			gomega.Expect(models.Data).To(gomega.ContainElement(gomega.HaveField("ID", model)))
 		}
 
-		ginkgo.By("a batch job, and its resubmissions")
+		ginkgo.By("a batch job and its resubmissions")
 		const items = 300
-		accepted := submit(d.nodes[0], items, "roll-1")
-		again := submit(d.nodes[1], items, "roll-1")
-		gomega.Expect(again.ID).To(gomega.Equal(accepted.ID), "the same key and content at another node")
-		expectWholeJob(d, accepted.ID, items)
-		other := upload(d.nodes[2], input(items+1, nil))
-		_, err := create(d.nodes[2], other, "roll-1")
+		accepted := submitJob(d.nodes[0], items, "roll-1")
+		again := submitJob(d.nodes[1], items, "roll-1")
+		gomega.Expect(again.ID).To(gomega.Equal(accepted.ID), "id for the same key and content at another node")
+		expectCompleteJob(d, accepted.ID, items)
+		other := uploadInput(d.nodes[2], jobInput(items+1, nil))
+		_, err := createJob(d.nodes[2], other, "roll-1")
 		var refused *openai.Error
 		gomega.Expect(errors.As(err, &refused)).To(gomega.BeTrue(), "%v", err)
 		gomega.Expect(refused.StatusCode).To(gomega.Equal(409))
--- a/test/e2e/suite_test.go
+++ b/test/e2e/suite_test.go
@@ -1,6 +1,6 @@
-// Package e2e proves the promises on separate processes: a platform, engines
-// and nodes on loopback, driven through the published APIs and judged by the
-// engines' truth logs.
+// Package e2e tests a platform, engines and nodes that run as processes on
+// loopback. It uses the public APIs and checks the results against the engines'
+// truth logs.
 package e2e
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/onsi/gomega/gexec"
 )
 
-// The programs under test, built once.
+// Paths of the programs under test, built once per run.
 var (
 	nodeBinary    string
 	labBinary     string
@@ -39,8 +39,7 @@
 
 var _ = ginkgo.AfterSuite(gexec.CleanupBuildArtifacts)
 
-// itemCount is how many items a job of a failure spec has; the campaign runs
-// with more.
+// itemCount returns the size of a job, which CHUTELOCK_CAMPAIGN sets to 20000.
 func itemCount(normal int) int {
 	if os.Getenv("CHUTELOCK_CAMPAIGN") != "" {
 		return 20000
