--- a/internal/jobs/identifier.go
+++ b/internal/jobs/identifier.go
@@ -12,8 +12,8 @@
 	"chutelock.dev/chutelock/internal/ledger"
 )
 
-// Prefixes of identifiers. Behind the prefix come four hexadecimal digits of
-// the shard, so that any node can find the shard, and a random part.
+// Prefixes of identifiers. Four hexadecimal digits of the shard, which let any
+// node route by identifier, and a random part follow the prefix.
 const (
 	prefixFile   = "file-"
 	prefixJob    = "batch_"
@@ -21,7 +21,7 @@
 	prefixErrors = "file-err-"
 )
 
-// MaxShards is how many shards an identifier can tell apart.
+// MaxShards is the number of shards that an identifier can encode.
 const MaxShards = 1 << 16
 
 const (
@@ -30,16 +30,16 @@
 	randomDigits = 2 * randomBytes
 )
 
-// ShardOfKey is the shard of a job: that of its tenant and idempotency key, so
-// that a resend meets its own record.
+// ShardOfKey returns the shard of a job, a hash of its tenant and idempotency
+// key, so that a retried submission reaches the shard of the original.
 func ShardOfKey(tenant, idempotencyKey string, shards int) ledger.ShardID {
 	return ledger.ShardID(xxhash.Sum64String(tenant+"\x00"+idempotencyKey) % uint64(shards))
 }
 
-// NewFileID makes an identifier of an input file in a shard.
+// NewFileID returns a new identifier of an input file in a shard.
 func NewFileID(shard ledger.ShardID) string { return newIdentifier(prefixFile, shard) }
 
-// NewJobID makes an identifier of a job in a shard.
+// NewJobID returns a new identifier of a job in a shard.
 func NewJobID(shard ledger.ShardID) string { return newIdentifier(prefixJob, shard) }
 
 func newIdentifier(prefix string, shard ledger.ShardID) string {
@@ -52,26 +52,26 @@
 	return hex.EncodeToString(random[:])
 }
 
-// NewKey makes an idempotency key for a caller that gave none.
+// NewKey returns a random idempotency key for a request without one.
 func NewKey() string { return "none-" + randomText() }
 
-// OutputFileID names the file of a job's good results.
+// OutputFileID returns the identifier of the file of a job's successful results.
 func OutputFileID(jobID string) string { return prefixOutput + strings.TrimPrefix(jobID, prefixJob) }
 
-// ErrorFileID names the file of a job's other results.
+// ErrorFileID returns the identifier of the file of a job's other results.
 func ErrorFileID(jobID string) string { return prefixErrors + strings.TrimPrefix(jobID, prefixJob) }
 
-// ShardOfJob reads the shard out of a job's identifier.
+// ShardOfJob returns the shard in a job's identifier, and whether it is valid.
 func ShardOfJob(jobID string, shards int) (ledger.ShardID, bool) {
 	return shardOf(jobID, prefixJob, shards)
 }
 
-// ShardOfFile reads the shard out of an input file's identifier.
+// ShardOfFile returns the shard in an input file's identifier, and whether it is valid.
 func ShardOfFile(fileID string, shards int) (ledger.ShardID, bool) {
 	return shardOf(fileID, prefixFile, shards)
 }
 
-// ResultFile splits the identifier of a result file.
+// ResultFile returns the job of a result file's identifier, and whether it is the error file.
 func ResultFile(fileID string) (jobID string, errors, ok bool) {
 	if rest, found := strings.CutPrefix(fileID, prefixOutput); found {
 		return prefixJob + rest, false, true
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -1,6 +1,6 @@
 // Package jobs accepts batch jobs, leases their items to dispatchers and
-// keeps their results. Sub-packages: machine (the replicated state machine),
-// command and query (what changes and what reads), dispatch (running items).
+// stores their results. Sub-packages: machine (the replicated state machine),
+// command and query (write and read paths), dispatch (running items).
 package jobs
 
 import (
@@ -11,12 +11,12 @@
 // ItemStatus is the final state of an item.
 type ItemStatus uint8
 
-// Final states of items; zero means that the item is not final yet.
+// Item states; all but ItemOpen are final.
 const (
 	ItemOpen ItemStatus = iota
 	ItemSucceeded
-	ItemFailed         // the engine's own error, or too many tries
-	ItemOutcomeUnknown // non-repeatable, and its fate is not known
+	ItemFailed         // error returned by the engine, or too many tries
+	ItemOutcomeUnknown // non-repeatable, sent to an engine, no result received
 	ItemCancelled
 	ItemExpired
 )
@@ -30,8 +30,8 @@
 	Repeatable bool
 }
 
-// Lease is a range of items given to one dispatcher until Expires. Results
-// under an older Epoch of the same item are still taken if they come first.
+// Lease assigns items to one dispatcher until Expires. A result under an older
+// Epoch of an item is still accepted if it is the item's first.
 type Lease struct {
 	JobID    string
 	Tenant   string
@@ -42,38 +42,38 @@
 	Items    []Item
 }
 
-// Result is what a dispatcher reports for one item.
+// Result is a dispatcher's report on one item.
 type Result struct {
 	JobID  string
 	Index  uint32
 	Epoch  uint64
 	Status ItemStatus
-	// Body is the engine's whole answer, or an OpenAI-shaped error.
+	// Body is the engine's complete response, or an error in OpenAI format.
 	Body []byte
-	// HTTPStatus is the status code to show in the result line.
+	// HTTPStatus is the status code written to the result line.
 	HTTPStatus uint16
-	// CompletionTokens counts what the engine generated.
+	// CompletionTokens is the number of tokens that the engine generated.
 	CompletionTokens uint32
 }
 
-// Work is where dispatchers get items and leave results, at any shard.
+// Work is the dispatchers' interface to the items and results of all shards.
 type Work interface {
-	// Lease takes up to count items for a model, the job with the least slack
-	// first. It returns no lease when there is no open item.
+	// Lease leases up to count items of a model, ordered by urgency and the
+	// tenants' shares. It returns no lease when there is no open item.
 	Lease(ctx context.Context, dispatcher, model string, count int) ([]Lease, error)
-	// Start records that a non-repeatable item is about to be sent. It must
-	// have succeeded before a byte goes to an engine; false means that the
-	// item must not be sent (cancelled, or started before).
+	// Start records that a non-repeatable item is about to be sent, and must
+	// succeed before any byte goes to an engine. False means that the item
+	// must not be sent (cancelled, or already started).
 	Start(ctx context.Context, lease Lease, index uint32) (bool, error)
-	// Report commits results; those that came second are dropped.
+	// Report commits results; all but the first of an item are dropped.
 	Report(ctx context.Context, results []Result) error
 	// Renew extends leases, and returns the ids of jobs whose leases are
-	// revoked (cancelled): their items must stop at once.
+	// revoked: their items must be aborted immediately.
 	Renew(ctx context.Context, dispatcher string, jobIDs []string) (revoked []string, err error)
 }
 
-// RenewError says which jobs' leases Renew could not renew; those of the
-// other jobs were renewed.
+// RenewError lists the jobs whose leases Renew failed to renew; the leases of
+// all other jobs were renewed.
 type RenewError struct {
 	JobIDs []string
 	Cause  error
@@ -82,5 +82,5 @@
 // Error implements error.
 func (e *RenewError) Error() string { return "jobs: leases were not renewed: " + e.Cause.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns Cause.
 func (e *RenewError) Unwrap() error { return e.Cause }
