--- a/internal/jobs/machine/answer.go
+++ b/internal/jobs/machine/answer.go
@@ -7,44 +7,44 @@
 	"chutelock.dev/chutelock/internal/wire"
 )
 
-// Code says how the machine decided on a command.
+// Code is the outcome of a command.
 type Code uint8
 
-// Codes of answers. All but CodeOK leave the state as it was.
+// Codes of answers. All but CodeOK leave jobs and files unchanged.
 const (
 	CodeOK        Code = iota + 1
-	CodeMalformed      // the entry can't be decoded or breaks a limit
+	CodeMalformed      // the entry can't be decoded or exceeds a limit
 	CodeNotFound       // no such file or job of this tenant
-	CodeConflict       // the idempotency key belongs to another content
+	CodeConflict       // the idempotency key was used with different content
 	CodeGap            // a chunk or item before this one is missing
-	CodeDeadline       // the deadline can't be met; Answer.Time says what can
-	CodeRefused        // a start that must not happen, or a job that is final
+	CodeDeadline       // the deadline can't be met; Answer.Time is the earliest feasible one
+	CodeRefused        // the item must not be started
 )
 
-// Answer is the machine's answer to a command.
+// Answer is the result of applying a command.
 type Answer struct {
 	Code Code
-	// Time is the earliest deadline that could be met, with CodeDeadline.
+	// Time is the earliest feasible deadline, with CodeDeadline.
 	Time time.Time
-	// Count is: the next chunk or item expected (FileAppend, JobAppend); the
-	// results kept (Report); the leases ended (ExpireLeases).
+	// Count is the next chunk or item expected (files and jobs being
+	// received), the results stored (Report) or the leases ended (ExpireLeases).
 	Count uint32
-	// Sealed says that the job was accepted before (JobBegin).
+	// Sealed reports that the file or job was sealed by an earlier command.
 	Sealed bool
-	// JobID is the job that the key names (JobBegin).
+	// JobID is the job of the idempotency key (JobBegin) or the job sealed (JobSeal).
 	JobID string
-	// Leases are the leases given (LeaseItems).
+	// Leases are the leases granted (LeaseItems).
 	Leases []jobs.Lease
 }
 
-type answerNumbers struct {
+type answerFixedFields struct {
 	Code   Code
 	Time   int64
 	Count  uint32
 	Sealed bool
 }
 
-// Encode encodes the answer.
+// Encode returns the wire form of the answer.
 func (a Answer) Encode() ([]byte, error) {
 	fields := make([][]byte, 0, 1+len(a.Leases))
 	fields = append(fields, []byte(a.JobID))
@@ -55,16 +55,16 @@
 		}
 		fields = append(fields, encoded)
 	}
-	fixed := answerNumbers{Code: a.Code, Count: a.Count, Sealed: a.Sealed}
+	fixed := answerFixedFields{Code: a.Code, Count: a.Count, Sealed: a.Sealed}
 	if !a.Time.IsZero() {
 		fixed.Time = a.Time.UnixMilli()
 	}
 	return wire.Marshal(bodyVersion, fixed, fields...)
 }
 
-// DecodeAnswer reads what Apply returned. Byte fields alias message.
+// DecodeAnswer decodes an answer returned by Machine.Apply. Byte fields alias message.
 func DecodeAnswer(message []byte) (Answer, error) {
-	var fixed answerNumbers
+	var fixed answerFixedFields
 	fields, err := wire.Unmarshal(message, bodyVersion, &fixed, -1)
 	if err != nil {
 		return Answer{}, err
@@ -86,7 +86,7 @@
 	return answer, nil
 }
 
-type leaseAnswerNumbers struct {
+type leaseAnswerFixedFields struct {
 	Deadline int64
 	Epoch    uint64
 }
@@ -101,11 +101,11 @@
 		}
 		fields = append(fields, encoded)
 	}
-	return wire.Marshal(bodyVersion, leaseAnswerNumbers{lease.Deadline.UnixMilli(), lease.Epoch}, fields...)
+	return wire.Marshal(bodyVersion, leaseAnswerFixedFields{lease.Deadline.UnixMilli(), lease.Epoch}, fields...)
 }
 
 func decodeLease(message []byte) (jobs.Lease, error) {
-	var fixed leaseAnswerNumbers
+	var fixed leaseAnswerFixedFields
 	fields, err := wire.Unmarshal(message, bodyVersion, &fixed, -1)
 	if err != nil {
 		return jobs.Lease{}, err
--- a/internal/jobs/machine/codec.go
+++ b/internal/jobs/machine/codec.go
@@ -10,8 +10,8 @@
 
 const bodyVersion = 1
 
-// numbers is the fixed part of a command without numbers of its own.
-type numbers struct{}
+// noFixedFields is the fixed part of a message that has variable fields only.
+type noFixedFields struct{}
 
 func (c *FileBegin) marshal() ([]byte, error) {
 	return wire.Marshal(bodyVersion, int64(c.Retention),
@@ -43,7 +43,7 @@
 	return nil
 }
 
-type fileSealNumbers struct {
+type fileSealFixedFields struct {
 	Chunks uint32
 	Lines  uint32
 	Bytes  uint64
@@ -51,12 +51,12 @@
 }
 
 func (c *FileSeal) marshal() ([]byte, error) {
-	return wire.Marshal(bodyVersion, fileSealNumbers{c.Chunks, c.Lines, c.Bytes, c.Digest},
+	return wire.Marshal(bodyVersion, fileSealFixedFields{c.Chunks, c.Lines, c.Bytes, c.Digest},
 		[]byte(c.FileID), []byte(c.Model), []byte(c.Endpoint))
 }
 
 func (c *FileSeal) unmarshal(message []byte) error {
-	var fixed fileSealNumbers
+	var fixed fileSealFixedFields
 	fields, err := wire.Unmarshal(message, bodyVersion, &fixed, 3)
 	if err != nil {
 		return err
@@ -67,11 +67,11 @@
 }
 
 func (c *FileDelete) marshal() ([]byte, error) {
-	return wire.Marshal(bodyVersion, numbers{}, []byte(c.FileID), []byte(c.Tenant))
+	return wire.Marshal(bodyVersion, noFixedFields{}, []byte(c.FileID), []byte(c.Tenant))
 }
 
 func (c *FileDelete) unmarshal(message []byte) error {
-	fields, err := wire.Unmarshal(message, bodyVersion, &numbers{}, 2)
+	fields, err := wire.Unmarshal(message, bodyVersion, &noFixedFields{}, 2)
 	if err != nil {
 		return err
 	}
@@ -79,7 +79,7 @@
 	return nil
 }
 
-type jobBeginNumbers struct {
+type jobBeginFixedFields struct {
 	Content    Digest
 	FileDigest Digest
 	Items      uint32
@@ -90,13 +90,13 @@
 }
 
 func (c *JobBegin) marshal() ([]byte, error) {
-	fixed := jobBeginNumbers{c.Content, c.FileDigest, c.Items, c.Deadline.UnixMilli(), c.Weight, c.MaxTries, int64(c.Retention)}
+	fixed := jobBeginFixedFields{c.Content, c.FileDigest, c.Items, c.Deadline.UnixMilli(), c.Weight, c.MaxTries, int64(c.Retention)}
 	return wire.Marshal(bodyVersion, fixed, []byte(c.JobID), []byte(c.Tenant), []byte(c.Key),
 		[]byte(c.FileID), []byte(c.Model), []byte(c.Endpoint), []byte(c.Window), c.Metadata)
 }
 
 func (c *JobBegin) unmarshal(message []byte) error {
-	var fixed jobBeginNumbers
+	var fixed jobBeginFixedFields
 	fields, err := wire.Unmarshal(message, bodyVersion, &fixed, 8)
 	if err != nil {
 		return err
@@ -155,17 +155,17 @@
 	return nil
 }
 
-type leaseNumbers struct {
+type leaseFixedFields struct {
 	Count    uint32
 	MaxBytes uint32
 }
 
 func (c *LeaseItems) marshal() ([]byte, error) {
-	return wire.Marshal(bodyVersion, leaseNumbers{c.Count, c.MaxBytes}, []byte(c.Dispatcher), []byte(c.Model))
+	return wire.Marshal(bodyVersion, leaseFixedFields{c.Count, c.MaxBytes}, []byte(c.Dispatcher), []byte(c.Model))
 }
 
 func (c *LeaseItems) unmarshal(message []byte) error {
-	var fixed leaseNumbers
+	var fixed leaseFixedFields
 	fields, err := wire.Unmarshal(message, bodyVersion, &fixed, 2)
 	if err != nil {
 		return err
@@ -175,17 +175,17 @@
 	return nil
 }
 
-type startNumbers struct {
+type startFixedFields struct {
 	Index uint32
 	Epoch uint64
 }
 
 func (c *Start) marshal() ([]byte, error) {
-	return wire.Marshal(bodyVersion, startNumbers{c.Index, c.Epoch}, []byte(c.JobID))
+	return wire.Marshal(bodyVersion, startFixedFields{c.Index, c.Epoch}, []byte(c.JobID))
 }
 
 func (c *Start) unmarshal(message []byte) error {
-	var fixed startNumbers
+	var fixed startFixedFields
 	fields, err := wire.Unmarshal(message, bodyVersion, &fixed, 1)
 	if err != nil {
 		return err
@@ -195,7 +195,7 @@
 	return nil
 }
 
-type resultNumbers struct {
+type resultFixedFields struct {
 	Index            uint32
 	Epoch            uint64
 	Status           jobs.ItemStatus
@@ -206,24 +206,24 @@
 func (c *Report) marshal() ([]byte, error) {
 	fields := make([][]byte, 0, len(c.Results))
 	for _, result := range c.Results {
-		fixed := resultNumbers{result.Index, result.Epoch, result.Status, result.HTTPStatus, result.CompletionTokens}
+		fixed := resultFixedFields{result.Index, result.Epoch, result.Status, result.HTTPStatus, result.CompletionTokens}
 		encoded, err := wire.Marshal(bodyVersion, fixed, []byte(result.JobID), result.Body)
 		if err != nil {
 			return nil, err
 		}
 		fields = append(fields, encoded)
 	}
-	return wire.Marshal(bodyVersion, numbers{}, fields...)
+	return wire.Marshal(bodyVersion, noFixedFields{}, fields...)
 }
 
 func (c *Report) unmarshal(message []byte) error {
-	fields, err := wire.Unmarshal(message, bodyVersion, &numbers{}, -1)
+	fields, err := wire.Unmarshal(message, bodyVersion, &noFixedFields{}, -1)
 	if err != nil {
 		return err
 	}
 	c.Results = make([]jobs.Result, 0, len(fields))
 	for _, field := range fields {
-		var fixed resultNumbers
+		var fixed resultFixedFields
 		parts, err := wire.Unmarshal(field, bodyVersion, &fixed, 2)
 		if err != nil {
 			return err
@@ -237,11 +237,11 @@
 }
 
 func (c *ExpireLeases) marshal() ([]byte, error) {
-	return wire.Marshal(bodyVersion, numbers{}, []byte(c.Dispatcher), EncodeEpochs(c.Epochs))
+	return wire.Marshal(bodyVersion, noFixedFields{}, []byte(c.Dispatcher), EncodeEpochs(c.Epochs))
 }
 
 func (c *ExpireLeases) unmarshal(message []byte) error {
-	fields, err := wire.Unmarshal(message, bodyVersion, &numbers{}, 2)
+	fields, err := wire.Unmarshal(message, bodyVersion, &noFixedFields{}, 2)
 	if err != nil {
 		return err
 	}
@@ -251,11 +251,11 @@
 }
 
 func (c *Cancel) marshal() ([]byte, error) {
-	return wire.Marshal(bodyVersion, numbers{}, []byte(c.JobID), []byte(c.Tenant))
+	return wire.Marshal(bodyVersion, noFixedFields{}, []byte(c.JobID), []byte(c.Tenant))
 }
 
 func (c *Cancel) unmarshal(message []byte) error {
-	fields, err := wire.Unmarshal(message, bodyVersion, &numbers{}, 2)
+	fields, err := wire.Unmarshal(message, bodyVersion, &noFixedFields{}, 2)
 	if err != nil {
 		return err
 	}
@@ -263,25 +263,25 @@
 	return nil
 }
 
-func (c *Tick) marshal() ([]byte, error) { return wire.Marshal(bodyVersion, numbers{}) }
+func (c *Tick) marshal() ([]byte, error) { return wire.Marshal(bodyVersion, noFixedFields{}) }
 
 func (c *Tick) unmarshal(message []byte) error {
-	_, err := wire.Unmarshal(message, bodyVersion, &numbers{}, 0)
+	_, err := wire.Unmarshal(message, bodyVersion, &noFixedFields{}, 0)
 	return err
 }
 
-type itemNumbers struct {
+type itemFixedFields struct {
 	Index      uint32
 	Repeatable bool
 }
 
 func encodeItem(item jobs.Item) ([]byte, error) {
-	return wire.Marshal(bodyVersion, itemNumbers{item.Index, item.Repeatable},
+	return wire.Marshal(bodyVersion, itemFixedFields{item.Index, item.Repeatable},
 		[]byte(item.CustomID), []byte(item.Path), item.Body)
 }
 
 func decodeItem(message []byte) (jobs.Item, error) {
-	var fixed itemNumbers
+	var fixed itemFixedFields
 	fields, err := wire.Unmarshal(message, bodyVersion, &fixed, 3)
 	if err != nil {
 		return jobs.Item{}, err
@@ -291,7 +291,7 @@
 	return item, nil
 }
 
-// EncodeEpochs encodes epochs as one variable field.
+// EncodeEpochs encodes epochs into one variable-length field.
 func EncodeEpochs(epochs []uint64) []byte {
 	encoded := make([]byte, 0, 8*len(epochs))
 	for _, epoch := range epochs {
@@ -300,7 +300,7 @@
 	return encoded
 }
 
-// DecodeEpochs reads what EncodeEpochs made.
+// DecodeEpochs decodes the output of EncodeEpochs.
 func DecodeEpochs(encoded []byte) ([]uint64, error) {
 	if len(encoded)%8 != 0 {
 		return nil, wire.ErrLength
@@ -312,7 +312,7 @@
 	return epochs, nil
 }
 
-// setStrings copies fields into targets, in order.
+// setStrings assigns the leading fields to targets, in order.
 func setStrings(fields [][]byte, targets ...*string) {
 	for i, target := range targets {
 		*target = string(fields[i])
--- a/internal/jobs/machine/codec_test.go
+++ b/internal/jobs/machine/codec_test.go
@@ -10,8 +10,8 @@
 	"chutelock.dev/chutelock/internal/jobs"
 )
 
-// every is a command of each type with each field set.
-var every = []Command{
+// allCommands has one command of each type, with every field set.
+var allCommands = []Command{
 	&FileBegin{"f", "t", "n", "p", time.Hour},
 	&FileAppend{"f", 3, []byte("lines")},
 	&FileSeal{"f", 1, 2, 3, Digest{4}, "m", "/e"},
@@ -27,9 +27,10 @@
 	&Tick{},
 }
 
-func TestCommandsSurviveEncoding(t *testing.T) {
+// Guards against fields lost or changed by encoding or by Stamp.
+func TestCommandEncodingRoundTrip(t *testing.T) {
 	g := gomega.NewWithT(t)
-	for _, command := range every {
+	for _, command := range allCommands {
 		entry, err := Encode(time.UnixMilli(9), command)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		at, decoded, err := Decode(entry)
@@ -43,10 +44,10 @@
 	}
 }
 
-// FuzzApply: no entry may break the machine, and what it keeps in memory must
-// come back from its store.
+// FuzzApply guards against entries that make Apply fail, and against open jobs
+// that differ after a reload.
 func FuzzApply(f *testing.F) {
-	for _, command := range every {
+	for _, command := range allCommands {
 		entry, _ := Encode(time.UnixMilli(9), command)
 		f.Add(entry)
 	}
@@ -68,6 +69,7 @@
 	})
 }
 
+// FuzzDecodeStored guards against panics on malformed answers and records.
 func FuzzDecodeStored(f *testing.F) {
 	record, _ := (&JobRecord{JobID: "j"}).Encode()
 	f.Add(record)
--- a/internal/jobs/machine/command.go
+++ b/internal/jobs/machine/command.go
@@ -9,7 +9,7 @@
 	"chutelock.dev/chutelock/internal/wire"
 )
 
-// Kind names a command.
+// Kind identifies a command type in an entry.
 type Kind uint8
 
 // Kinds of commands.
@@ -31,13 +31,13 @@
 
 const entryVersion = 1
 
-// DigestSize is the size of content digests (SHA-256), in bytes.
+// DigestSize is the size of a content digest in bytes.
 const DigestSize = 32
 
-// Digest is a SHA-256.
+// Digest is a SHA-256 digest.
 type Digest [DigestSize]byte
 
-// Command is one of the command types of this package.
+// Command is implemented by the command types of this package only.
 type Command interface {
 	kind() Kind
 	marshal() ([]byte, error)
@@ -49,8 +49,8 @@
 	At   int64 // Unix milliseconds at the proposer
 }
 
-// Encode makes an entry of a command; at is the proposer's time, which the
-// shard's leader replaces by its own.
+// Encode encodes a command as a log entry. The shard's leader replaces the
+// proposer's time, at, by its own.
 func Encode(at time.Time, command Command) ([]byte, error) {
 	body, err := command.marshal()
 	if err != nil {
@@ -59,7 +59,7 @@
 	return wire.Marshal(entryVersion, entryHeader{command.kind(), at.UnixMilli()}, body)
 }
 
-// Decode reads an entry. The command's byte fields alias the entry.
+// Decode decodes a log entry. The command's byte fields alias entry.
 func Decode(entry []byte) (time.Time, Command, error) {
 	var header entryHeader
 	fields, err := wire.Unmarshal(entry, entryVersion, &header, 1)
@@ -79,8 +79,8 @@
 // headerSize is the size of an entry's version and header.
 const headerSize = 1 + 1 + 8
 
-// Stamp returns a copy of an entry with another time. What is no entry comes
-// back as it is.
+// Stamp returns a copy of an entry with its time replaced. Input that is not an
+// entry is returned unchanged.
 func Stamp(entry []byte, at time.Time) []byte {
 	if len(entry) < headerSize || entry[0] != entryVersion {
 		return entry
@@ -123,7 +123,7 @@
 	}
 }
 
-// FileBegin opens an input file, which is not readable before FileSeal.
+// FileBegin creates an input file, which is not readable until FileSeal.
 type FileBegin struct {
 	FileID    string
 	Tenant    string
@@ -132,15 +132,15 @@
 	Retention time.Duration
 }
 
-// FileAppend adds chunk number Chunk, counted from 0, which holds whole lines.
-// A chunk that is there already is left as it is.
+// FileAppend adds chunk number Chunk, counted from 0, of complete lines. An
+// existing chunk is not overwritten.
 type FileAppend struct {
 	FileID string
 	Chunk  uint32
 	Data   []byte
 }
 
-// FileSeal makes the file readable, if all of its chunks are there.
+// FileSeal makes the file readable if it has all Chunks chunks.
 type FileSeal struct {
 	FileID   string
 	Chunks   uint32
@@ -151,20 +151,20 @@
 	Endpoint string
 }
 
-// FileDelete removes a file of the tenant.
+// FileDelete removes a file if it belongs to Tenant.
 type FileDelete struct {
 	FileID string
 	Tenant string
 }
 
-// JobBegin opens a job, or finds the job that the idempotency key names.
+// JobBegin creates a job, or finds the existing job of the idempotency key.
 type JobBegin struct {
 	JobID  string
 	Tenant string
-	// Key is the caller's idempotency key; never empty.
+	// Key is the idempotency key; never empty.
 	Key string
-	// Content is the digest of the input and the parameters: a resend must
-	// have the same.
+	// Content is the digest of the input and the parameters, which a retry
+	// must repeat.
 	Content    Digest
 	FileID     string
 	FileDigest Digest
@@ -174,7 +174,7 @@
 	Metadata   []byte // JSON object, or empty
 	Items      uint32
 	Deadline   time.Time
-	Weight     uint32 // the tenant's share, in thousandths
+	Weight     uint32 // the tenant's weight in fair sharing, in thousandths
 	MaxTries   uint8
 	Retention  time.Duration
 }
@@ -186,14 +186,14 @@
 	Items []jobs.Item
 }
 
-// JobSeal accepts the job, if all Items items are there.
+// JobSeal accepts the job if all Items items were appended.
 type JobSeal struct {
 	JobID string
 	Items uint32
 }
 
-// LeaseItems leases up to Count open items of a model, of at most MaxBytes
-// together, to a dispatcher.
+// LeaseItems leases up to Count open items of a model to a dispatcher, limited
+// to about MaxBytes of item bodies in total.
 type LeaseItems struct {
 	Dispatcher string
 	Model      string
@@ -208,25 +208,25 @@
 	Epoch uint64
 }
 
-// Report records results. A result of status ItemOpen hands the item back:
-// see ReturnReason.
+// Report records results. A result of status ItemOpen returns the item to its
+// job: see ReturnNotRun.
 type Report struct {
 	Results []jobs.Result
 }
 
-// ExpireLeases ends leases of a dispatcher that stopped renewing them.
+// ExpireLeases ends leases that a dispatcher stopped renewing.
 type ExpireLeases struct {
 	Dispatcher string
 	Epochs     []uint64
 }
 
-// Cancel cancels a job of the tenant.
+// Cancel cancels a job if it belongs to Tenant.
 type Cancel struct {
 	JobID  string
 	Tenant string
 }
 
-// Tick lets time act: deadlines, retention, and what was never sealed.
+// Tick applies deadlines, retention periods and the timeout for sealing.
 type Tick struct{}
 
 func (*FileBegin) kind() Kind    { return KindFileBegin }
--- a/internal/jobs/machine/doc.go
+++ b/internal/jobs/machine/doc.go
@@ -2,25 +2,26 @@
 // input files, jobs, leases and results.
 //
 // Commands are encoded with Encode, proposed to the shard, and applied by
-// Machine.Apply in the same order at every replica. Apply reads no clock and
-// no randomness: time travels in each entry, stamped by the shard's leader, and
-// the machine's clock is the largest time seen, so that it never goes back.
+// Machine.Apply in the same order at every replica. Apply is deterministic:
+// each entry carries the time set by the shard's leader, and the machine's clock
+// is the latest time seen, so that it never goes back.
 //
-// Rules that the machine keeps, whatever order or repetition commands come in:
+// Invariants under any order and repetition of commands:
 //
 //   - A job is accepted when JobSeal is applied, with all of its items, or not
-//     at all. One idempotency key of a tenant names one job and one content.
-//   - The first result of an item is kept; later ones are dropped and counted.
-//   - A non-repeatable item is started under one lease only. If that lease
-//     ends without a report, the item's result is ItemOutcomeUnknown.
+//     at all. A tenant's idempotency key maps to one job and one content.
+//   - The first result of an item is stored; later ones are dropped and counted.
+//   - A non-repeatable item is started under one lease only, unless it is
+//     returned as not run. If that lease ends without a report, the item's
+//     result is ItemOutcomeUnknown.
 //   - No result is recorded for a job that is cancelled or expired.
 //
-// Every command may be applied twice without harm, because its sender repeats
-// it when an answer was lost.
+// Commands tolerate duplicates, because a sender retries when an answer is
+// lost.
 //
-// Leases carry no expiry in the log. The leader's lease keeper (package
-// command) proposes ExpireLeases for a dispatcher that stopped renewing.
+// Leases have no expiry time in the log. The shard's leader (package command)
+// proposes ExpireLeases for a dispatcher that stopped renewing.
 //
-// Memory holds a bounded summary of each open job: one bit an item for final
-// items, and a few words for each leased item. Everything else is in the store.
+// Memory holds a bounded summary of each open job: two bits per item, and a few
+// words per leased item. Everything else is in the store.
 package machine
--- a/internal/jobs/machine/feasibility.go
+++ b/internal/jobs/machine/feasibility.go
@@ -6,22 +6,21 @@
 	"time"
 )
 
-// minimumLead is the shortest time from submission to a deadline.
-const minimumLead = time.Second
+// minLead is the shortest time allowed between submission and deadline.
+const minLead = time.Second
 
-// demand is the work that open jobs of a model have left, in the order of
-// their deadlines.
+// demand is the remaining work of an open job of a model.
 type demand struct {
 	deadline int64
-	// ahead counts the items due by then.
-	ahead uint64
+	// cumulativeItems counts the items of this job and of those due before it.
+	cumulativeItems uint64
 }
 
-// feasible says whether items more items of a model can be done by deadline
-// without breaking a promise given before, and if not, what deadline could be
-// met. Without a measured rate every future deadline is taken.
+// feasible reports whether items more items of a model can complete by deadline
+// without making an accepted job late, and if not, returns the earliest feasible
+// deadline. Without a measured rate, any deadline from minLead on is feasible.
 func (tx *transaction) feasible(model string, items uint32, deadline int64) (possible int64, ok bool) {
-	earliest := tx.now + minimumLead.Milliseconds()
+	earliest := tx.now + minLead.Milliseconds()
 	measured, known := tx.machine.rates[model]
 	if !known || !measured.known() {
 		return earliest, earliest <= deadline
@@ -30,10 +29,10 @@
 	if earliest <= deadline && schedule.fits(uint64(items), deadline) {
 		return deadline, true
 	}
-	return max(earliest, schedule.earliest(uint64(items))), false
+	return max(earliest, schedule.earliestFeasible(uint64(items))), false
 }
 
-// demands lists the work left of a model's open jobs.
+// demands returns the demands of a model's open jobs, ordered by deadline.
 func (m *Machine) demands(model string) []demand {
 	var demands []demand
 	for _, job := range m.open {
@@ -44,49 +43,50 @@
 	sort.Slice(demands, func(a, b int) bool { return demands[a].deadline < demands[b].deadline })
 	total := uint64(0)
 	for i := range demands {
-		total += demands[i].ahead
-		demands[i].ahead = total
+		total += demands[i].cumulativeItems
+		demands[i].cumulativeItems = total
 	}
 	return demands
 }
 
-// schedule judges deadlines as if items ran in the order of their deadlines
-// at the measured rate.
+// schedule predicts completion times for items that run in deadline order at
+// the measured rate.
 type schedule struct {
 	now     int64
 	rate    *rate
 	demands []demand
 }
 
-// done is when so many items would be done.
-func (s *schedule) done(items uint64) int64 { return s.now + s.rate.timeFor(items) }
+// finishTime returns when the first items items complete, in Unix milliseconds.
+func (s *schedule) finishTime(items uint64) int64 { return s.now + s.rate.timeFor(items) }
 
-// fits says whether items due by deadline can be added: they must be done in
-// time, and no later job that is in time may become late by them.
+// fits reports whether items due by deadline can be added: they must complete
+// in time, and must not make a job with a later deadline miss it.
 func (s *schedule) fits(items uint64, deadline int64) bool {
 	ahead := uint64(0)
 	for _, existing := range s.demands {
 		if existing.deadline <= deadline {
-			ahead = existing.ahead
+			ahead = existing.cumulativeItems
 			continue
 		}
-		inTime := s.done(existing.ahead) <= existing.deadline
-		if inTime && s.done(existing.ahead+items) > existing.deadline {
+		inTime := s.finishTime(existing.cumulativeItems) <= existing.deadline
+		if inTime && s.finishTime(existing.cumulativeItems+items) > existing.deadline {
 			return false
 		}
 	}
-	return s.done(ahead+items) <= deadline
+	return s.finishTime(ahead+items) <= deadline
 }
 
-// earliest is the first deadline that fits: before all others, or behind one.
-func (s *schedule) earliest(items uint64) int64 {
-	first := s.done(items)
+// earliestFeasible returns the earliest deadline that fits: ahead of all jobs, or
+// after one of them.
+func (s *schedule) earliestFeasible(items uint64) int64 {
+	first := s.finishTime(items)
 	if s.fits(items, first) {
 		return first
 	}
 	best := int64(math.MaxInt64)
 	for _, existing := range s.demands {
-		candidate := max(existing.deadline, s.done(existing.ahead+items))
+		candidate := max(existing.deadline, s.finishTime(existing.cumulativeItems+items))
 		if candidate < best && s.fits(items, candidate) {
 			best = candidate
 		}
--- a/internal/jobs/machine/intake.go
+++ b/internal/jobs/machine/intake.go
@@ -6,7 +6,7 @@
 	"chutelock.dev/chutelock/internal/jobs"
 )
 
-// receiveTimeout is how long a file or job may take from begin to seal.
+// receiveTimeout is the longest time from creation to seal of a file or job.
 const receiveTimeout = time.Hour
 
 // MaxJobItems is the largest number of items in one job.
@@ -106,7 +106,7 @@
 		return Answer{}, err
 	}
 	if ok {
-		return resend(existing, c), nil
+		return duplicateBeginAnswer(existing, c), nil
 	}
 	if _, taken, err := GetJob(tx, c.JobID); err != nil || taken {
 		return Answer{Code: CodeMalformed}, err
@@ -117,8 +117,8 @@
 	return tx.createJob(c)
 }
 
-// resend answers a JobBegin whose key names a job already.
-func resend(existing JobRecord, c *JobBegin) Answer {
+// duplicateBeginAnswer answers a JobBegin whose idempotency key has a job.
+func duplicateBeginAnswer(existing JobRecord, c *JobBegin) Answer {
 	if existing.Content != c.Content {
 		return Answer{Code: CodeConflict, JobID: existing.JobID}
 	}
@@ -203,7 +203,7 @@
 	if err := tx.Set(keyOfTenantJob(record.Tenant, milliseconds(record.Created), c.JobID), nil); err != nil {
 		return Answer{}, err
 	}
-	if err := tx.joinShares(record.Tenant); err != nil {
+	if err := tx.addTenantShare(record.Tenant); err != nil {
 		return Answer{}, err
 	}
 	tx.machine.open[c.JobID] = newOpenJob(record)
--- a/internal/jobs/machine/keys.go
+++ b/internal/jobs/machine/keys.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// The first byte of a key names its table.
+// Tables; the first byte of a key.
 const (
 	tableClock    = 'C' // the machine's clock
 	tableFile     = 'F' // file id → FileRecord
@@ -15,28 +15,27 @@
 	tableJob      = 'J' // job id → JobRecord
 	tableCounters = 'N' // job id → Counters
 	tableDone     = 'd' // job id, block → bitmap of final items
-	tableItem     = 'i' // job id, index → item; removed when its result is kept
+	tableItem     = 'i' // job id, index → item; removed when its result is stored
 	tableResult   = 'r' // job id, index → ResultRecord
 	tableStarted  = 's' // job id, index → epoch of the lease that started it
-	tableTries    = 't' // job id, index → failed tries
-	tableLease    = 'l' // job id, epoch → lease
+	tableTries    = 't' // job id, index → tries
+	tableLease    = 'l' // job id, epoch → leaseRecord
 	tableKey      = 'K' // hash of tenant and idempotency key → job id
 	tableTenant   = 'T' // tenant, inverted creation time, job id → nothing
-	tableExpiry   = 'E' // time, id → nothing: files and jobs to be removed then
+	tableExpiry   = 'E' // removal time, id → tableFile or tableJob
 	tableOpen     = 'O' // job id → nothing: accepted jobs that are not final
-	tableShare    = 'V' // tenant → virtual time of its share
+	tableShare    = 'V' // tenant → virtual time for fair sharing
 	tableRate     = 'R' // model → completion rate
 )
 
-// separator ends identifiers inside keys.
+// separator terminates identifiers in keys.
 const separator = 0
 
-// maxIdentifier is the longest identifier, in bytes.
-const maxIdentifier = 200
+const maxIdentifierBytes = 200
 
-// validIdentifier says whether text can be part of a key.
+// validIdentifier reports whether text can be part of a key.
 func validIdentifier(text string) bool {
-	return text != "" && len(text) <= maxIdentifier && strings.IndexByte(text, separator) < 0
+	return text != "" && len(text) <= maxIdentifierBytes && strings.IndexByte(text, separator) < 0
 }
 
 func key(table byte, identifier string) []byte {
@@ -54,7 +53,7 @@
 	return binary.BigEndian.AppendUint64(key(table, identifier), number)
 }
 
-// rangeOf returns the bounds of all keys of an identifier in a table.
+// rangeOf returns the half-open range of an identifier's keys in a table.
 func rangeOf(table byte, identifier string) (from, to []byte) {
 	from = key(table, identifier)
 	to = key(table, identifier)
@@ -80,7 +79,7 @@
 	return append(key64(tableTenant, tenant, math.MaxUint64-uint64(created)), jobID...)
 }
 
-const tenantJobPrefix = 1 + 1 + 8 // table, separator and time, beside the tenant
+const tenantJobPrefix = 1 + 1 + 8 // table, separator and time, without the tenant
 
 func jobOfTenantKey(tenant string, key []byte) string {
 	return string(key[tenantJobPrefix+len(tenant):])
--- a/internal/jobs/machine/lease.go
+++ b/internal/jobs/machine/lease.go
@@ -12,8 +12,8 @@
 	"chutelock.dev/chutelock/internal/jobs"
 )
 
-// UrgentSlack is the slack below which a job goes before the tenants' shares
-// are looked at.
+// UrgentSlack is the slack below which a job takes precedence over fair sharing
+// between tenants.
 const UrgentSlack = time.Minute
 
 const (
@@ -47,21 +47,21 @@
 	return answer, nil
 }
 
-// leaseBudget is what a LeaseItems command may still take.
+// leaseBudget is what a LeaseItems command may still lease.
 type leaseBudget struct {
 	items uint32
 	bytes int64
 }
 
-// candidate is an open job with the time that it has to spare.
+// candidate is an open job with its slack.
 type candidate struct {
 	*openJob
-	// slack is what is left, in milliseconds, when this job and all that are
-	// due before it have run at the measured rate.
+	// slack is the time in milliseconds from the predicted completion of this
+	// job and all jobs due before it, at the measured rate, to its deadline.
 	slack int64
 }
 
-// candidates lists a model's open jobs in the order of their deadlines.
+// candidates returns a model's open jobs, ordered by deadline.
 func (m *Machine) candidates(model string, now int64) []candidate {
 	var found []candidate
 	for _, job := range m.open {
@@ -84,8 +84,8 @@
 	return found
 }
 
-// mostUrgent returns the job to lease from next: the least slack among the
-// urgent ones, else the least slack of the tenant whose share is least used.
+// mostUrgent returns the next job to lease from: the urgent one with the least
+// slack, else the one with the least slack of the tenant with the lowest virtual time.
 func (m *Machine) mostUrgent(model string, now int64) *openJob {
 	var best candidate
 	for _, next := range m.candidates(model, now) {
@@ -96,8 +96,8 @@
 	return best.openJob
 }
 
-// before is a total order, so that the choice does not depend on the order in
-// which a map is visited.
+// before is a total order, which makes the choice independent of map iteration
+// order.
 func (m *Machine) before(a, b candidate) bool {
 	urgentA, urgentB := a.slack < urgentMilliseconds, b.slack < urgentMilliseconds
 	if urgentA != urgentB {
@@ -131,7 +131,7 @@
 	return given, tx.charge(job, uint64(len(given.Items)))
 }
 
-// takeItems leases open items in their order, within the budget.
+// takeItems leases open items in index order, within the budget.
 func (tx *transaction) takeItems(job *openJob, held *lease, given *jobs.Lease, budget *leaseBudget) error {
 	jobID := job.record.JobID
 	_, to := rangeOf(tableItem, jobID)
@@ -170,7 +170,7 @@
 	return tx.Set(key64(tableLease, job.record.JobID, epoch), encoded)
 }
 
-// charge moves the tenant's virtual time by the items leased to it.
+// charge advances the tenant's virtual time by the leased items over its weight.
 func (tx *transaction) charge(job *openJob, items uint64) error {
 	share := tx.machine.shares[job.record.Tenant] + items*shareUnit/uint64(job.record.Weight)
 	return tx.setShare(job.record.Tenant, share)
@@ -181,9 +181,9 @@
 	return tx.Set(key(tableShare, tenant), binary.BigEndian.AppendUint64(nil, share))
 }
 
-// joinShares lets a tenant in at the least virtual time of the others, so
-// that it neither starves nor catches up for the time it was away.
-func (tx *transaction) joinShares(tenant string) error {
+// addTenantShare starts a tenant at the lowest virtual time of the others, so
+// that it neither starves nor catches up for the time without open jobs.
+func (tx *transaction) addTenantShare(tenant string) error {
 	if _, ok := tx.machine.shares[tenant]; ok {
 		return nil
 	}
@@ -197,8 +197,8 @@
 	return tx.setShare(tenant, least)
 }
 
-// leaveShares forgets a tenant that has no open job.
-func (tx *transaction) leaveShares(tenant string) error {
+// removeTenantShare removes the share of a tenant without an open job.
+func (tx *transaction) removeTenantShare(tenant string) error {
 	for _, job := range tx.machine.open {
 		if job.record.Tenant == tenant {
 			return nil
@@ -217,7 +217,7 @@
 		return Answer{Code: CodeRefused}, nil
 	}
 	if epoch, started := job.started[c.Index]; started {
-		// The same lease asks again only when its first answer was lost.
+		// Under the same lease this is a retry after a lost answer.
 		if epoch == c.Epoch {
 			return Answer{Code: CodeOK}, nil
 		}
@@ -246,8 +246,8 @@
 	return answer, nil
 }
 
-// endLease makes a lease's items open again, but for those that were started
-// and must not be sent twice: their outcome is not known.
+// endLease reopens a lease's items, except started non-repeatable ones, which
+// get the result ItemOutcomeUnknown.
 func (tx *transaction) endLease(job *openJob, epoch uint64) error {
 	held := job.leases[epoch]
 	for _, index := range held.indexes {
--- a/internal/jobs/machine/lifecycle.go
+++ b/internal/jobs/machine/lifecycle.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// maxRemovals bounds the files and jobs that one Tick removes.
+// maxRemovals is the largest number of files and jobs that one Tick removes.
 const maxRemovals = 64
 
 func (tx *transaction) cancel(c *Cancel) (Answer, error) {
@@ -21,8 +21,8 @@
 	return Answer{Code: CodeOK}, nil
 }
 
-// finishJob makes a job final and drops its summary and its leases. Items
-// without a result keep their records, so that results can name them.
+// finishJob makes a job final and deletes its summary and leases. Items without
+// a result stay in the store, because the result files list them.
 func (tx *transaction) finishJob(job *openJob, state State) error {
 	record := job.record
 	record.State = state
@@ -40,13 +40,13 @@
 		}
 	}
 	delete(tx.machine.open, record.JobID)
-	if err := tx.leaveShares(record.Tenant); err != nil {
+	if err := tx.removeTenantShare(record.Tenant); err != nil {
 		return err
 	}
 	return tx.Set(keyOfExpiry(removalTime(record), record.JobID), []byte{tableJob})
 }
 
-// removalTime is when a final job is removed, in Unix milliseconds.
+// removalTime returns when a final job is removed, in Unix milliseconds.
 func removalTime(record JobRecord) int64 {
 	return record.Ended.Add(record.Retention).UnixMilli()
 }
@@ -84,20 +84,19 @@
 	return Answer{Code: CodeOK}, tx.removeExpired()
 }
 
-type expired struct {
+type dueRemoval struct {
 	key        []byte
 	identifier string
 	table      byte
 }
 
-// removeExpired removes files and jobs whose time has come, a bounded number
-// at a time.
+// removeExpired removes due files and jobs, reading at most maxRemovals entries.
 func (tx *transaction) removeExpired() error {
-	var due []expired
+	var due []dueRemoval
 	from, _ := tableRange(tableExpiry)
 	err := tx.Scan(from, keyOfExpiry(tx.now+1, ""), func(key, value []byte) (bool, error) {
 		_, identifier := splitExpiry(key)
-		due = append(due, expired{append([]byte(nil), key...), identifier, value[0]})
+		due = append(due, dueRemoval{append([]byte(nil), key...), identifier, value[0]})
 		return len(due) < maxRemovals, nil
 	})
 	if err != nil {
@@ -107,17 +106,16 @@
 		if err := tx.Delete(candidate.key); err != nil {
 			return err
 		}
-		if err := tx.removeCandidate(candidate); err != nil {
+		if err := tx.removeIfDue(candidate); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// removeCandidate removes a file or job unless the time noted for it was
-// overtaken: a sealed file or accepted job has a later one, and so has one
-// that was begun again.
-func (tx *transaction) removeCandidate(candidate expired) error {
+// removeIfDue removes a file or job unless its removal entry is outdated, because
+// it was sealed, accepted or created again since.
+func (tx *transaction) removeIfDue(candidate dueRemoval) error {
 	if candidate.table == tableFile {
 		file, ok, err := GetFile(tx, candidate.identifier)
 		if err != nil || !ok {
@@ -137,8 +135,8 @@
 		return err
 	}
 	abandoned := job.State == StateReceiving && job.Created.Add(receiveTimeout).UnixMilli() <= tx.now
-	outlived := job.State.Final() && removalTime(job) <= tx.now
-	if !abandoned && !outlived {
+	retentionOver := job.State.Final() && removalTime(job) <= tx.now
+	if !abandoned && !retentionOver {
 		return nil
 	}
 	return tx.removeJob(job)
--- a/internal/jobs/machine/machine.go
+++ b/internal/jobs/machine/machine.go
@@ -14,8 +14,8 @@
 // Machine is the state machine of one shard. Apply and Reload are called by
 // the shard; the other methods may be called concurrently.
 type Machine struct {
-	// mutex guards all fields. It is taken after the shard's own locks and
-	// nothing is locked while it is held.
+	// mutex guards all fields. Lock order: after the shard's locks; no other
+	// lock is acquired while it is held.
 	mutex  sync.RWMutex
 	clock  int64
 	open   map[string]*openJob
@@ -27,7 +27,7 @@
 
 var _ ledger.StateMachine = (*Machine)(nil)
 
-// New returns an empty machine.
+// New returns a machine without files or jobs.
 func New() *Machine {
 	m := &Machine{}
 	m.reset()
@@ -41,22 +41,22 @@
 	m.rates = map[string]*rate{}
 }
 
-// transaction is the application of one entry.
+// transaction is the state of applying one entry.
 type transaction struct {
 	ledger.Writer
 	machine *Machine
 	index   uint64
 	now     int64
-	// touched are the jobs whose counters changed, and touchedBlocks the
-	// blocks of their bitmaps.
+	// touched and touchedModels are the jobs whose counters and the models
+	// whose rates change in this entry.
 	touched       map[string]*touchedJob
 	touchedModels map[string]bool
 }
 
 type touchedJob struct {
 	counters *Counters
-	open     *openJob // nil when the job is final
-	blocks   map[uint32]bool
+	open     *openJob        // nil when the job is final
+	blocks   map[uint32]bool // changed blocks of the bitmap of final items
 }
 
 // Apply implements ledger.StateMachine.
@@ -81,7 +81,7 @@
 	return answer.Encode()
 }
 
-// advanceClock moves the clock to at, but never back.
+// advanceClock sets the clock to at unless that would move it back.
 func (tx *transaction) advanceClock(at time.Time) error {
 	tx.now = max(tx.machine.clock, at.UnixMilli())
 	if tx.now == tx.machine.clock {
@@ -251,8 +251,8 @@
 	})
 }
 
-// touch notes that a job's counters change in this entry. A job that is
-// neither open nor final gives nil.
+// touch marks a job's counters as changed in this entry. It returns nil for a
+// job that is neither open nor final.
 func (tx *transaction) touch(jobID string) (*touchedJob, error) {
 	if touched, ok := tx.touched[jobID]; ok {
 		return touched, nil
@@ -279,8 +279,8 @@
 	return touched, nil
 }
 
-// storeTouched writes the counters and bitmap blocks that this entry changed,
-// and completes the jobs whose last result it brought.
+// storeTouched writes the counters, bitmap blocks and rates that this entry
+// changed, and completes jobs whose items all have results.
 func (tx *transaction) storeTouched() error {
 	for _, jobID := range sortedKeys(tx.touched) {
 		touched := tx.touched[jobID]
--- a/internal/jobs/machine/openjob.go
+++ b/internal/jobs/machine/openjob.go
@@ -20,7 +20,7 @@
 func (b bitmap) add(index uint32)      { b[index/wordBits] |= 1 << (index % wordBits) }
 func (b bitmap) remove(index uint32)   { b[index/wordBits] &^= 1 << (index % wordBits) }
 
-// nextAbsent returns the lowest index from on that is not in the set.
+// nextAbsent returns the lowest index not below from that is not in the set.
 func (b bitmap) nextAbsent(from uint32) uint32 {
 	word := from / wordBits
 	if int(word) >= len(b) {
@@ -54,27 +54,27 @@
 	}
 }
 
-// lease is a range of items held by a dispatcher.
+// lease is the set of items leased to a dispatcher in one epoch.
 type lease struct {
 	dispatcher string
-	indexes    []uint32 // as stored: those with a result are still listed
-	remaining  int      // those neither final nor handed back
+	indexes    []uint32 // as stored, including items with a result
+	remaining  int      // indexes without a result
 }
 
-// openJob is the summary in memory of an accepted job that is not final.
+// openJob is the in-memory summary of an accepted job that is not final.
 type openJob struct {
 	record   JobRecord
 	counters Counters
 	done     bitmap            // items with a result
 	taken    bitmap            // items with a result, or leased
 	leased   map[uint32]uint64 // leased item → epoch
-	// customIDs names the leased items, so that a result needs no read.
+	// customIDs holds the custom_id of each leased item, to save a read per result.
 	customIDs map[uint32]string
 	leases    map[uint64]*lease // epoch → lease
 	started   map[uint32]uint64 // started non-repeatable item without a result → epoch
-	// lowest bounds the lowest open item from below; it is a hint only.
+	// lowest is a lower bound of the lowest open item's index.
 	lowest uint32
-	// available counts the items neither final nor leased.
+	// available is the number of items neither final nor leased.
 	available uint32
 }
 
@@ -86,13 +86,13 @@
 	}
 }
 
-// nextOpen returns the lowest item that is neither final nor leased.
+// nextOpen returns the lowest index of an item neither final nor leased.
 func (j *openJob) nextOpen() uint32 {
 	j.lowest = j.taken.nextAbsent(j.lowest)
 	return j.lowest
 }
 
-// take leases the lowest open item.
+// take adds the lowest open item to a lease.
 func (j *openJob) take(epoch uint64, held *lease, customID string) {
 	index := j.nextOpen()
 	j.lowest = index + 1
@@ -104,7 +104,7 @@
 	held.remaining++
 }
 
-// reopen makes a leased item open again.
+// reopen makes a leased item available again.
 func (j *openJob) reopen(index uint32) {
 	delete(j.leased, index)
 	delete(j.customIDs, index)
@@ -113,7 +113,7 @@
 	j.lowest = min(j.lowest, index)
 }
 
-// finish marks an item final.
+// finish marks an item as final.
 func (j *openJob) finish(index uint32) {
 	if !j.taken.has(index) {
 		j.taken.add(index)
@@ -125,5 +125,5 @@
 	delete(j.started, index)
 }
 
-// remainingItems counts the items without a result.
+// remainingItems returns the number of items without a result.
 func (j *openJob) remainingItems() uint32 { return j.record.Items - j.counters.Final() }
--- a/internal/jobs/machine/oracle_test.go
+++ b/internal/jobs/machine/oracle_test.go
@@ -4,8 +4,8 @@
 	"chutelock.dev/chutelock/internal/jobs"
 )
 
-// oracle says in the simplest way what each command must do. It keeps maps
-// only, and does not choose which items are leased: it checks the choice.
+// oracle is a reference model of the machine. It validates the machine's choice
+// of items to lease instead of making its own.
 type oracle struct {
 	now  int64
 	jobs map[string]*oracleJob    // by job id
@@ -37,8 +37,8 @@
 	return nil
 }
 
-// expect returns the answer that a command must get; answered is what the
-// machine said, for the choices that are its own.
+// expect returns the expected answer to a command; answered is the machine's
+// answer, for what the model leaves to the machine.
 func (o *oracle) expect(at int64, index uint64, command Command, answered Answer) Answer {
 	o.now = max(o.now, at)
 	switch c := command.(type) {
@@ -77,8 +77,8 @@
 	if o.jobs[c.JobID] != nil {
 		return Answer{Code: CodeMalformed}
 	}
-	// Which deadlines can be met is the machine's own judgement, but it may
-	// refuse only what lies before the time that it names.
+	// The model does not predict feasibility: the machine may reject a
+	// deadline, but only one before the time in its answer.
 	deadline := c.Deadline.UnixMilli()
 	if answered.Code == CodeDeadline && deadline < answered.Time.UnixMilli() || deadline < o.now+1000 {
 		return Answer{Code: CodeDeadline, Time: answered.Time}
@@ -126,7 +126,8 @@
 	return Answer{Code: CodeOK, JobID: c.JobID}
 }
 
-// lease checks the machine's choice; a wrong one shows as an answer without it.
+// lease validates the machine's leases; an invalid one is missing in the
+// expected answer.
 func (o *oracle) lease(c *LeaseItems, index uint64, answered Answer) Answer {
 	expected := Answer{Code: CodeOK}
 	given := uint32(0)
@@ -152,7 +153,7 @@
 	return expected
 }
 
-// waiting counts the items that a lease must not have left out.
+// waiting counts a model's items that are available for leasing.
 func (o *oracle) waiting(model string) (count uint32) {
 	for _, job := range o.jobs {
 		if job.state == StateInProgress && job.begin.Model == model && job.begin.Deadline.UnixMilli() > o.now {
@@ -191,13 +192,13 @@
 		switch {
 		case result.Status == jobs.ItemOpen && (final || job.state != StateInProgress):
 		case result.Status == jobs.ItemOpen:
-			o.handBack(job, result)
+			o.returnItem(job, result)
 		case final || job.state != StateInProgress:
 			if !final || kept.Epoch != result.Epoch {
 				job.dropped++
 			}
 		default:
-			job.keep(result)
+			job.record(result)
 			expected.Count++
 		}
 	}
@@ -205,19 +206,19 @@
 	return expected
 }
 
-func (j *oracleJob) keep(result jobs.Result) {
+func (j *oracleJob) record(result jobs.Result) {
 	j.results[result.Index] = result
 	delete(j.leased, result.Index)
 	delete(j.started, result.Index)
 }
 
-func (o *oracle) handBack(job *oracleJob, result jobs.Result) {
+func (o *oracle) returnItem(job *oracleJob, result jobs.Result) {
 	if epoch, leased := job.leased[result.Index]; !leased || epoch != result.Epoch {
 		return
 	}
 	if _, started := job.started[result.Index]; started && result.HTTPStatus != 0 {
 		result.Status = jobs.ItemOutcomeUnknown
-		job.keep(result)
+		job.record(result)
 		return
 	}
 	delete(job.started, result.Index)
@@ -230,7 +231,7 @@
 	}
 	if job.faults[result.Index] == int(job.begin.MaxTries) || job.losses[result.Index] == 8 {
 		result.Status = jobs.ItemFailed
-		job.keep(result)
+		job.record(result)
 		return
 	}
 	delete(job.leased, result.Index)
@@ -252,7 +253,7 @@
 					continue
 				}
 				if started, ok := job.started[index]; ok {
-					job.keep(jobs.Result{Index: index, Epoch: started, Status: jobs.ItemOutcomeUnknown})
+					job.record(jobs.Result{Index: index, Epoch: started, Status: jobs.ItemOutcomeUnknown})
 				}
 				delete(job.leased, index)
 			}
@@ -311,8 +312,8 @@
 	}
 	for _, job := range o.jobs {
 		abandoned := job.state == StateReceiving && job.created+receiveTimeout.Milliseconds() <= o.now
-		outlived := job.state.Final() && job.ended+job.begin.Retention.Milliseconds() <= o.now
-		if abandoned || outlived {
+		retentionOver := job.state.Final() && job.ended+job.begin.Retention.Milliseconds() <= o.now
+		if abandoned || retentionOver {
 			o.remove(job)
 		}
 	}
--- a/internal/jobs/machine/order_test.go
+++ b/internal/jobs/machine/order_test.go
@@ -9,8 +9,8 @@
 	"chutelock.dev/chutelock/internal/jobs"
 )
 
-// shop is a machine with jobs in virtual time.
-type shop struct {
+// leaseFixture applies commands to a machine in virtual time.
+type leaseFixture struct {
 	g       *gomega.WithT
 	machine *Machine
 	store   mapStore
@@ -18,39 +18,39 @@
 	now     time.Time
 }
 
-func newShop(t *testing.T) *shop {
-	return &shop{g: gomega.NewWithT(t), machine: New(), store: mapStore{}, now: time.UnixMilli(epochStart)}
+func newLeaseFixture(t *testing.T) *leaseFixture {
+	return &leaseFixture{g: gomega.NewWithT(t), machine: New(), store: mapStore{}, now: time.UnixMilli(epochStart)}
 }
 
-func (s *shop) do(command Command) Answer {
-	s.index++
-	entry, err := Encode(s.now, command)
-	s.g.Expect(err).NotTo(gomega.HaveOccurred())
-	encoded, err := s.machine.Apply(s.store, s.index, entry)
-	s.g.Expect(err).NotTo(gomega.HaveOccurred())
+func (f *leaseFixture) apply(command Command) Answer {
+	f.index++
+	entry, err := Encode(f.now, command)
+	f.g.Expect(err).NotTo(gomega.HaveOccurred())
+	encoded, err := f.machine.Apply(f.store, f.index, entry)
+	f.g.Expect(err).NotTo(gomega.HaveOccurred())
 	answer, err := DecodeAnswer(encoded)
-	s.g.Expect(err).NotTo(gomega.HaveOccurred())
+	f.g.Expect(err).NotTo(gomega.HaveOccurred())
 	return answer
 }
 
-func (s *shop) begin(id, tenant string, weight uint32, items int, window time.Duration) Answer {
-	return s.do(&JobBegin{
-		JobID: id, Tenant: tenant, Key: id, Model: "m", Items: uint32(items), Deadline: s.now.Add(window),
+func (f *leaseFixture) begin(id, tenant string, weight uint32, items int, window time.Duration) Answer {
+	return f.apply(&JobBegin{
+		JobID: id, Tenant: tenant, Key: id, Model: "m", Items: uint32(items), Deadline: f.now.Add(window),
 		Weight: weight, MaxTries: 3, Retention: time.Hour,
 	})
 }
 
-func (s *shop) accept(id, tenant string, weight uint32, items int, window time.Duration) {
-	s.g.Expect(s.begin(id, tenant, weight, items, window).Code).To(gomega.Equal(CodeOK))
-	s.do(&JobAppend{JobID: id, Items: itemsFrom(0, items)})
-	s.g.Expect(s.do(&JobSeal{JobID: id, Items: uint32(items)}).Code).To(gomega.Equal(CodeOK))
+func (f *leaseFixture) accept(id, tenant string, weight uint32, items int, window time.Duration) {
+	f.g.Expect(f.begin(id, tenant, weight, items, window).Code).To(gomega.Equal(CodeOK))
+	f.apply(&JobAppend{JobID: id, Items: itemsFrom(0, items)})
+	f.g.Expect(f.apply(&JobSeal{JobID: id, Items: uint32(items)}).Code).To(gomega.Equal(CodeOK))
 }
 
-// lease leases items one by one and counts them by job.
-func (s *shop) lease(count int) (byJob map[string]int, leases []jobs.Lease) {
+// lease leases count items one by one and counts them by job.
+func (f *leaseFixture) lease(count int) (byJob map[string]int, leases []jobs.Lease) {
 	byJob = map[string]int{}
 	for range count {
-		for _, lease := range s.do(&LeaseItems{Dispatcher: "d", Model: "m", Count: 1, MaxBytes: 1 << 20}).Leases {
+		for _, lease := range f.apply(&LeaseItems{Dispatcher: "d", Model: "m", Count: 1, MaxBytes: 1 << 20}).Leases {
 			byJob[lease.JobID]++
 			leases = append(leases, lease)
 		}
@@ -58,45 +58,49 @@
 	return byJob, leases
 }
 
-func (s *shop) finish(leases []jobs.Lease) {
+func (f *leaseFixture) reportSuccess(leases []jobs.Lease) {
 	for _, lease := range leases {
 		for _, item := range lease.Items {
-			s.do(&Report{[]jobs.Result{{JobID: lease.JobID, Index: item.Index, Epoch: lease.Epoch, Status: jobs.ItemSucceeded}}})
+			f.apply(&Report{[]jobs.Result{{JobID: lease.JobID, Index: item.Index, Epoch: lease.Epoch, Status: jobs.ItemSucceeded}}})
 		}
 	}
 }
 
-func TestTenantsShareByWeight(t *testing.T) {
-	s := newShop(t)
-	s.accept("heavy", "a", 3000, 500, 24*time.Hour)
-	s.accept("light", "b", 1000, 500, 24*time.Hour)
-	byJob, _ := s.lease(400)
-	s.g.Expect(byJob).To(gomega.Equal(map[string]int{"heavy": 300, "light": 100}))
-	s.accept("late", "c", 1000, 500, 24*time.Hour)
-	byJob, _ = s.lease(100)
-	s.g.Expect(byJob).To(gomega.Equal(map[string]int{"heavy": 60, "light": 20, "late": 20}), "a late tenant does not catch up")
+// Guards against lease shares that do not match the tenants' weights.
+func TestLeaseItemsSharesByTenantWeight(t *testing.T) {
+	f := newLeaseFixture(t)
+	f.accept("heavy", "a", 3000, 500, 24*time.Hour)
+	f.accept("light", "b", 1000, 500, 24*time.Hour)
+	byJob, _ := f.lease(400)
+	f.g.Expect(byJob).To(gomega.Equal(map[string]int{"heavy": 300, "light": 100}))
+	f.accept("late", "c", 1000, 500, 24*time.Hour)
+	byJob, _ = f.lease(100)
+	f.g.Expect(byJob).To(gomega.Equal(map[string]int{"heavy": 60, "light": 20, "late": 20}), "a tenant that joins late does not catch up")
 }
 
-func TestLeastSlackGoesFirst(t *testing.T) {
-	s := newShop(t)
-	s.accept("tomorrow", "a", 1000, 10, 24*time.Hour)
-	s.accept("tonight", "a", 1000, 10, 6*time.Hour)
-	s.accept("now", "b", 1, 10, 30*time.Second)
-	byJob, _ := s.lease(10)
-	s.g.Expect(byJob).To(gomega.Equal(map[string]int{"now": 10}), "urgent work goes before the shares")
-	byJob, _ = s.lease(10)
-	s.g.Expect(byJob).To(gomega.Equal(map[string]int{"tonight": 10}), "the tenant's own jobs by deadline")
+// Guards against leasing from a job while one with less slack has precedence.
+func TestLeaseItemsOrdersByDeadlineSlack(t *testing.T) {
+	f := newLeaseFixture(t)
+	f.accept("tomorrow", "a", 1000, 10, 24*time.Hour)
+	f.accept("tonight", "a", 1000, 10, 6*time.Hour)
+	f.accept("now", "b", 1, 10, 30*time.Second)
+	byJob, _ := f.lease(10)
+	f.g.Expect(byJob).To(gomega.Equal(map[string]int{"now": 10}), "urgent jobs take precedence over fair sharing")
+	byJob, _ = f.lease(10)
+	f.g.Expect(byJob).To(gomega.Equal(map[string]int{"tonight": 10}), "a tenant's jobs are ordered by slack")
 }
 
-func TestInfeasibleDeadlineIsRefusedWithATime(t *testing.T) {
-	s := newShop(t)
-	s.accept("measured", "a", 1000, 2000, 24*time.Hour)
+// Guards against accepting a job that would be late or make another late, and
+// against rejecting with a deadline that is infeasible too.
+func TestJobBeginRejectsInfeasibleDeadline(t *testing.T) {
+	f := newLeaseFixture(t)
+	f.accept("measured", "a", 1000, 2000, 24*time.Hour)
 	for range 20 { // 100 items a second while a backlog waits
-		_, leases := s.lease(100)
-		s.now = s.now.Add(time.Second)
-		s.finish(leases)
+		_, leases := f.lease(100)
+		f.now = f.now.Add(time.Second)
+		f.reportSuccess(leases)
 	}
-	s.accept("promised", "b", 1000, 2000, 30*time.Second) // 20 s of work: 10 s to spare
+	f.accept("promised", "b", 1000, 2000, 30*time.Second) // 20 s of work: 10 s of slack
 	for name, test := range map[string]struct {
 		items    int
 		window   time.Duration
@@ -109,41 +113,41 @@
 		"behind the promise":          {1200, 35 * time.Second, 0},
 		"a day":                       {100_000, 24 * time.Hour, 0},
 	} {
-		answer := s.begin(name, "c", 1000, test.items, test.window) // never sealed: it does not count
+		answer := f.begin(name, "c", 1000, test.items, test.window) // never sealed, so adds no demand
 		if test.possible == 0 {
-			s.g.Expect(answer.Code).To(gomega.Equal(CodeOK), name)
+			f.g.Expect(answer.Code).To(gomega.Equal(CodeOK), name)
 			continue
 		}
-		s.g.Expect(answer.Code).To(gomega.Equal(CodeDeadline), name)
-		s.g.Expect(answer.Time.Sub(s.now).Seconds()).To(gomega.BeNumerically("~", test.possible, 0.1*test.possible), name)
-		possible := s.begin(name+" later", "c", 1000, test.items, answer.Time.Sub(s.now))
-		s.g.Expect(possible.Code).To(gomega.Equal(CodeOK), name+": what was named possible is accepted")
+		f.g.Expect(answer.Code).To(gomega.Equal(CodeDeadline), name)
+		f.g.Expect(answer.Time.Sub(f.now).Seconds()).To(gomega.BeNumerically("~", test.possible, 0.1*test.possible), name)
+		possible := f.begin(name+" later", "c", 1000, test.items, answer.Time.Sub(f.now))
+		f.g.Expect(possible.Code).To(gomega.Equal(CodeOK), name+": the deadline in the answer must be feasible")
 	}
 }
 
-// A bulk job of another tenant must not take its share while jobs that are due
-// together still need all the time there is.
-func TestJobsDueTogetherAreInTime(t *testing.T) {
-	s := newShop(t)
-	s.accept("measured", "a", 1000, 100, 24*time.Hour)
+// Guards against jobs with a common deadline missing it because a bulk job of
+// another tenant receives its fair share meanwhile.
+func TestLeaseItemsMeetsSimultaneousDeadlines(t *testing.T) {
+	f := newLeaseFixture(t)
+	f.accept("measured", "a", 1000, 100, 24*time.Hour)
 	for range 10 {
-		_, leases := s.lease(10)
-		s.now = s.now.Add(time.Second)
-		s.finish(leases)
+		_, leases := f.lease(10)
+		f.now = f.now.Add(time.Second)
+		f.reportSuccess(leases)
 	}
-	s.accept("bulk", "a", 1000, 3000, 24*time.Hour)
+	f.accept("bulk", "a", 1000, 3000, 24*time.Hour)
 	for _, id := range []string{"v", "w", "x", "y", "z"} { // 40 s of work each
-		s.accept(id, "b", 1000, 400, 210*time.Second)
+		f.accept(id, "b", 1000, 400, 210*time.Second)
 	}
 	for range 210 {
-		_, leases := s.lease(10)
-		s.now = s.now.Add(time.Second)
-		s.finish(leases)
-		s.do(&Tick{})
+		_, leases := f.lease(10)
+		f.now = f.now.Add(time.Second)
+		f.reportSuccess(leases)
+		f.apply(&Tick{})
 	}
 	for _, id := range []string{"v", "w", "x", "y", "z"} {
-		job, _, err := GetJob(s.store, id)
-		s.g.Expect(err).NotTo(gomega.HaveOccurred())
-		s.g.Expect(job.State).To(gomega.Equal(StateCompleted), id)
+		job, _, err := GetJob(f.store, id)
+		f.g.Expect(err).NotTo(gomega.HaveOccurred())
+		f.g.Expect(job.State).To(gomega.Equal(StateCompleted), id)
 	}
 }
--- a/internal/jobs/machine/rate.go
+++ b/internal/jobs/machine/rate.go
@@ -7,32 +7,32 @@
 )
 
 const (
-	// rateWindow is the busy time over which a completion rate is averaged,
-	// in milliseconds; older history counts half.
+	// rateWindow is the busy time in milliseconds after which the accumulated
+	// history is halved.
 	rateWindow = 60_000
-	// rateGap is the longest time between two reports that counts as busy.
-	rateGap = 5_000
-	// rateMinimumItems and rateMinimumTime (in milliseconds) are the history
-	// without which a rate is not known.
-	rateMinimumItems = 64
-	rateMinimumTime  = 1_000
+	// maxBusyGap caps the busy time between two reports, in milliseconds.
+	maxBusyGap = 5_000
+	// rateMinItems and rateMinTime (in milliseconds) are the least history for
+	// a usable rate.
+	rateMinItems = 64
+	rateMinTime  = 1_000
 )
 
-// rate measures how fast a model's items complete in this shard while items
-// wait: times without a backlog say nothing about what could be done.
+// rate measures how fast a model's items complete in this shard while there is
+// a backlog; without one, the rate would understate the capacity.
 type rate struct {
 	Items     uint64
 	BusyTime  int64 // milliseconds
-	UpdatedAt int64
-	Backlog   bool // items waited at UpdatedAt
+	UpdatedAt int64 // Unix milliseconds
+	Backlog   bool  // items waited at UpdatedAt
 }
 
-// known says whether there is enough history.
+// known reports whether there is enough history.
 func (r *rate) known() bool {
-	return r.Items >= rateMinimumItems && r.BusyTime >= rateMinimumTime
+	return r.Items >= rateMinItems && r.BusyTime >= rateMinTime
 }
 
-// timeFor is how long items take, in milliseconds; 0 when no rate is known.
+// timeFor returns how long items take, in milliseconds; 0 when no rate is known.
 func (r *rate) timeFor(items uint64) int64 {
 	if !r.known() {
 		return 0
@@ -43,8 +43,8 @@
 	return int64(items * uint64(r.BusyTime) / r.Items)
 }
 
-// countRate counts a completed item of a model.
-func (tx *transaction) countRate(model string) {
+// countCompletion adds a completed item to a model's rate.
+func (tx *transaction) countCompletion(model string) {
 	measured, ok := tx.machine.rates[model]
 	if !ok {
 		measured = &rate{}
@@ -62,10 +62,10 @@
 	}
 }
 
-// advance accounts for the time since the last report.
+// advance adds the time since the last report.
 func (r *rate) advance(now int64) {
 	if r.Backlog {
-		r.BusyTime += min(now-r.UpdatedAt, rateGap)
+		r.BusyTime += min(now-r.UpdatedAt, maxBusyGap)
 	}
 	r.UpdatedAt = now
 	if r.BusyTime > rateWindow {
@@ -74,7 +74,7 @@
 	}
 }
 
-// storeRate notes whether items still wait, and writes the rate.
+// storeRate updates Backlog and writes the rate.
 func (tx *transaction) storeRate(model string) error {
 	measured := tx.machine.rates[model]
 	measured.Backlog = false
--- a/internal/jobs/machine/read.go
+++ b/internal/jobs/machine/read.go
@@ -9,7 +9,7 @@
 	"chutelock.dev/chutelock/internal/ledger"
 )
 
-// GetFile reads a file's record, sealed or not.
+// GetFile returns a file's record, sealed or not.
 func GetFile(reader ledger.Reader, fileID string) (FileRecord, bool, error) {
 	stored, ok, err := reader.Get(key(tableFile, fileID))
 	if err != nil || !ok {
@@ -19,13 +19,13 @@
 	return record, err == nil, err
 }
 
-// GetChunk reads a copy of a chunk of a file.
+// GetChunk returns a copy of a chunk of a file.
 func GetChunk(reader ledger.Reader, fileID string, chunk uint32) ([]byte, bool, error) {
 	stored, ok, err := reader.Get(key32(tableChunk, fileID, chunk))
 	return append([]byte(nil), stored...), ok, err
 }
 
-// GetJob reads a job's record.
+// GetJob returns a job's record.
 func GetJob(reader ledger.Reader, jobID string) (JobRecord, bool, error) {
 	stored, ok, err := reader.Get(key(tableJob, jobID))
 	if err != nil || !ok {
@@ -35,7 +35,7 @@
 	return record, err == nil, err
 }
 
-// GetJobByKey finds the job that a tenant's idempotency key names.
+// GetJobByKey returns the job of a tenant's idempotency key.
 func GetJobByKey(reader ledger.Reader, tenant, idempotencyKey string) (JobRecord, bool, error) {
 	stored, ok, err := reader.Get(keyOfIdempotency(tenant, idempotencyKey))
 	if err != nil || !ok {
@@ -44,7 +44,7 @@
 	return GetJob(reader, string(stored))
 }
 
-// GetCounters reads a job's counters; they are zero before the first result.
+// GetCounters returns a job's counters, which are zero before the first result.
 func GetCounters(reader ledger.Reader, jobID string) (Counters, error) {
 	stored, ok, err := reader.Get(key(tableCounters, jobID))
 	if err != nil || !ok {
@@ -53,7 +53,7 @@
 	return DecodeCounters(stored)
 }
 
-// GetItem reads a copy of an item that has no result yet.
+// GetItem returns a copy of an item that has no result yet.
 func GetItem(reader ledger.Reader, jobID string, index uint32) (jobs.Item, error) {
 	stored, ok, err := reader.Get(key32(tableItem, jobID, index))
 	if err != nil {
@@ -65,7 +65,7 @@
 	return decodeItem(append([]byte(nil), stored...))
 }
 
-// GetResult reads an item's result; Body aliases the store.
+// GetResult returns an item's result. Its Body aliases the store.
 func GetResult(reader ledger.Reader, jobID string, index uint32) (ResultRecord, bool, error) {
 	stored, ok, err := reader.Get(key32(tableResult, jobID, index))
 	if err != nil || !ok {
@@ -76,7 +76,7 @@
 	return record, err == nil, err
 }
 
-// ScanResults visits a job's results from index first on, in order. Bodies
+// ScanResults visits a job's results in index order, starting at first. Bodies
 // alias the store.
 func ScanResults(reader ledger.Reader, jobID string, first uint32, visit func(ResultRecord) (bool, error)) error {
 	_, to := rangeOf(tableResult, jobID)
@@ -90,8 +90,8 @@
 	})
 }
 
-// ScanUnfinished visits the items without a result from index first on, and
-// says which of them were started.
+// ScanUnfinished visits a job's items without a result in index order, starting
+// at first; started reports whether a non-repeatable item was started.
 func ScanUnfinished(reader ledger.Reader, jobID string, first uint32,
 	visit func(item jobs.Item, started bool) (bool, error)) error {
 	_, to := rangeOf(tableItem, jobID)
@@ -109,8 +109,8 @@
 	})
 }
 
-// ScanTenantJobs visits a tenant's accepted jobs from the newest on, or from
-// the one behind after when that is not the zero record.
+// ScanTenantJobs visits a tenant's accepted jobs from newest to oldest, starting
+// after the job after unless that is the zero record.
 func ScanTenantJobs(reader ledger.Reader, tenant string, after JobRecord, visit func(JobRecord) (bool, error)) error {
 	from, to := rangeOf(tableTenant, tenant)
 	if after.JobID != "" {
@@ -125,14 +125,14 @@
 	})
 }
 
-// HeldLease names a lease in force.
+// HeldLease identifies an active lease.
 type HeldLease struct {
 	JobID      string
 	Dispatcher string
 	Epoch      uint64
 }
 
-// HeldLeases lists the leases in force, from the summary in memory.
+// HeldLeases returns the active leases.
 func (m *Machine) HeldLeases() []HeldLease {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
@@ -145,8 +145,8 @@
 	return held
 }
 
-// Closed returns those of the jobs that are not open, from the summary in
-// memory.
+// Closed returns those of jobIDs that are not open: final, not accepted or
+// unknown.
 func (m *Machine) Closed(jobIDs []string) []string {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
@@ -159,16 +159,16 @@
 	return closed
 }
 
-// WaitingItems are the items of a model that wait to be leased.
+// WaitingItems summarizes a model's items that are available for leasing.
 type WaitingItems struct {
 	Items uint64
-	// Slack is the least slack of their jobs.
+	// Slack is the least slack of their jobs, as in candidate.
 	Slack time.Duration
 	// Weight is the sum of the weights of their tenants, in thousandths.
 	Weight uint64
 }
 
-// Waiting tells what waits for each model, from the summary in memory.
+// Waiting returns the waiting items of each model that has any.
 func (m *Machine) Waiting(now time.Time) map[string]WaitingItems {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
@@ -202,7 +202,7 @@
 	return total
 }
 
-// DeadlinePassed says whether a Tick at now would expire a job.
+// DeadlinePassed reports whether a Tick at now would expire a job.
 func (m *Machine) DeadlinePassed(now time.Time) bool {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
@@ -214,7 +214,7 @@
 	return false
 }
 
-// RemovalDue says whether a Tick at now would remove a file or job.
+// RemovalDue reports whether a Tick at now has removals to process.
 func RemovalDue(reader ledger.Reader, now time.Time) (due bool, err error) {
 	from, _ := tableRange(tableExpiry)
 	err = reader.Scan(from, keyOfExpiry(now.UnixMilli()+1, ""), func(_, _ []byte) (bool, error) {
@@ -224,16 +224,16 @@
 	return due, err
 }
 
-// Summary is what a machine holds at one moment.
+// Summary holds counts of a machine's in-memory state.
 type Summary struct {
 	OpenJobs    int
 	LeasedItems int
-	// DroppedResults counts results that came second or too late, since this
-	// replica started.
+	// DroppedResults counts duplicate and late results since this replica
+	// started.
 	DroppedResults uint64
 }
 
-// Summary counts what is in memory.
+// Summary returns current counts.
 func (m *Machine) Summary() Summary {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
--- a/internal/jobs/machine/record.go
+++ b/internal/jobs/machine/record.go
@@ -10,7 +10,7 @@
 
 const recordVersion = 1
 
-// FileRecord is a stored input file.
+// FileRecord is the stored metadata of an input file.
 type FileRecord struct {
 	FileID    string
 	Tenant    string
@@ -19,9 +19,9 @@
 	Created   time.Time
 	Retention time.Duration
 	Sealed    bool
-	// Chunks counts the chunks that are there.
+	// Chunks is the number of chunks stored.
 	Chunks uint32
-	// The others are set when the file is sealed.
+	// The fields below are set when the file is sealed.
 	Lines    uint32
 	Bytes    uint64
 	Digest   Digest
@@ -29,7 +29,7 @@
 	Endpoint string
 }
 
-type fileRecordNumbers struct {
+type fileRecordFixedFields struct {
 	Created   int64
 	Retention int64
 	Sealed    bool
@@ -39,16 +39,16 @@
 	Digest    Digest
 }
 
-// Encode encodes the record as it is stored.
+// Encode returns the stored form of the record.
 func (f *FileRecord) Encode() ([]byte, error) {
-	fixed := fileRecordNumbers{f.Created.UnixMilli(), int64(f.Retention), f.Sealed, f.Chunks, f.Lines, f.Bytes, f.Digest}
+	fixed := fileRecordFixedFields{f.Created.UnixMilli(), int64(f.Retention), f.Sealed, f.Chunks, f.Lines, f.Bytes, f.Digest}
 	return wire.Marshal(recordVersion, fixed, []byte(f.FileID), []byte(f.Tenant), []byte(f.Name),
 		[]byte(f.Purpose), []byte(f.Model), []byte(f.Endpoint))
 }
 
-// DecodeFile reads a stored file record.
+// DecodeFile decodes a stored file record.
 func DecodeFile(stored []byte) (FileRecord, error) {
-	var fixed fileRecordNumbers
+	var fixed fileRecordFixedFields
 	fields, err := wire.Unmarshal(stored, recordVersion, &fixed, 6)
 	if err != nil {
 		return FileRecord{}, err
@@ -73,10 +73,10 @@
 	StateExpired // its deadline passed before every item had a result
 )
 
-// Final says that the state never changes again.
+// Final reports whether the state is final.
 func (s State) Final() bool { return s >= StateCompleted }
 
-// JobRecord is a stored job.
+// JobRecord is the stored metadata of a job; see JobBegin for its parameters.
 type JobRecord struct {
 	JobID      string
 	Tenant     string
@@ -100,7 +100,7 @@
 	State      State
 }
 
-type jobRecordNumbers struct {
+type jobRecordFixedFields struct {
 	Content    Digest
 	FileDigest Digest
 	Items      uint32
@@ -115,9 +115,9 @@
 	State      State
 }
 
-// Encode encodes the record as it is stored.
+// Encode returns the stored form of the record.
 func (j *JobRecord) Encode() ([]byte, error) {
-	fixed := jobRecordNumbers{
+	fixed := jobRecordFixedFields{
 		Content: j.Content, FileDigest: j.FileDigest, Items: j.Items, Appended: j.Appended, Created: j.Created.UnixMilli(),
 		Accepted: milliseconds(j.Accepted), Ended: milliseconds(j.Ended), Deadline: j.Deadline.UnixMilli(),
 		Weight: j.Weight, MaxTries: j.MaxTries, Retention: int64(j.Retention), State: j.State,
@@ -126,9 +126,9 @@
 		[]byte(j.Model), []byte(j.Endpoint), []byte(j.Window), j.Metadata)
 }
 
-// DecodeJob reads a stored job record; it aliases nothing.
+// DecodeJob decodes a stored job record. The result does not alias stored.
 func DecodeJob(stored []byte) (JobRecord, error) {
-	var fixed jobRecordNumbers
+	var fixed jobRecordFixedFields
 	fields, err := wire.Unmarshal(stored, recordVersion, &fixed, 8)
 	if err != nil {
 		return JobRecord{}, err
@@ -164,25 +164,25 @@
 	Succeeded uint32
 	Failed    uint32
 	Unknown   uint32
-	// Dropped counts results that came second.
+	// Dropped counts duplicate and late results.
 	Dropped uint32
 	Tokens  uint64
 }
 
-// Final counts the items that have a result.
+// Final returns the number of items that have a result.
 func (c Counters) Final() uint32 { return c.Succeeded + c.Failed + c.Unknown }
 
-// Encode encodes the counters as they are stored.
+// Encode returns the stored form of the counters.
 func (c Counters) Encode() ([]byte, error) { return wire.Marshal(recordVersion, c) }
 
-// DecodeCounters reads a job's counters.
+// DecodeCounters decodes a job's stored counters.
 func DecodeCounters(stored []byte) (Counters, error) {
 	var counters Counters
 	_, err := wire.Unmarshal(stored, recordVersion, &counters, 0)
 	return counters, err
 }
 
-// ResultRecord is the kept result of an item.
+// ResultRecord is the stored result of an item.
 type ResultRecord struct {
 	Index      uint32
 	Status     jobs.ItemStatus
@@ -194,7 +194,7 @@
 	Body       []byte
 }
 
-type resultRecordNumbers struct {
+type resultRecordFixedFields struct {
 	Status     jobs.ItemStatus
 	HTTPStatus uint16
 	Tokens     uint32
@@ -203,14 +203,14 @@
 }
 
 func (r *ResultRecord) encode() ([]byte, error) {
-	fixed := resultRecordNumbers{r.Status, r.HTTPStatus, r.Tokens, r.Epoch, r.At.UnixMilli()}
+	fixed := resultRecordFixedFields{r.Status, r.HTTPStatus, r.Tokens, r.Epoch, r.At.UnixMilli()}
 	return wire.Marshal(recordVersion, fixed, []byte(r.CustomID), r.Body)
 }
 
-// DecodeResult reads a stored result; Body aliases stored, and Index is left
-// to the caller.
+// DecodeResult decodes a stored result. Body aliases stored; the caller sets
+// Index, which is part of the key.
 func DecodeResult(stored []byte) (ResultRecord, error) {
-	var fixed resultRecordNumbers
+	var fixed resultRecordFixedFields
 	fields, err := wire.Unmarshal(stored, recordVersion, &fixed, 2)
 	if err != nil {
 		return ResultRecord{}, err
@@ -221,8 +221,8 @@
 	}, nil
 }
 
-// leaseRecord is a stored lease: the items that it was given, less those
-// handed back. Items with a result stay in the list.
+// leaseRecord is a stored lease. indexes includes items with a result, but not
+// those returned to the job.
 type leaseRecord struct {
 	dispatcher string
 	indexes    []uint32
@@ -233,11 +233,11 @@
 	for _, index := range l.indexes {
 		indexes = binary.BigEndian.AppendUint32(indexes, index)
 	}
-	return wire.Marshal(recordVersion, numbers{}, []byte(l.dispatcher), indexes)
+	return wire.Marshal(recordVersion, noFixedFields{}, []byte(l.dispatcher), indexes)
 }
 
 func decodeLeaseRecord(stored []byte) (leaseRecord, error) {
-	fields, err := wire.Unmarshal(stored, recordVersion, &numbers{}, 2)
+	fields, err := wire.Unmarshal(stored, recordVersion, &noFixedFields{}, 2)
 	if err != nil {
 		return leaseRecord{}, err
 	}
@@ -248,10 +248,10 @@
 	return record, nil
 }
 
-// tries counts what went wrong with an item.
+// tries counts the failed tries of an item.
 type tries struct {
-	Faults uint8 // the engine's own errors
-	Losses uint8 // engines that vanished while they ran it
+	Faults uint8 // errors returned by the engine
+	Losses uint8 // engines lost while running it
 }
 
 func (t tries) encode() ([]byte, error) { return wire.Marshal(recordVersion, t) }
--- a/internal/jobs/machine/result.go
+++ b/internal/jobs/machine/result.go
@@ -8,22 +8,22 @@
 	"chutelock.dev/chutelock/internal/jobs"
 )
 
-// A result of status ItemOpen hands an item back to its job. Its HTTPStatus
-// says why; these are the reasons beside the engine's own error statuses.
+// A result of status ItemOpen returns an item to its job. Its HTTPStatus is the
+// reason: one of these, or the error status that the engine returned.
 const (
-	// ReturnNotRun: no engine ran any of it; nothing is counted.
+	// ReturnNotRun means that no engine ran the item; no try is counted.
 	ReturnNotRun uint16 = 0
-	// ReturnLost: the engine vanished while it ran the item.
+	// ReturnLost means that the engine was lost while running the item.
 	ReturnLost uint16 = http.StatusBadGateway
 )
 
-// maximumLosses is how many engines an item may lose before it is taken for
-// the cause.
-const maximumLosses = 8
+// maxLosses is the number of lost engines after which an item fails as the
+// presumed cause.
+const maxLosses = 8
 
 const codeOutcomeUnknown = "outcome_unknown"
 
-// errorBody is an OpenAI-shaped error.
+// errorBody returns an error response body in OpenAI format.
 func errorBody(code, message string) []byte {
 	type inner struct {
 		Code    string `json:"code"`
@@ -61,13 +61,12 @@
 		return false, tx.drop(result)
 	}
 	if result.Status == jobs.ItemOpen {
-		return false, tx.handBack(job, result)
+		return false, tx.returnItem(job, result)
 	}
 	return true, tx.record(job, result)
 }
 
-// drop counts a result that came second or too late, unless it is a repeat of
-// the kept one.
+// drop counts a duplicate or late result, unless it repeats the stored one.
 func (tx *transaction) drop(result jobs.Result) error {
 	if result.Status == jobs.ItemOpen {
 		return nil
@@ -85,7 +84,7 @@
 	return nil
 }
 
-// record keeps the first result of an item.
+// record stores the first result of an item.
 func (tx *transaction) record(job *openJob, result jobs.Result) error {
 	jobID := job.record.JobID
 	customID, err := tx.customID(job, result.Index)
@@ -109,7 +108,7 @@
 	return tx.count(job, result)
 }
 
-// customID names an item without a result; one that is not leased is read.
+// customID returns the custom_id of an item without a result.
 func (tx *transaction) customID(job *openJob, index uint32) (string, error) {
 	if known, leased := job.customIDs[index]; leased {
 		return known, nil
@@ -118,7 +117,7 @@
 	return item.CustomID, err
 }
 
-// count updates the job's summary and counters for a kept result.
+// count updates the job's summary, counters and rate for a stored result.
 func (tx *transaction) count(job *openJob, result jobs.Result) error {
 	touched, err := tx.touch(job.record.JobID)
 	if err != nil {
@@ -134,17 +133,17 @@
 		touched.counters.Failed++
 	}
 	touched.counters.Tokens += uint64(result.CompletionTokens)
-	tx.countRate(job.record.Model)
+	tx.countCompletion(job.record.Model)
 	epoch, leased := job.leased[result.Index]
 	job.finish(result.Index)
 	if leased {
-		return tx.shrinkLease(job, epoch)
+		return tx.countDownLease(job, epoch)
 	}
 	return nil
 }
 
-// shrinkLease removes a lease when its last item has a result.
-func (tx *transaction) shrinkLease(job *openJob, epoch uint64) error {
+// countDownLease decrements a lease's remaining items, and removes the lease at 0.
+func (tx *transaction) countDownLease(job *openJob, epoch uint64) error {
 	held := job.leases[epoch]
 	held.remaining--
 	if held.remaining > 0 {
@@ -154,8 +153,9 @@
 	return tx.Delete(key64(tableLease, job.record.JobID, epoch))
 }
 
-// handBack makes a leased item open again, or fails it after too many tries.
-func (tx *transaction) handBack(job *openJob, result jobs.Result) error {
+// returnItem reopens a leased item, fails it after too many tries, or records an
+// unknown outcome if it is non-repeatable and was sent.
+func (tx *transaction) returnItem(job *openJob, result jobs.Result) error {
 	if epoch, leased := job.leased[result.Index]; !leased || epoch != result.Epoch {
 		return nil
 	}
@@ -198,7 +198,7 @@
 	return tx.Delete(key64(tableLease, job.record.JobID, epoch))
 }
 
-// countTry counts a failed try and says whether it was the last one.
+// countTry counts a failed try and reports whether it was the last one allowed.
 func (tx *transaction) countTry(job *openJob, result jobs.Result) (exhausted bool, err error) {
 	storeKey := key32(tableTries, job.record.JobID, result.Index)
 	var counted tries
@@ -218,6 +218,6 @@
 	if err != nil {
 		return false, err
 	}
-	exhausted = counted.Faults >= job.record.MaxTries || counted.Losses >= maximumLosses
+	exhausted = counted.Faults >= job.record.MaxTries || counted.Losses >= maxLosses
 	return exhausted, tx.Set(storeKey, encoded)
 }
--- a/internal/jobs/machine/store_test.go
+++ b/internal/jobs/machine/store_test.go
@@ -7,7 +7,7 @@
 	"chutelock.dev/chutelock/internal/ledger"
 )
 
-// mapStore is the simplest ledger.Writer.
+// mapStore is an in-memory ledger.Writer.
 type mapStore map[string][]byte
 
 var _ ledger.Writer = mapStore{}
