--- a/internal/jobs/input/doc.go
+++ b/internal/jobs/input/doc.go
@@ -1,3 +1,3 @@
-// Package input checks the JSONL input of batch jobs line by line, in bounded
-// memory: one chunk of lines and eight bytes of hash for each line.
+// Package input validates the JSONL input of batch jobs line by line. Memory is
+// bounded by one chunk of lines and an eight-byte hash per line.
 package input
--- a/internal/jobs/input/line.go
+++ b/internal/jobs/input/line.go
@@ -10,22 +10,22 @@
 	"chutelock.dev/chutelock/internal/jobs"
 )
 
-// Paths that an item may name.
+// Endpoint paths allowed in an item's url field.
 const (
 	PathCompletions     = "/v1/completions"
 	PathChatCompletions = "/v1/chat/completions"
 )
 
-// RepeatableHeader is the header, also of a single item, that says whether it
-// may be run more than once.
+// RepeatableHeader is the request header, also in an item's headers field, that
+// tells whether a request may run more than once.
 const RepeatableHeader = "Chutelock-Repeatable"
 
 // maxCustomID is the longest custom_id, in bytes.
 const maxCustomID = 512
 
-// Error is a fault of the input, which names its line and field.
+// Error is a validation error with the line and field where it occurred.
 type Error struct {
-	Line  int // from 1; 0 when the fault is not in one line
+	Line  int // from 1; 0 when the error concerns no single line
 	Field string
 	Code  string
 	Text  string
@@ -58,11 +58,11 @@
 	return where + e.Text
 }
 
-func fault(field, code, format string, arguments ...any) *Error {
+func newError(field, code, format string, arguments ...any) *Error {
 	return &Error{Field: field, Code: code, Text: fmt.Sprintf(format, arguments...)}
 }
 
-// lineFields is one line of the input.
+// lineFields are the fields of an input line.
 type lineFields struct {
 	CustomID   *string           `json:"custom_id"`
 	Method     string            `json:"method"`
@@ -72,7 +72,7 @@
 	Repeatable *bool             `json:"repeatable"`
 }
 
-// bodyFields are the fields of an item's body that are checked.
+// bodyFields are the validated fields of an item's body.
 type bodyFields struct {
 	Model     string          `json:"model"`
 	Stream    bool            `json:"stream"`
@@ -81,11 +81,11 @@
 	Messages  json.RawMessage `json:"messages"`
 }
 
-// ParseLine reads one line. The item's body aliases nothing.
+// ParseLine parses and validates one line. The item does not alias line.
 func ParseLine(line []byte) (item jobs.Item, model string, failure *Error) {
 	var fields lineFields
 	if err := json.Unmarshal(line, &fields); err != nil {
-		return jobs.Item{}, "", jsonFault(err)
+		return jobs.Item{}, "", newJSONError(err)
 	}
 	if failure := fields.check(); failure != nil {
 		return jobs.Item{}, "", failure
@@ -102,35 +102,35 @@
 	return item, body.Model, nil
 }
 
-func jsonFault(err error) *Error {
+func newJSONError(err error) *Error {
 	if typed, ok := err.(*json.UnmarshalTypeError); ok && typed.Field != "" {
-		return fault(typed.Field, CodeInvalidField, "want %s, have %s", typed.Type, typed.Value)
+		return newError(typed.Field, CodeInvalidField, "want %s, have %s", typed.Type, typed.Value)
 	}
-	return fault("", CodeInvalidJSON, "not a JSON object: %v", err)
+	return newError("", CodeInvalidJSON, "not a JSON object: %v", err)
 }
 
 func (f *lineFields) check() *Error {
 	switch {
 	case f.CustomID == nil || *f.CustomID == "":
-		return fault("custom_id", CodeMissingField, "is missing")
+		return newError("custom_id", CodeMissingField, "is missing")
 	case len(*f.CustomID) > maxCustomID:
-		return fault("custom_id", CodeInvalidField, "is longer than %d bytes", maxCustomID)
+		return newError("custom_id", CodeInvalidField, "is longer than %d bytes", maxCustomID)
 	case !utf8.ValidString(*f.CustomID):
-		return fault("custom_id", CodeInvalidField, "is not UTF-8")
+		return newError("custom_id", CodeInvalidField, "is not UTF-8")
 	case f.Method != "" && f.Method != http.MethodPost:
-		return fault("method", CodeInvalidField, "is %q, want POST", f.Method)
+		return newError("method", CodeInvalidField, "is %q, want POST", f.Method)
 	case f.URL == "":
-		return fault("url", CodeMissingField, "is missing")
+		return newError("url", CodeMissingField, "is missing")
 	case f.URL != PathCompletions && f.URL != PathChatCompletions:
-		return fault("url", CodeInvalidURL, "%q is not allowed, want %s or %s", f.URL, PathCompletions, PathChatCompletions)
+		return newError("url", CodeInvalidURL, "%q is not allowed, want %s or %s", f.URL, PathCompletions, PathChatCompletions)
 	case len(f.Body) == 0:
-		return fault("body", CodeMissingField, "is missing")
+		return newError("body", CodeMissingField, "is missing")
 	default:
 		return nil
 	}
 }
 
-// repeatable reads the item's own field, or its header; the default is true.
+// repeatable returns the repeatable field, else the header's value, else true.
 func (f *lineFields) repeatable() (bool, *Error) {
 	if f.Repeatable != nil {
 		return *f.Repeatable, nil
@@ -141,14 +141,14 @@
 		}
 		repeatable, ok := ParseRepeatable(value)
 		if !ok {
-			return false, fault("headers."+name, CodeInvalidField, "is %q, want true or false", value)
+			return false, newError("headers."+name, CodeInvalidField, "is %q, want true or false", value)
 		}
 		return repeatable, nil
 	}
 	return true, nil
 }
 
-// ParseRepeatable reads a value of RepeatableHeader; empty means true.
+// ParseRepeatable parses a value of RepeatableHeader; empty means true.
 func ParseRepeatable(value string) (repeatable, ok bool) {
 	switch strings.ToLower(value) {
 	case "", "true":
@@ -163,22 +163,22 @@
 func checkBody(encoded json.RawMessage, path string) (bodyFields, *Error) {
 	var body bodyFields
 	if encoded[0] != '{' {
-		return body, fault("body", CodeInvalidField, "is not a JSON object")
+		return body, newError("body", CodeInvalidField, "is not a JSON object")
 	}
 	if err := json.Unmarshal(encoded, &body); err != nil {
-		failure := jsonFault(err)
+		failure := newJSONError(err)
 		failure.Field = strings.TrimSuffix("body."+failure.Field, ".")
 		return body, failure
 	}
 	switch {
 	case body.Model == "":
-		return body, fault("body.model", CodeMissingField, "is missing")
+		return body, newError("body.model", CodeMissingField, "is missing")
 	case body.Stream:
-		return body, fault("body.stream", CodeInvalidField, "must not be true in a batch")
+		return body, newError("body.stream", CodeInvalidField, "must not be true in a batch")
 	case path == PathCompletions && len(body.Prompt) == 0:
-		return body, fault("body.prompt", CodeMissingField, "is missing")
+		return body, newError("body.prompt", CodeMissingField, "is missing")
 	case path == PathChatCompletions && len(body.Messages) == 0:
-		return body, fault("body.messages", CodeMissingField, "is missing")
+		return body, newError("body.messages", CodeMissingField, "is missing")
 	default:
 		return body, nil
 	}
--- a/internal/jobs/input/scan.go
+++ b/internal/jobs/input/scan.go
@@ -12,20 +12,20 @@
 	"chutelock.dev/chutelock/internal/jobs"
 )
 
-// Limits of one input file.
+// Limits bounds the size of an input file.
 type Limits struct {
 	Items     int
 	LineBytes int
 	FileBytes int64
-	// ChunkBytes is the size from which a chunk is given on; a chunk is at
-	// most one line longer.
+	// ChunkBytes is the size from which a chunk is passed on; a chunk exceeds
+	// it by less than one line.
 	ChunkBytes int
 }
 
-// DefaultLimits allow the largest job of the target size.
+// DefaultLimits are the limits of the batch API unless configured otherwise.
 var DefaultLimits = Limits{Items: 120_000, LineBytes: 1 << 20, FileBytes: 256 << 20, ChunkBytes: 128 << 10}
 
-// Summary is what Scan learned of a whole file.
+// Summary describes a scanned file.
 type Summary struct {
 	Lines    int
 	Bytes    int64
@@ -38,13 +38,13 @@
 // readerBuffer is the size of the line reader's buffer, in bytes.
 const readerBuffer = 64 << 10
 
-// Scan checks each line of from and gives the file on in chunks of whole
-// lines; a chunk is valid only during the call. A fault of the input is an
-// *Error. The model must satisfy checkModel.
-func Scan(from io.Reader, limits Limits, checkModel func(model string) error, take func(chunk []byte) error) (Summary, error) {
+// Scan validates each line of from and passes the lines to handleChunk in chunks
+// of complete lines; a chunk is valid only during the call. Invalid input gives
+// an *Error, as does a model for which checkModel fails.
+func Scan(from io.Reader, limits Limits, checkModel func(model string) error, handleChunk func(chunk []byte) error) (Summary, error) {
 	s := &scanner{
-		limits: limits, checkModel: checkModel, take: take,
-		lines: bufio.NewReaderSize(from, readerBuffer), seen: map[uint64]struct{}{},
+		limits: limits, checkModel: checkModel, handleChunk: handleChunk,
+		reader: bufio.NewReaderSize(from, readerBuffer), seen: map[uint64]struct{}{},
 	}
 	if err := s.run(); err != nil {
 		return Summary{}, err
@@ -53,15 +53,15 @@
 }
 
 type scanner struct {
-	limits     Limits
-	checkModel func(string) error
-	take       func([]byte) error
-	lines      *bufio.Reader
-	line       []byte
-	lineNumber int
-	chunk      []byte
-	seen       map[uint64]struct{} // hashes of the custom_ids so far
-	summary    Summary
+	limits      Limits
+	checkModel  func(string) error
+	handleChunk func([]byte) error
+	reader      *bufio.Reader
+	line        []byte
+	lineNumber  int
+	chunk       []byte
+	seen        map[uint64]struct{} // hashes of the custom_ids read
+	summary     Summary
 }
 
 func (s *scanner) run() error {
@@ -72,7 +72,7 @@
 			return err
 		}
 		if len(s.line) > 0 {
-			if err := s.takeLine(digest); err != nil {
+			if err := s.processLine(digest); err != nil {
 				return err
 			}
 		}
@@ -81,26 +81,26 @@
 		}
 	}
 	if s.summary.Lines == 0 {
-		return fault("file", CodeEmptyFile, "has no items")
+		return newError("file", CodeEmptyFile, "has no items")
 	}
 	digest.Sum(s.summary.Digest[:0])
 	return s.flush()
 }
 
-// readLine reads the next line without its end into s.line. At the end of
-// the file it fails with io.EOF and what is left is in s.line.
+// readLine reads the next line into s.line, without surrounding white space. At
+// the end of the file it returns io.EOF, with the unterminated last line in s.line.
 func (s *scanner) readLine() error {
 	s.line = s.line[:0]
 	s.lineNumber++
 	for {
-		part, err := s.lines.ReadSlice('\n')
+		part, err := s.reader.ReadSlice('\n')
 		if len(s.line)+len(part) > s.limits.LineBytes {
 			return &Error{Line: s.lineNumber, Code: CodeLineTooLong, Text: "is longer than the limit"}
 		}
 		s.line = append(s.line, part...)
 		s.summary.Bytes += int64(len(part))
 		if s.summary.Bytes > s.limits.FileBytes {
-			return fault("file", CodeFileTooLarge, "is larger than %d bytes", s.limits.FileBytes)
+			return newError("file", CodeFileTooLarge, "is larger than %d bytes", s.limits.FileBytes)
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
@@ -110,7 +110,7 @@
 	}
 }
 
-func (s *scanner) takeLine(digest io.Writer) error {
+func (s *scanner) processLine(digest io.Writer) error {
 	item, model, failure := ParseLine(s.line)
 	if failure == nil {
 		failure = s.checkLine(item, model)
@@ -121,7 +121,7 @@
 	}
 	s.summary.Lines++
 	s.chunk = append(append(s.chunk, s.line...), '\n')
-	_, _ = digest.Write(s.line) // a hash never fails
+	_, _ = digest.Write(s.line) // hash.Hash.Write never fails
 	_, _ = digest.Write([]byte{'\n'})
 	if len(s.chunk) < s.limits.ChunkBytes {
 		return nil
@@ -134,37 +134,37 @@
 		return nil
 	}
 	s.summary.Chunks++
-	err := s.take(s.chunk)
+	err := s.handleChunk(s.chunk)
 	s.chunk = s.chunk[:0]
 	return err
 }
 
-// checkLine checks a line against those before it.
+// checkLine checks a line against the limits and the previous lines.
 func (s *scanner) checkLine(item jobs.Item, model string) *Error {
 	if s.summary.Lines >= s.limits.Items {
-		return fault("", CodeTooManyItems, "the file has more than %d items", s.limits.Items)
+		return newError("", CodeTooManyItems, "the file has more than %d items", s.limits.Items)
 	}
 	if s.summary.Lines == 0 {
 		s.summary.Model, s.summary.Endpoint = model, item.Path
 		if err := s.checkModel(model); err != nil {
-			return fault("body.model", CodeModelNotFound, "%v", err)
+			return newError("body.model", CodeModelNotFound, "%v", err)
 		}
 	}
 	if model != s.summary.Model {
-		return fault("body.model", CodeMismatchedModel, "is %q, but the lines before have %q", model, s.summary.Model)
+		return newError("body.model", CodeMismatchedModel, "is %q, but the lines before have %q", model, s.summary.Model)
 	}
 	if item.Path != s.summary.Endpoint {
-		return fault("url", CodeInvalidURL, "is %q, but the lines before have %q", item.Path, s.summary.Endpoint)
+		return newError("url", CodeInvalidURL, "is %q, but the lines before have %q", item.Path, s.summary.Endpoint)
 	}
 	hash := xxhash.Sum64String(item.CustomID)
 	if _, duplicate := s.seen[hash]; duplicate {
-		return fault("custom_id", CodeDuplicateCustomID, "%q was used by a line before", item.CustomID)
+		return newError("custom_id", CodeDuplicateCustomID, "%q was used by a line before", item.CustomID)
 	}
 	s.seen[hash] = struct{}{}
 	return nil
 }
 
-// ParseChunk reads the items of a chunk that Scan gave on.
+// ParseChunk parses the items of a chunk produced by Scan.
 func ParseChunk(chunk []byte) ([]jobs.Item, error) {
 	var items []jobs.Item
 	for len(chunk) > 0 {
--- a/internal/jobs/input/scan_test.go
+++ b/internal/jobs/input/scan_test.go
@@ -12,7 +12,8 @@
 
 const goodLine = `{"custom_id":"a","url":"/v1/completions","body":{"model":"m","prompt":"x"}}` + "\n"
 
-func TestLimits(t *testing.T) {
+// Guards against input over a limit being accepted or reported at the wrong line.
+func TestScanRejectsInputOverLimits(t *testing.T) {
 	for name, test := range map[string]struct {
 		input  string
 		limits Limits
@@ -26,15 +27,15 @@
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			_, err := Scan(strings.NewReader(test.input), test.limits, anyModel, func([]byte) error { return nil })
-			var fault *Error
-			g.Expect(errors.As(err, &fault)).To(gomega.BeTrue(), "%v", err)
-			g.Expect(fault.Code).To(gomega.Equal(test.code))
-			g.Expect(fault.Line).To(gomega.Equal(test.line))
+			var inputErr *Error
+			g.Expect(errors.As(err, &inputErr)).To(gomega.BeTrue(), "%v", err)
+			g.Expect(inputErr.Code).To(gomega.Equal(test.code))
+			g.Expect(inputErr.Line).To(gomega.Equal(test.line))
 		})
 	}
 }
 
-// FuzzScan: what Scan accepts, ParseChunk reads again, item by item.
+// FuzzScan guards against chunks from Scan that ParseChunk rejects or miscounts.
 func FuzzScan(f *testing.F) {
 	f.Add(goodLine)
 	f.Add("{\n")
@@ -47,8 +48,8 @@
 			items += len(parsed)
 			return err
 		})
-		var fault *Error
-		if err != nil && !errors.As(err, &fault) {
+		var inputErr *Error
+		if err != nil && !errors.As(err, &inputErr) {
 			t.Fatalf("%q: %v", text, err)
 		}
 		if err == nil && items != summary.Lines {
