--- a/cmd/chutelock-lab/compare.go
+++ b/cmd/chutelock-lab/compare.go
@@ -45,7 +45,7 @@
 			first = summary
 		}
 		fmt.Fprintf(table, "  %s\t%d\t%d\t%d\t%.1f\t%.1f\t%.2f\t%.1f\t%.1f\t%.2f\n",
-			strings.TrimSuffix(filepath.Base(path), ".json"), summary.Requests, summary.Outcomes[load.OutcomeOK], summary.Moved,
+			strings.TrimSuffix(filepath.Base(path), ".json"), summary.Requests, summary.Outcomes[load.OutcomeOK], summary.Failovers,
 			summary.TimeToFirstToken.P50, summary.TimeToFirstToken.P99, ratio(summary.TimeToFirstToken.P99, first.TimeToFirstToken.P99),
 			summary.BetweenTokens.P50, summary.BetweenTokens.P99, ratio(summary.BetweenTokens.P99, first.BetweenTokens.P99))
 	}
--- a/cmd/chutelock-lab/verify.go
+++ b/cmd/chutelock-lab/verify.go
@@ -42,7 +42,7 @@
 		return exitFailure
 	}
 	_ = json.NewEncoder(os.Stdout).Encode(summary)
-	if !summary.Kept() {
+	if !summary.Correct() {
 		return exitBadAnswers
 	}
 	return exitOK
--- a/internal/admission/batch/config.go
+++ b/internal/admission/batch/config.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Config holds the settings of a Controller for the engines of one service.
-// Except for Share, PathLatency and Redo, zero fields take default values.
+// Except for Share, PathLatency and CannotSuspend, zero fields take default values.
 type Config struct {
 	// Share is Service.BatchShare, from 0 (minimum slowdown of online) to 1
 	// (maximum batch throughput). Below one half the time to first token is
@@ -14,9 +14,8 @@
 	// PathLatency is the part of a caller's time to first token that is spent
 	// outside the engine.
 	PathLatency time.Duration
-	// Redo makes the controller cancel streams instead of suspending them, for
-	// engines that can't suspend.
-	Redo bool
+	// CannotSuspend makes the controller cancel streams instead of suspending them.
+	CannotSuspend bool
 	// ChunkTokens is the maximum number of prompt tokens prefilled in a step.
 	ChunkTokens int
 	// MaxStarting is the maximum number of batch streams without a first token; it
--- a/internal/admission/batch/controller.go
+++ b/internal/admission/batch/controller.go
@@ -155,7 +155,7 @@
 		if !victim.produced {
 			state.real.removePrefill(victim.prompt)
 		}
-		if c.config.Redo {
+		if c.config.CannotSuspend {
 			state.remove(victim)
 			actions = append(actions, Action{Kind: ActionCancel, Engine: state.name, Stream: victim.id})
 			continue
--- a/internal/admission/batch/fuzz_test.go
+++ b/internal/admission/batch/fuzz_test.go
@@ -33,9 +33,9 @@
 	fuzzMaxAdvance      = 20 * time.Millisecond
 )
 
-func newOracle(redo bool, maxSuspension time.Duration) *oracle {
+func newOracle(cannotSuspend bool, maxSuspension time.Duration) *oracle {
 	o := &oracle{
-		config: Config{Share: 0.5, Slots: fuzzSlots, ReservedSlots: fuzzReservedSlots, Redo: redo, MaxSuspension: maxSuspension},
+		config: Config{Share: 0.5, Slots: fuzzSlots, ReservedSlots: fuzzReservedSlots, CannotSuspend: cannotSuspend, MaxSuspension: maxSuspension},
 		now:    time.Unix(1000, 0), gone: map[string]bool{}, online: map[string]map[string]bool{},
 		state: map[string]string{}, engineOf: map[string]string{},
 	}
--- a/internal/apikey/apikey.go
+++ b/internal/apikey/apikey.go
@@ -12,8 +12,8 @@
 // other keys, since similar keys don't have similar hashes.
 type Hash [sha256.Size]byte
 
-// Of returns the hash of a key.
-func Of(key string) Hash { return sha256.Sum256([]byte(key)) }
+// HashKey returns the hash of a key.
+func HashKey(key string) Hash { return sha256.Sum256([]byte(key)) }
 
 // Presence tells whether a request carries a well-formed key.
 type Presence uint8
@@ -49,7 +49,7 @@
 	if key == "" || len(key) > maxKeyLength || strings.ContainsFunc(key, isInvalidKeyRune) {
 		return Hash{}, Malformed
 	}
-	return Of(key), Given
+	return HashKey(key), Given
 }
 
 // Remove deletes the key from a header.
--- a/internal/apikey/apikey_test.go
+++ b/internal/apikey/apikey_test.go
@@ -35,7 +35,7 @@
 		hash, presence := Read(http.Header{headerName: tc.values})
 		g.Expect(presence).To(gomega.Equal(tc.want), "%.40q", tc.values)
 		if tc.want == Given {
-			g.Expect(hash).To(gomega.Equal(Of("k1")), "%q", tc.values)
+			g.Expect(hash).To(gomega.Equal(HashKey("k1")), "%q", tc.values)
 		} else {
 			g.Expect(hash).To(gomega.Equal(Hash{}))
 		}
--- a/internal/batchwork/caller.go
+++ b/internal/batchwork/caller.go
@@ -52,11 +52,11 @@
 	Sender    transport.Sender
 	// Near picks the replica to read from; false means to read at the leader.
 	Near func(replicas []transport.Address) (transport.Address, bool)
-	// Within returns where a job may be kept; nil if there are no regions.
-	Within func(job *Job) Within
-	// LiesWithin reports whether the node at an address is known to be in the region of a
+	// RegionPolicy returns where a job may be kept; nil if there are no regions.
+	RegionPolicy func(job *Job) RegionPolicy
+	// InRegion reports whether the node at an address is known to be in the region of a
 	// shard; nil if there are no regions.
-	LiesWithin func(address transport.Address, shard ledger.ShardID) bool
+	InRegion func(address transport.Address, shard ledger.ShardID) bool
 }
 
 // Caller calls shard leaders from any node, and reads from a nearby replica if there is one.
@@ -100,7 +100,7 @@
 // to.
 var errRegionsChanged = errors.New("batchwork: the regions of the job have changed")
 
-// Submit submits a job. It returns nil once the job is stored; ErrQueueFull, ErrForeign,
+// Submit submits a job. It returns nil once the job is stored; ErrQueueFull, ErrTenantMismatch,
 // ErrNoHome or ErrNotTaken if it was certainly not accepted; and ErrUnknown otherwise.
 func (c *Caller) Submit(ctx context.Context, job *Job) error {
 	p := newPlacement(job)
@@ -110,7 +110,7 @@
 	p.setEmpty = func(shard ledger.ShardID, epoch uint64) { c.setEmpty(formerHomeKey{shard, job.queue()}, epoch) }
 	uncertain := false
 	for ctx.Err() == nil {
-		next, err := p.nextCall(c.within(job))
+		next, err := p.nextCall(c.regionPolicy(job))
 		if err != nil {
 			return c.orUnknown(uncertain, err)
 		}
@@ -144,27 +144,27 @@
 	return err
 }
 
-func (c *Caller) within(job *Job) Within {
-	if c.options.Within == nil {
-		return Within{}
+func (c *Caller) regionPolicy(job *Job) RegionPolicy {
+	if c.options.RegionPolicy == nil {
+		return RegionPolicy{}
 	}
-	return c.options.Within(job)
+	return c.options.RegionPolicy(job)
 }
 
 // prepare converts a placement's call. The region check runs when each message is sent, so
 // that bodies reach only nodes permitted at that moment.
 func (c *Caller) prepare(job *Job, next placementCall) call {
 	prepared := call{shard: next.shard, kind: next.kind, payload: next.payload}
-	if !next.body || c.options.Within == nil {
+	if !next.body || c.options.RegionPolicy == nil {
 		return prepared
 	}
 	prepared.maySend = func(to transport.Address) error {
-		within := c.within(job)
+		policy := c.regionPolicy(job)
 		unrestricted := next.kind == kindSubmit
-		if (unrestricted && within.Regions != nil) || !within.allows(next.shard) {
+		if (unrestricted && policy.Regions != nil) || !policy.allows(next.shard) {
 			return errRegionsChanged
 		}
-		if next.shard.Regional() && !c.options.LiesWithin(to, next.shard) {
+		if next.shard.Regional() && !c.options.InRegion(to, next.shard) {
 			eventJobKeptBack.Info("job", job.ID, "peer", to, "shard", next.shard)
 			return ErrNotTaken
 		}
@@ -320,7 +320,7 @@
 // isFinal reports whether an error is a shard's answer, so that a retry is pointless.
 func isFinal(err error) bool {
 	var other *otherShardError
-	for _, answer := range []error{ErrNoJob, ErrQueueFull, ErrForeign, ErrOutdated, errMoved} {
+	for _, answer := range []error{ErrNoJob, ErrQueueFull, ErrTenantMismatch, ErrOutdated, errMoved} {
 		if errors.Is(err, answer) {
 			return true
 		}
@@ -402,5 +402,5 @@
 
 // statusErrors maps final statuses without content to errors.
 var statusErrors = map[status]error{
-	statusNoJob: ErrNoJob, statusQueueFull: ErrQueueFull, statusTenantMismatch: ErrForeign, statusMoved: errMoved, statusOutdated: ErrOutdated,
+	statusNoJob: ErrNoJob, statusQueueFull: ErrQueueFull, statusTenantMismatch: ErrTenantMismatch, statusMoved: errMoved, statusOutdated: ErrOutdated,
 }
--- a/internal/batchwork/calls.go
+++ b/internal/batchwork/calls.go
@@ -118,11 +118,11 @@
 	// Shard returns this node's replica, if it holds one.
 	Shard   func() (ledger.Shard, bool)
 	Machine *Machine
-	// Scarce reports whether the disk is too full for new jobs.
-	Scarce func() bool
-	// Stays reports whether the newest known configuration permits a tenant's job of a
+	// LowSpace reports whether the disk is too full for new jobs.
+	LowSpace func() bool
+	// Permitted reports whether the newest known configuration permits a tenant's job of a
 	// host and path in this shard; nil if there are no regions.
-	Stays func(host, path, tenant string) bool
+	Permitted func(host, path, tenant string) bool
 	// Replicas lists the addresses of the nodes that can answer reads.
 	Replicas func() []transport.Address
 	Receiver transport.Receiver
@@ -147,7 +147,7 @@
 			if !found {
 				return marshal(fixedReply{statusNotLeader}, nil, nil), nil
 			}
-			content, err := serve(&Server{held, options.Machine, options.Scarce, options.Stays}, ctx, payload)
+			content, err := serve(&Server{held, options.Machine, options.LowSpace, options.Permitted}, ctx, payload)
 			var replicas []byte
 			if leads, _ := held.Leading(); leads && (kind == kindRead || kind == kindBody) {
 				replicas = encodeReplicas(options.Replicas())
@@ -174,7 +174,7 @@
 		return marshal(fixedReply{statusNoJob}, nil, nil)
 	case errors.Is(err, ErrQueueFull):
 		return marshal(fixedReply{statusQueueFull}, nil, nil)
-	case errors.Is(err, ErrForeign):
+	case errors.Is(err, ErrTenantMismatch):
 		return marshal(fixedReply{statusTenantMismatch}, nil, nil)
 	case errors.As(err, &notLeader):
 		return marshal(fixedReply{statusNotLeader}, nil, []byte(notLeader.Leader))
@@ -264,7 +264,7 @@
 	case answerNoJob:
 		return nil, ErrNoJob
 	case answerTenantMismatch:
-		return nil, ErrForeign
+		return nil, ErrTenantMismatch
 	case answerMoved:
 		return nil, errMoved
 	case answerOutdated:
--- a/internal/batchwork/drain_test.go
+++ b/internal/batchwork/drain_test.go
@@ -34,7 +34,7 @@
 // runs the items itself.
 func TestLeaderSkipsExecutorNotReady(t *testing.T) {
 	p := newRunnerAndExecutor(t, 5, time.Millisecond)
-	p.knows.Store(false)
+	p.ready.Store(false)
 	p.submit(3)
 	p.expectWhole(3)
 	p.g.Expect(p.executor.Running()).To(gomega.BeZero())
--- a/internal/batchwork/executor.go
+++ b/internal/batchwork/executor.go
@@ -54,9 +54,9 @@
 	EngineID func(instance string) string
 	// Guard holds back items that may crash engines; nil holds back none.
 	Guard *poison.Guard
-	// Knows reports whether this node knows the engines and the drained zones; nil means
+	// Ready reports whether this node knows the engines and the drained zones; nil means
 	// yes.
-	Knows func() bool
+	Ready func() bool
 	// Permitted reports whether the newest known configuration permits a tenant's item of
 	// a route at an engine; nil if there are no regions.
 	Permitted func(host, path, tenant, engine string) bool
@@ -112,13 +112,13 @@
 func NewExecutor(options ExecutorOptions) *Executor {
 	e := &Executor{options: options, clients: map[clientKey]*client{}}
 	e.ctx, e.cancel = context.WithCancel(context.Background())
-	e.Also(options.Sender, options.Receiver)
+	e.AddShard(options.Sender, options.Receiver)
 	e.tasks.Go(e.sendHeartbeats)
 	return e
 }
 
-// Also registers handlers for the leaders of another shard, reached by its port.
-func (e *Executor) Also(sender transport.Sender, receiver transport.Receiver) {
+// AddShard registers handlers for the leaders of another shard, reached by its port.
+func (e *Executor) AddShard(sender transport.Sender, receiver transport.Receiver) {
 	e.mutex.Lock()
 	port := len(e.senders)
 	e.senders = append(e.senders, sender)
@@ -197,7 +197,7 @@
 	if e.closed || e.count >= maxExecutorRuns {
 		return nil, trace.Wrap(errExecutorFull)
 	}
-	if e.options.Knows != nil && !e.options.Knows() {
+	if e.options.Ready != nil && !e.options.Ready() {
 		return nil, trace.Wrap(errNotReady)
 	}
 	c := e.client(from)
--- a/internal/batchwork/executor_test.go
+++ b/internal/batchwork/executor_test.go
@@ -110,9 +110,9 @@
 	executor     *Executor
 	leaderNode   *transport.Node
 	executorNode *transport.Node
-	// usable is the executor's Usable, nil for always; knows is its Knows.
+	// usable is the executor's Usable, nil for always; ready is its Ready.
 	usable atomic.Pointer[func() bool]
-	knows  atomic.Bool
+	ready  atomic.Bool
 	stop   context.CancelFunc
 	done   chan struct{}
 }
@@ -128,9 +128,9 @@
 	snapshot := catalog.NewSnapshot(nil, []catalog.Engine{{ID: "e", Service: "s", Address: address, Zone: "z", Slots: 100}})
 	route := &catalog.Route{Name: "r", Kind: catalog.KindBatch, Attempts: 3, Backends: []catalog.Backend{{Service: "s", Weight: 1}}}
 	usable := func(string, string) bool { return true }
-	p.knows.Store(true)
+	p.ready.Store(true)
 	p.executor = NewExecutor(ExecutorOptions{
-		Pool: upstream.NewPool(testDialect{}), Knows: p.knows.Load, Sender: p.executorNode, Receiver: p.executorNode,
+		Pool: upstream.NewPool(testDialect{}), Ready: p.ready.Load, Sender: p.executorNode, Receiver: p.executorNode,
 		Usable: func(string, string) bool {
 			ask := p.usable.Load()
 			return ask == nil || (*ask)()
--- a/internal/batchwork/placement.go
+++ b/internal/batchwork/placement.go
@@ -10,8 +10,8 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// Within is where a job may be kept by the newest known configuration.
-type Within struct {
+// RegionPolicy is where a job may be kept by the newest known configuration.
+type RegionPolicy struct {
 	// Regions are the permitted regions; nil is no restriction.
 	Regions catalog.Regions
 	// Version is the configuration's version.
@@ -21,27 +21,27 @@
 	Preferred string
 }
 
-func (w Within) allows(shard ledger.ShardID) bool {
-	return w.Regions == nil || slices.Contains(w.shards(), shard)
+func (p RegionPolicy) allows(shard ledger.ShardID) bool {
+	return p.Regions == nil || slices.Contains(p.shards(), shard)
 }
 
 // shards returns the shards of the permitted regions; nil if all shards are permitted.
-func (w Within) shards() []ledger.ShardID {
-	if w.Regions == nil {
+func (p RegionPolicy) shards() []ledger.ShardID {
+	if p.Regions == nil {
 		return nil
 	}
-	shards := make([]ledger.ShardID, 0, len(w.Regions))
-	for _, region := range w.Regions {
+	shards := make([]ledger.ShardID, 0, len(p.Regions))
+	for _, region := range p.Regions {
 		shards = append(shards, ledger.RegionShard(region))
 	}
 	return shards
 }
 
-func (w Within) preferred() ledger.ShardID {
-	if w.Regions == nil {
+func (p RegionPolicy) preferred() ledger.ShardID {
+	if p.Regions == nil {
 		return 0
 	}
-	return ledger.RegionShard(w.Preferred)
+	return ledger.RegionShard(p.Preferred)
 }
 
 // placementCall is a call that a placement needs next.
@@ -91,16 +91,16 @@
 func newPlacement(job *Job) *placement { return &placement{job: job, encoded: encodeJob(job, true)} }
 
 // nextCall returns the next call. It fails with ErrNoHome.
-func (p *placement) nextCall(within Within) (placementCall, error) {
-	restricted := within.Regions != nil
+func (p *placement) nextCall(policy RegionPolicy) (placementCall, error) {
+	restricted := policy.Regions != nil
 	if p.stage == stageUnrestricted && restricted {
 		p.stage = stageClaim
 	}
-	if p.stage > stageVacate && !within.allows(p.answer.shard) {
+	if p.stage > stageVacate && !policy.allows(p.answer.shard) {
 		p.stage = stageClaim // the regions have changed
 	}
-	if p.stage == stageClaim && restricted && within.Preferred == "" {
-		return placementCall{}, fmt.Errorf("%w: %v", ErrNoHome, within.Regions)
+	if p.stage == stageClaim && restricted && policy.Preferred == "" {
+		return placementCall{}, fmt.Errorf("%w: %v", ErrNoHome, policy.Regions)
 	}
 	for p.stage == stageFormerHomes && p.skipsFormerHome() {
 		p.nextFormerHome()
@@ -119,8 +119,8 @@
 		return placementCall{shard: p.answer.shard, kind: kindPlace, payload: marshal(fixed, p.encoded), body: true}, nil
 	}
 	request := claimRequest{
-		job: p.job.ID, queue: p.job.queue(), retention: p.job.Retention, version: within.Version,
-		allowed: within.shards(), preferred: within.preferred(), vacated: p.vacated, vacatedEpoch: p.vacatedEpoch,
+		job: p.job.ID, queue: p.job.queue(), retention: p.job.Retention, version: policy.Version,
+		allowed: policy.shards(), preferred: policy.preferred(), vacated: p.vacated, vacatedEpoch: p.vacatedEpoch,
 	}
 	return placementCall{kind: kindClaim, payload: request.marshal()}, nil
 }
--- a/internal/batchwork/placement_test.go
+++ b/internal/batchwork/placement_test.go
@@ -56,7 +56,7 @@
 	return c
 }
 
-func shardsOf(regions []string) []ledger.ShardID { return Within{Regions: regions}.shards() }
+func shardsOf(regions []string) []ledger.ShardID { return RegionPolicy{Regions: regions}.shards() }
 
 // clusterJob returns a job of one or two items of 10 tokens each.
 func clusterJob(number int, route string) *Job {
@@ -66,13 +66,13 @@
 }
 
 // within returns the regions known to a front node.
-func (c *placementCluster) within(front int, job *Job) Within {
+func (c *placementCluster) policy(front int, job *Job) RegionPolicy {
 	version := c.fronts[front]
-	within := Within{Regions: c.versions[version][job.Route], Version: uint64(version)}
-	if len(within.Regions) > 0 {
-		within.Preferred = within.Regions[(front+version)%len(within.Regions)] // front nodes may differ
+	policy := RegionPolicy{Regions: c.versions[version][job.Route], Version: uint64(version)}
+	if len(policy.Regions) > 0 {
+		policy.Preferred = policy.Regions[(front+version)%len(policy.Regions)] // front nodes may differ
 	}
-	return within
+	return policy
 }
 
 func (c *placementCluster) apply(t *rapid.T, call placementCall) ([]byte, error) {
@@ -98,7 +98,7 @@
 
 // makeCall makes the next call of a submission with the given fate.
 func (c *placementCluster) makeCall(t *rapid.T, run *submission, fate string) {
-	within := c.within(run.front, run.job)
+	within := c.policy(run.front, run.job)
 	next, err := run.nextCall(within)
 	if err != nil {
 		if len(within.Regions) > 0 || within.Regions == nil {
--- a/internal/batchwork/preempt.go
+++ b/internal/batchwork/preempt.go
@@ -15,8 +15,8 @@
 	}
 }
 
-// Yield preempts batch runs at engines whose slots online work needs.
-func (r *Runner) Yield() {
+// Preempt preempts batch runs at engines whose slots online work needs.
+func (r *Runner) Preempt() {
 	now := clock.Now()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/batchwork/regions_test.go
+++ b/internal/batchwork/regions_test.go
@@ -17,10 +17,10 @@
 func TestCallerSendsBodyOnlyWithinRegion(t *testing.T) {
 	g := gomega.NewWithT(t)
 	north := ledger.RegionShard("north")
-	within := Within{Regions: catalog.Regions{"north"}}
+	policy := RegionPolicy{Regions: catalog.Regions{"north"}}
 	c := NewCaller(CallerOptions{
-		Within:     func(*Job) Within { return within },
-		LiesWithin: func(to transport.Address, shard ledger.ShardID) bool { return shard == north && to == "inside" },
+		RegionPolicy: func(*Job) RegionPolicy { return policy },
+		InRegion:     func(to transport.Address, shard ledger.ShardID) bool { return shard == north && to == "inside" },
 	})
 	job := testJob("a", 1, 0)
 	place := c.prepare(job, placementCall{shard: north, kind: kindPlace, body: true})
@@ -28,9 +28,9 @@
 	g.Expect(place.maySend("outside")).To(gomega.MatchError(ErrNotTaken))
 	unrestricted := c.prepare(job, placementCall{kind: kindSubmit, body: true})
 	g.Expect(unrestricted.maySend("inside")).To(gomega.MatchError(errRegionsChanged))
-	within.Regions = catalog.Regions{"south"}
+	policy.Regions = catalog.Regions{"south"}
 	g.Expect(place.maySend("inside")).To(gomega.MatchError(errRegionsChanged))
-	within.Regions = nil
+	policy.Regions = nil
 	g.Expect(unrestricted.maySend("outside")).To(gomega.Succeed())
 	g.Expect(c.prepare(job, placementCall{kind: kindClaim}).maySend).To(gomega.BeNil(), "a claim contains no body")
 }
--- a/internal/batchwork/runner_test.go
+++ b/internal/batchwork/runner_test.go
@@ -70,11 +70,11 @@
 		runner.options.Balancer.PeerLoad("front", balance.Report{balance.KeyOf("e"): load})
 	}
 	online(1000 - maxStartsPerPlan)
-	runner.Yield()
+	runner.Preempt()
 	g.Expect(batch()).To(gomega.Equal(maxStartsPerPlan), "the slots are sufficient")
 	online(1000 - maxStartsPerPlan + 4)
 	runner.nextPreemption = time.Time{}
-	runner.Yield()
+	runner.Preempt()
 	g.Expect(batch()).To(gomega.Equal(maxStartsPerPlan - 4))
 	cut := 0
 	for _, next := range started {
--- a/internal/batchwork/types.go
+++ b/internal/batchwork/types.go
@@ -73,9 +73,9 @@
 var (
 	// ErrNoJob means that the job, or the item in it, does not exist.
 	ErrNoJob = errors.New("batchwork: no such job")
-	// ErrForeign means that the identifier is used by another tenant's job; the job was
+	// ErrTenantMismatch means that the identifier is used by another tenant's job; the job was
 	// not accepted.
-	ErrForeign = errors.New("batchwork: the job identifier is in use by another tenant")
+	ErrTenantMismatch = errors.New("batchwork: the job identifier is in use by another tenant")
 	// ErrNoHome means that no permitted region has enough data nodes for a shard; the job
 	// was not accepted.
 	ErrNoHome = errors.New("batchwork: no region permitted for the route and the tenant has enough data nodes")
--- a/internal/edge/batch.go
+++ b/internal/edge/batch.go
@@ -57,7 +57,7 @@
 	switch {
 	case errors.Is(err, batchwork.ErrNoJob):
 		writeError(w, http.StatusNotFound, "no such batch job or item")
-	case errors.Is(err, batchwork.ErrForeign):
+	case errors.Is(err, batchwork.ErrTenantMismatch):
 		writeError(w, http.StatusConflict, "the identifier is taken")
 	case errors.Is(err, batchwork.ErrQueueFull):
 		writeError(w, http.StatusTooManyRequests, "the queue is full")
--- a/internal/edge/caller_test.go
+++ b/internal/edge/caller_test.go
@@ -29,7 +29,7 @@
 func TestAuthenticateByConfigurationAge(t *testing.T) {
 	g := gomega.NewWithT(t)
 	configuration := &catalog.Configuration{}
-	configuration.SetTenants([]catalog.Tenant{{Name: "x", Keys: []apikey.Hash{apikey.Of("k")}}})
+	configuration.SetTenants([]catalog.Tenant{{Name: "x", Keys: []apikey.Hash{apikey.HashKey("k")}}})
 	for _, test := range []struct {
 		header          string
 		current, lapsed bool
--- a/internal/gateway/batchapi/deployment_test.go
+++ b/internal/gateway/batchapi/deployment_test.go
@@ -84,8 +84,8 @@
 }
 
 var testSettings = settings.NewSnapshot(1, map[apikey.Hash]*settings.Tenant{
-	apikey.Of(testKey):  {Name: "a", MaxJobItems: 200_000},
-	apikey.Of(otherKey): {Name: "b", Models: []string{"other"}},
+	apikey.HashKey(testKey):  {Name: "a", MaxJobItems: 200_000},
+	apikey.HashKey(otherKey): {Name: "b", Models: []string{"other"}},
 }, map[string]*settings.Service{testModel: {Model: testModel}, "other": {Model: "other"}})
 
 // deployment is one node with a single-copy ledger.
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -279,7 +279,7 @@
 // fail ends a failed attempt and does what the call decides.
 func (x *exchange) fail(ctx context.Context, now time.Time, failed *attempt, failure *engine.Error, timedOut bool) {
 	eventAttemptFailed.Error(failure, "request", x.id, "attempt", failed.number, "fate", fateName(failure.Fate), "tokens", failed.tokens)
-	outcome := routing.FateOf(failed.decision.Attempt, failure, timedOut)
+	outcome := routing.FailureOutcome(failed.decision.Attempt, failure, timedOut)
 	x.release(now, failed, outcome, fateName(failure.Fate))
 	next := x.call.Fail(now, failed.number, failure)
 	switch {
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -216,7 +216,7 @@
 	tenant.Name = "nairamdal"
 	other := &settings.Tenant{Name: "other", Models: []string{"another"}}
 	return fixedSettings{settings.NewSnapshot(1,
-		map[apikey.Hash]*settings.Tenant{apikey.Of(testKey): &tenant, apikey.Of("other-key"): other},
+		map[apikey.Hash]*settings.Tenant{apikey.HashKey(testKey): &tenant, apikey.HashKey("other-key"): other},
 		map[string]*settings.Service{service.Model: service})}
 }
 
--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -48,7 +48,7 @@
 	ended      time.Time
 	outcome    string
 	detail     string
-	moved      int // number of failovers
+	failovers  int // number of failovers
 	text       string
 	tokenTimes []time.Time
 }
@@ -113,10 +113,10 @@
 	ctx, cancel := context.WithDeadline(ctx, call.scheduled.Add(c.config.Timeout))
 	defer cancel()
 	var result callResult
-	for moved, target := range call.targets {
+	for failovers, target := range call.targets {
 		var notRun bool
 		result, notRun = c.try(ctx, call, target)
-		result.moved = moved
+		result.failovers = failovers
 		if !notRun {
 			break
 		}
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -91,9 +91,9 @@
 	closed := httptest.NewServer(nil)
 	closed.Close()
 	for name, test := range map[string]struct {
-		first   string
-		outcome string
-		moved   int
+		first     string
+		outcome   string
+		failovers int
 	}{
 		"not run":     {refusing.URL, load.OutcomeOK, 1},
 		"unreachable": {closed.URL, load.OutcomeOK, 1},
@@ -109,7 +109,7 @@
 			})
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			g.Expect(summary.Outcomes).To(gomega.Equal(map[string]int{test.outcome: 1}))
-			g.Expect(summary.Moved).To(gomega.Equal(test.moved))
+			g.Expect(summary.Failovers).To(gomega.Equal(test.failovers))
 		})
 	}
 }
--- a/internal/lab/load/summary.go
+++ b/internal/lab/load/summary.go
@@ -52,8 +52,8 @@
 	Seed     uint64         `json:"seed"`
 	Requests int            `json:"requests"`
 	Outcomes map[string]int `json:"outcomes"`
-	// Moved counts failovers to another target.
-	Moved            int       `json:"moved"`
+	// Failovers counts failovers to another target.
+	Failovers        int       `json:"moved"`
 	Tokens           int64     `json:"tokens"`
 	Seconds          float64   `json:"seconds"`
 	Checked          bool      `json:"answers_checked"`
@@ -72,7 +72,7 @@
 	total         *hdrhistogram.Histogram
 	outcomes      map[string]int
 	tokens        int64
-	moved         int
+	failovers     int
 	examples      []Example
 }
 
@@ -89,7 +89,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.outcomes[result.outcome]++
-	r.moved += result.moved
+	r.failovers += result.failovers
 	if result.outcome != OutcomeOK {
 		r.addExample(result)
 		return
@@ -133,7 +133,7 @@
 		Requests:         requests,
 		Outcomes:         r.outcomes,
 		Tokens:           r.tokens,
-		Moved:            r.moved,
+		Failovers:        r.failovers,
 		TimeToFirstToken: quantiles(r.firstToken),
 		BetweenTokens:    quantiles(r.betweenTokens),
 		Total:            quantiles(r.total),
--- a/internal/lab/sim/policy.go
+++ b/internal/lab/sim/policy.go
@@ -64,7 +64,7 @@
 	case PolicyFixed:
 		return batch.NewFixed(p.Streams, true), nil
 	case PolicyController:
-		return batch.NewController(batch.Config{Share: p.Share, Slots: shape.MaxRunning, ChunkTokens: shape.TokenBudget, PathLatency: pathLatency, Redo: p.Redo}), nil
+		return batch.NewController(batch.Config{Share: p.Share, Slots: shape.MaxRunning, ChunkTokens: shape.TokenBudget, PathLatency: pathLatency, CannotSuspend: p.Redo}), nil
 	case PolicyNone:
 		return noAdmission{}, nil
 	}
--- a/internal/lab/verify/verify.go
+++ b/internal/lab/verify/verify.go
@@ -29,8 +29,8 @@
 	Repeated int `json:"repeated"`
 }
 
-// Kept reports whether every item has exactly one result, with the expected text.
-func (s Summary) Kept() bool {
+// Correct reports whether every item has exactly one result, with the expected text.
+func (s Summary) Correct() bool {
 	return s.Items > 0 && s.Missing == 0 && s.Duplicated == 0 && s.Foreign == 0 && s.Wrong == 0 && s.Failed == 0
 }
 
--- a/internal/lab/verify/verify_test.go
+++ b/internal/lab/verify/verify_test.go
@@ -27,9 +27,9 @@
 // Guards against missing, repeated or wrong results that go unnoticed.
 func TestJobCountsDefects(t *testing.T) {
 	for name, tc := range map[string]struct {
-		output string
-		want   Summary
-		kept   bool
+		output  string
+		want    Summary
+		correct bool
 	}{
 		"complete":   {correctResult("a") + correctResult("b"), Summary{Items: 2, Results: 2}, true},
 		"missing":    {correctResult("a"), Summary{Items: 2, Results: 1, Missing: 1}, false},
@@ -44,7 +44,7 @@
 			got, err := Job(strings.NewReader(inputOf("a", "b")), strings.NewReader(tc.output))
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			g.Expect(got).To(gomega.Equal(tc.want))
-			g.Expect(got.Kept()).To(gomega.Equal(tc.kept))
+			g.Expect(got.Correct()).To(gomega.Equal(tc.correct))
 		})
 	}
 }
--- a/internal/ledger/replica/bootstrap.go
+++ b/internal/ledger/replica/bootstrap.go
@@ -151,7 +151,7 @@
 	if !slices.Equal(short, b.shortRegions) {
 		for _, id := range short {
 			eventRegionShort.Info("shard", id, "region", b.service.Region(id),
-				"nodes", len(b.service.eligibleMembers(id, members)), "least", b.service.options.LeastCopies)
+				"nodes", len(b.service.eligibleMembers(id, members)), "least", b.service.options.MinCopies)
 		}
 	}
 	b.shortRegions, b.onlyShortMissing = short, len(rest) == 0
--- a/internal/ledger/replica/options.go
+++ b/internal/ledger/replica/options.go
@@ -56,10 +56,10 @@
 	// 1 and at least three zones, no zone holds a majority of a shard's replicas.
 	ZoneLosses int
 	// Regions lists the regions that may have their own shard, whose replicas stay
-	// on nodes of the region; see Service.Need. LeastCopies is the minimum number of
+	// on nodes of the region; see Service.RequestShards. MinCopies is the minimum number of
 	// its replicas; a region with fewer data nodes gets no shard.
-	Regions     []string
-	LeastCopies int
+	Regions   []string
+	MinCopies int
 	// NewMachine returns the state machine of a shard.
 	NewMachine func(ledger.ShardID) ledger.StateMachine
 	// Registry registers the metrics; nil disables them.
--- a/internal/ledger/replica/regions.go
+++ b/internal/ledger/replica/regions.go
@@ -50,9 +50,9 @@
 	return !id.Regional() || (s.regions[id] != "" && s.regions[id] == region)
 }
 
-// Need requests the shards of regions. Each is placed once its region has enough
+// RequestShards requests the shards of regions. Each is placed once its region has enough
 // data nodes, and is never removed.
-func (s *Service) Need(regions []string) {
+func (s *Service) RequestShards(regions []string) {
 	s.mutex.Lock()
 	before := len(s.needed)
 	for _, region := range regions {
@@ -127,10 +127,10 @@
 	return slices.DeleteFunc(slices.Clone(members), func(m membership.Member) bool { return !s.mayHold(id, m.Region) })
 }
 
-// hasEnoughNodes reports whether the members can hold LeastCopies replicas of a
+// hasEnoughNodes reports whether the members can hold MinCopies replicas of a
 // regional shard within the placement policy. It is true for other shards.
 func (s *Service) hasEnoughNodes(id ledger.ShardID, members []membership.Member) bool {
-	return !id.Regional() || s.options.placementPolicy().replicaCount(sitesFor(members)) >= s.options.LeastCopies
+	return !id.Regional() || s.options.placementPolicy().replicaCount(sitesFor(members)) >= s.options.MinCopies
 }
 
 // misplaced reports whether membership has a node in a region that may not hold its
@@ -140,34 +140,34 @@
 	return found && s.service.Region(s.id) != "" && !s.service.mayHold(s.id, m.Region)
 }
 
-// Placed describes a shard's replicas with regard to one node, as its leader sees
+// Placement describes a shard's replicas with regard to one node, as its leader sees
 // them.
-type Placed struct {
+type Placement struct {
 	// Holds reports whether the node has a replica in any state.
 	Holds bool
-	// Sound is the number of healthy voters on other nodes.
-	Sound int
+	// HealthyVoters is the number of healthy voters on other nodes.
+	HealthyVoters int
 }
 
-// AskPlaced asks a shard's leader whether a node holds a replica and how many other
+// QueryPlacement asks a shard's leader whether a node holds a replica and how many other
 // healthy voters there are.
-func (s *Service) AskPlaced(ctx context.Context, id ledger.ShardID, node string) (Placed, error) {
+func (s *Service) QueryPlacement(ctx context.Context, id ledger.ShardID, node string) (Placement, error) {
 	leader, known := s.Leader(id)
 	if !known {
-		return Placed{}, trace.Wrap(ledger.ErrUnavailable, "no leader of shard %s is known", s.objectName(id))
+		return Placement{}, trace.Wrap(ledger.ErrUnavailable, "no leader of shard %s is known", s.objectName(id))
 	}
 	encoded, err := s.options.Sender.Call(ctx, leader, kindPlaced, encode(placedRequest{Shard: id}, []byte(node)))
 	if err != nil {
-		return Placed{}, trace.Wrap(err, "query peer %s for the placement of shard %s", leader, s.objectName(id))
+		return Placement{}, trace.Wrap(err, "query peer %s for the placement of shard %s", leader, s.objectName(id))
 	}
 	var answer placedResponse
 	if _, err := decode(encoded, &answer, 0); err != nil {
-		return Placed{}, trace.Wrap(err, "query peer %s for the placement of shard %s", leader, s.objectName(id))
+		return Placement{}, trace.Wrap(err, "query peer %s for the placement of shard %s", leader, s.objectName(id))
 	}
-	return Placed{Holds: answer.Holds, Sound: int(answer.HealthyVoters)}, nil
+	return Placement{Holds: answer.Holds, HealthyVoters: int(answer.HealthyVoters)}, nil
 }
 
-// handlePlaced serves AskPlaced after this replica confirmed its leadership.
+// handlePlaced serves QueryPlacement after this replica confirmed its leadership.
 func (s *Service) handlePlaced(ctx context.Context, from transport.Address, payload []byte) ([]byte, error) {
 	var request placedRequest
 	fields, err := decode(payload, &request, 1)
@@ -203,12 +203,14 @@
 	return len(s.core.Status().Configuration.Voters)
 }
 
-// Enough reports whether a region has enough data nodes for its shard.
-func (s *Service) Enough(id ledger.ShardID) bool {
+// HasEnoughNodes reports whether a region has enough data nodes for its shard.
+func (s *Service) HasEnoughNodes(id ledger.ShardID) bool {
 	members := dataMembers(s.options.Members.View(), s.self())
 	return s.exists(id) && s.hasEnoughNodes(id, s.eligibleMembers(id, members))
 }
 
-// Led reports whether this node knows of a leader, past or present, of a regional
+// HasHadLeader reports whether this node knows of a leader, past or present, of a regional
 // shard.
-func (s *Service) Led(id ledger.ShardID) bool { return slices.Contains(s.directory.regional(), id) }
+func (s *Service) HasHadLeader(id ledger.ShardID) bool {
+	return slices.Contains(s.directory.regional(), id)
+}
--- a/internal/ledger/replica/regions_test.go
+++ b/internal/ledger/replica/regions_test.go
@@ -22,7 +22,7 @@
 // newRegionalCluster starts data nodes n0, n1, ... in the zones, each named by the first
 // letter of its region and a number.
 func newRegionalCluster(t *testing.T, options Options, zones ...string) *cluster {
-	options.Regions, options.LeastCopies, options.ReplaceLeaving = []string{"north", "south"}, 3, true
+	options.Regions, options.MinCopies, options.ReplaceLeaving = []string{"north", "south"}, 3, true
 	c := newCluster(t, options)
 	c.addAll(zones...)
 	return c
@@ -31,7 +31,7 @@
 func (c *cluster) requestRegions(regions ...string) {
 	for _, n := range c.nodes {
 		if n.service != nil {
-			n.service.Need(regions)
+			n.service.RequestShards(regions)
 		}
 	}
 }
@@ -108,7 +108,7 @@
 	return nodes
 }
 
-// Guards against a regional shard with fewer than LeastCopies replicas.
+// Guards against a regional shard with fewer than MinCopies replicas.
 func TestRegionWithTooFewDataNodesGetsNoShard(t *testing.T) {
 	c := newRegionalCluster(t, Options{}, "n1", "n1", "s1", "s1", "s2")
 	c.waitForReplicas(0, 3)
@@ -153,16 +153,16 @@
 	leaving := c.nodes[c.regionReplicas(north)[0]]
 	requester := c.nodes["n4"]
 	// The requester learns the region's leader shortly after the shard is ready.
-	c.g.Eventually(func() (Placed, error) {
-		return requester.service.AskPlaced(t.Context(), north, leaving.name)
-	}).Should(gomega.Equal(Placed{Holds: true, Sound: 2}))
+	c.g.Eventually(func() (Placement, error) {
+		return requester.service.QueryPlacement(t.Context(), north, leaving.name)
+	}).Should(gomega.Equal(Placement{Holds: true, HealthyVoters: 2}))
 	m := memberSource{c.list, leaving.name}.Self()
 	m.State = membership.StateLeaving
 	c.list.set(m)
-	c.g.Eventually(func() Placed {
-		placed, _ := requester.service.AskPlaced(t.Context(), north, leaving.name)
-		return placed
-	}).Should(gomega.Equal(Placed{Sound: 3}))
+	c.g.Eventually(func() Placement {
+		placement, _ := requester.service.QueryPlacement(t.Context(), north, leaving.name)
+		return placement
+	}).Should(gomega.Equal(Placement{HealthyVoters: 3}))
 	c.g.Eventually(func() []string { return c.regionReplicas(north) }).Should(gomega.HaveLen(3))
 	c.g.Expect(c.zonesHolding(north)).To(gomega.HaveEach(gomega.HavePrefix("n")))
 }
@@ -228,11 +228,11 @@
 }
 
 // Guards against plans that put a replica outside the region or keep fewer than
-// LeastCopies replicas.
+// MinCopies replicas.
 func TestPlansStayWithinRegion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		least := rapid.SampledFrom([]int{3, 5}).Draw(t, "least")
-		s := &Service{options: Options{Copies: 5, LeastCopies: least, ZoneLosses: rapid.IntRange(0, 1).Draw(t, "zone losses"), Regions: []string{"north", "south"}}, regions: regionsByShard([]string{"north", "south"})}
+		s := &Service{options: Options{Copies: 5, MinCopies: least, ZoneLosses: rapid.IntRange(0, 1).Draw(t, "zone losses"), Regions: []string{"north", "south"}}, regions: regionsByShard([]string{"north", "south"})}
 		var members []membership.Member
 		for i := range rapid.IntRange(1, 14).Draw(t, "nodes") {
 			region := rapid.SampledFrom([]string{"north", "south", ""}).Draw(t, "region")
@@ -252,7 +252,7 @@
 			return
 		}
 		chosen := placeShards(1, sitesFor(inRegion), s.options.placementPolicy())[0]
-		if len(chosen) < s.options.LeastCopies {
+		if len(chosen) < s.options.MinCopies {
 			t.Fatalf("%d replicas on %d nodes", len(chosen), len(inRegion))
 		}
 		var held []member
@@ -269,7 +269,7 @@
 				t.Fatalf("candidate %s of region %q", at.node, regionOf(at.node))
 			}
 		}
-		if len(plan.wanted) < s.options.LeastCopies {
+		if len(plan.wanted) < s.options.MinCopies {
 			t.Fatalf("plan keeps %d of %d replicas", len(plan.wanted), len(held))
 		}
 	})
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -387,7 +387,7 @@
 	return transitions
 }
 
-// FateOf returns the outcome of a failed attempt.
-func FateOf(attempt *Attempt, failure *engine.Error, timedOut bool) Outcome {
+// FailureOutcome returns the outcome of a failed attempt.
+func FailureOutcome(attempt *Attempt, failure *engine.Error, timedOut bool) Outcome {
 	return Outcome{Attempt: attempt, Kind: OutcomeFailed, Fate: failure.Fate, Status: failure.Status, RetryAfter: failure.RetryAfter, TimedOut: timedOut}
 }
--- a/internal/settings/tree/bench_test.go
+++ b/internal/settings/tree/bench_test.go
@@ -36,7 +36,7 @@
 	live := benchmarkLive()
 	keys := make([]apikey.Hash, 4096)
 	for i := range keys {
-		keys[i] = apikey.Of(fmt.Sprintf("fleet/team-%03d/tenant-%05d", i*11%500, i*11))
+		keys[i] = apikey.HashKey(fmt.Sprintf("fleet/team-%03d/tenant-%05d", i*11%500, i*11))
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
--- a/internal/settings/tree/check.go
+++ b/internal/settings/tree/check.go
@@ -90,6 +90,6 @@
 	if strings.HasPrefix(key, keyPrefix) {
 		return strings.ToLower(key)
 	}
-	hash := apikey.Of(key)
+	hash := apikey.HashKey(key)
 	return keyPrefix + hex.EncodeToString(hash[:])
 }
--- a/internal/settings/tree/tree_test.go
+++ b/internal/settings/tree/tree_test.go
@@ -55,7 +55,7 @@
 	objects := objectsOf(t, parse(t, sampleFile))
 	snapshot, problems := Resolve(objects, 4)
 	g.Expect(problems).To(gomega.BeEmpty())
-	tenant, ok := snapshot.TenantByKey(apikey.Of("secret"))
+	tenant, ok := snapshot.TenantByKey(apikey.HashKey("secret"))
 	g.Expect(ok).To(gomega.BeTrue())
 	g.Expect(tenant.Name).To(gomega.Equal("clerks"))
 	g.Expect([]any{tenant.RequestsPerSecond, tenant.Burst, tenant.Priority, tenant.BatchWeight}).
@@ -119,10 +119,10 @@
 		whole.Apply(uint64(i), []Update{{Path: node.Path, Node: node}})
 	}
 	g.Expect(whole.Problems()).To(gomega.HaveLen(1))
-	tenant, _ := whole.Snapshot().TenantByKey(apikey.Of("secret"))
+	tenant, _ := whole.Snapshot().TenantByKey(apikey.HashKey("secret"))
 	g.Expect(tenant.Name).To(gomega.Equal("aaa"))
 	snapshot := whole.Apply(9, []Update{{Path: "fleet/hall/aaa"}})
-	tenant, _ = snapshot.TenantByKey(apikey.Of("secret"))
+	tenant, _ = snapshot.TenantByKey(apikey.HashKey("secret"))
 	g.Expect(tenant.Name).To(gomega.Equal("clerks"))
 	g.Expect(whole.Problems()).To(gomega.BeEmpty())
 }
@@ -152,7 +152,7 @@
 		g := gomega.NewWithT(t)
 		live, err := LoadFolder("../../../examples/" + folder + "/settings")
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		_, ok := live.Current().TenantByKey(apikey.Of(key))
+		_, ok := live.Current().TenantByKey(apikey.HashKey(key))
 		g.Expect(ok).To(gomega.BeTrue())
 		g.Expect(live.Current().Models()).To(gomega.HaveLen(1))
 	}
--- a/internal/system/catalogtracker.go
+++ b/internal/system/catalogtracker.go
@@ -46,14 +46,14 @@
 	dirty map[string]bool
 
 	// The fields up to awaitingPoisonSince belong to the goroutine of followChanges.
-	// listedEngines are the engines at enginesRevision, without the lapsed ones.
+	// listedEngines are the engines at enginesRevision, without the expired ones.
 	roster          *catalog.Roster
 	listedEngines   []catalog.Engine
 	enginesRevision uint64
 	invalidEntries  invalidEntryLog
-	lapses          *catalog.ExpiryTracker
+	expiryTracker   *catalog.ExpiryTracker
 	nextRefresh     time.Time
-	warmth          *catalog.ColdTracker
+	coldTracker     *catalog.ColdTracker
 	// poisonLoaded reports whether the poison records are known; nil if they need not be.
 	poisonLoaded func() bool
 	// awaitingPoisonSince is when a configuration first waited for the poison records.
@@ -75,7 +75,7 @@
 
 func newCatalogTracker(adapter *Adapter, settings *config.Node) *catalogTracker {
 	t := &catalogTracker{adapter: adapter, settings: settings, changes: make(chan struct{}, 1),
-		roster: catalog.NewRoster(), lapses: catalog.NewExpiryTracker(), warmth: catalog.NewColdTracker()}
+		roster: catalog.NewRoster(), expiryTracker: catalog.NewExpiryTracker(), coldTracker: catalog.NewColdTracker()}
 	t.dirty = map[string]bool{adapter.ConfigurationKind: true, adapter.EnginesKind: true}
 	t.snapshot.Store(catalog.NewSnapshot(nil, nil))
 	return t
@@ -172,7 +172,7 @@
 	}
 	drained := t.readDrains()
 	var engines []catalog.Engine
-	engines, t.nextRefresh = t.lapses.Update(t.listedEngines, drained, clock.Now())
+	engines, t.nextRefresh = t.expiryTracker.Update(t.listedEngines, drained, clock.Now())
 	if !t.awaitingPoisonSince.IsZero() && configuration == nil {
 		t.refreshBy(t.awaitingPoisonSince.Add(maxPoisonWait))
 	}
--- a/internal/system/core.go
+++ b/internal/system/core.go
@@ -171,9 +171,9 @@
 	return replica.Options{
 		Sender: c.peers, Receiver: c.peers, Members: view, Store: c.adapter.Ledger, Registry: c.registry,
 		Shards: globalShards, Copies: c.settings.Ledger.Replicas(), ZoneLosses: c.settings.Ledger.ZoneLosses,
-		Regions: c.regionNames(), LeastCopies: 2*c.settings.Ledger.Losses + 1, ReplaceAfter: replaceAfter, BootstrapWait: bootstrapWait,
+		Regions: c.regionNames(), MinCopies: 2*c.settings.Ledger.Losses + 1, ReplaceAfter: replaceAfter, BootstrapWait: bootstrapWait,
 		RepairInterval: repairInterval, DirectoryInterval: directoryInterval, ReplaceLeaving: true,
-		DiskBytes: disk.size, RetainBytes: disk.retain, Reserve: disk.reserve, LowSpaceThreshold: disk.scarce,
+		DiskBytes: disk.size, RetainBytes: disk.retain, Reserve: disk.reserve, LowSpaceThreshold: disk.lowSpaceThreshold,
 	}
 }
 
--- a/internal/system/data.go
+++ b/internal/system/data.go
@@ -58,12 +58,12 @@
 		return nil, err
 	}
 	d.executor = batchwork.NewExecutor(batchwork.ExecutorOptions{
-		Pool: d.pool, Usable: d.catalog.usableForBatch, EngineID: d.catalog.engineID, Knows: d.catalog.enginesKnown, Permitted: d.permitted, Sender: d.peers, Receiver: d.peers,
+		Pool: d.pool, Usable: d.catalog.usableForBatch, EngineID: d.catalog.engineID, Ready: d.catalog.enginesKnown, Permitted: d.permitted, Sender: d.peers, Receiver: d.peers,
 		Guard: d.guard,
 	})
 	for _, region := range d.regionNames() {
 		port := d.shardPorts.For(ledger.RegionShard(region))
-		d.executor.Also(port, port)
+		d.executor.AddShard(port, port)
 	}
 	d.runner = d.openShardWork(0)
 	d.registerGauges(map[string]gauge{
--- a/internal/system/diskbudget.go
+++ b/internal/system/diskbudget.go
@@ -9,23 +9,23 @@
 	// reserve is the free space below which no write is accepted, so that the
 	// store can still compact.
 	reserve uint64
-	// scarce is the free space below which no new job is accepted, so that
+	// lowSpaceThreshold is the free space below which no new job is accepted, so that
 	// accepted jobs can be completed.
-	scarce uint64
+	lowSpaceThreshold uint64
 }
 
 const (
-	maxRetain  = 8 << 20
-	maxReserve = 24 << 20
-	maxScarce  = 96 << 20
+	maxRetain            = 8 << 20
+	maxReserve           = 24 << 20
+	maxLowSpaceThreshold = 96 << 20
 )
 
 // newDiskBudget returns the budget for a disk of a size; 0 stands for a large disk.
 func newDiskBudget(size uint64) diskBudget {
 	if size == 0 {
-		return diskBudget{retain: maxRetain, reserve: maxReserve, scarce: maxScarce}
+		return diskBudget{retain: maxRetain, reserve: maxReserve, lowSpaceThreshold: maxLowSpaceThreshold}
 	}
 	return diskBudget{
-		size: size, retain: min(size/32, maxRetain), reserve: min(size/8, maxReserve), scarce: min(size*3/10, maxScarce),
+		size: size, retain: min(size/32, maxRetain), reserve: min(size/8, maxReserve), lowSpaceThreshold: min(size*3/10, maxLowSpaceThreshold),
 	}
 }
--- a/internal/system/diskbudget_test.go
+++ b/internal/system/diskbudget_test.go
@@ -14,7 +14,7 @@
 		writeAhead := 5 * min(max(size/64, 1<<20), 4<<20)
 		reserved := 2*budget.retain + writeAhead + budget.reserve
 		g.Expect(reserved).To(gomega.BeNumerically("<", size*4/10), "%d bytes", size)
-		g.Expect(budget.scarce).To(gomega.BeNumerically(">", budget.reserve))
+		g.Expect(budget.lowSpaceThreshold).To(gomega.BeNumerically(">", budget.reserve))
 	}
 	g.Expect(newDiskBudget(0).reserve).To(gomega.BeEquivalentTo(maxReserve))
 }
--- a/internal/system/drains_test.go
+++ b/internal/system/drains_test.go
@@ -121,7 +121,7 @@
 }
 
 // Guards against requests to engines of a drained zone whose entries expired.
-func TestLapsedEnginesOfDrainedZoneNotUsable(t *testing.T) {
+func TestExpiredEnginesOfDrainedZoneNotUsable(t *testing.T) {
 	g := gomega.NewWithT(t)
 	objects := fakeMirror{"engines": {"a", "b", "c"}, "drains": nil}
 	f := newTestTracker(objects, time.Second)
--- a/internal/system/evacuation.go
+++ b/internal/system/evacuation.go
@@ -73,15 +73,15 @@
 	ctx, cancel := context.WithTimeout(ctx, evacuationTimeout)
 	defer cancel()
 	for _, shard := range d.ledger.Regional() {
-		if !d.ledger.Enough(shard) && !d.ledger.Led(shard) {
+		if !d.ledger.HasEnoughNodes(shard) && !d.ledger.HasHadLeader(shard) {
 			continue // the shard does not exist yet
 		}
-		placed, err := d.ledger.AskPlaced(ctx, shard, node)
+		placement, err := d.ledger.QueryPlacement(ctx, shard, node)
 		if err != nil {
 			eventEvacuationUnknown.Error(err, "node", node, "region", d.ledger.Region(shard))
 			return false
 		}
-		if placed.Holds || placed.Sound < 2*d.settings.Ledger.Losses+1 {
+		if placement.Holds || placement.HealthyVoters < 2*d.settings.Ledger.Losses+1 {
 			return false
 		}
 	}
--- a/internal/system/front.go
+++ b/internal/system/front.go
@@ -85,7 +85,7 @@
 			Refresh: f.refreshLoad, Chosen: f.reportEngineChosen, Guard: f.guard,
 		},
 		Jobs: batchwork.NewCaller(batchwork.CallerOptions{
-			Directory: f.ledger, Sender: f.peers, Near: f.nearReplica, Within: f.jobPlacement, LiesWithin: f.inShardRegion,
+			Directory: f.ledger, Sender: f.peers, Near: f.nearReplica, RegionPolicy: f.jobRegionPolicy, InRegion: f.inShardRegion,
 		}),
 	}
 	f.callers = &http.Server{
--- a/internal/system/regions.go
+++ b/internal/system/regions.go
@@ -58,27 +58,27 @@
 	}
 }
 
-// jobPlacement returns where a batch job may be stored by the current configuration.
-func (f *front) jobPlacement(job *batchwork.Job) batchwork.Within {
+// jobRegionPolicy returns where a batch job may be stored by the current configuration.
+func (f *front) jobRegionPolicy(job *batchwork.Job) batchwork.RegionPolicy {
 	configuration := f.catalog.Snapshot().Configuration
-	placement := batchwork.Within{Regions: job.Regions, Version: configuration.Version}
+	policy := batchwork.RegionPolicy{Regions: job.Regions, Version: configuration.Version}
 	if route := configuration.Route(job.Route); route != nil {
-		placement.Regions = configuration.CurrentRegions(route, job.Tenant, job.Regions)
+		policy.Regions = configuration.CurrentRegions(route, job.Tenant, job.Regions)
 	}
 	var best uint64
-	for _, region := range placement.Regions {
+	for _, region := range policy.Regions {
 		// A shard that has been placed counts even while its region is short of data nodes.
-		if shard := ledger.RegionShard(region); !f.ledger.Led(shard) && !f.ledger.Enough(shard) {
+		if shard := ledger.RegionShard(region); !f.ledger.HasHadLeader(shard) && !f.ledger.HasEnoughNodes(shard) {
 			continue
 		}
 		// All jobs of a queue (route and tenant) go to one shard, as the limit on waiting
 		// tokens is enforced per shard.
 		score := membership.RendezvousScore(job.Route+"\x00"+job.Tenant, region)
-		if placement.Preferred == "" || score > best {
-			placement.Preferred, best = region, score
+		if policy.Preferred == "" || score > best {
+			policy.Preferred, best = region, score
 		}
 	}
-	return placement
+	return policy
 }
 
 // inShardRegion reports whether the data node at an address is in the region of a shard.
--- a/internal/system/shardwork.go
+++ b/internal/system/shardwork.go
@@ -100,9 +100,9 @@
 		LocalRuns: d.settings.Batch.LocalRuns, Guard: d.guard,
 	})
 	batchwork.RegisterServer(batchwork.ServerOptions{
-		Shard: local.replica, Machine: machine, Scarce: d.ledger.LowSpace, Receiver: port,
-		Stays:    d.mayStore(d.ledger.Region(shard)),
-		Replicas: func() []transport.Address { return d.ledger.Replicas(shard) },
+		Shard: local.replica, Machine: machine, LowSpace: d.ledger.LowSpace, Receiver: port,
+		Permitted: d.mayStore(d.ledger.Region(shard)),
+		Replicas:  func() []transport.Address { return d.ledger.Replicas(shard) },
 	})
 	d.shardWork.setRunner(shard, runner)
 	return runner
@@ -128,7 +128,7 @@
 		}
 		if changed && len(needed) > 0 {
 			eventRegionsNeeded.Info("regions", needed, "version", lastConfiguration.Version)
-			d.ledger.Need(needed)
+			d.ledger.RequestShards(needed)
 		}
 		if (len(needed) > 0 || d.anyMisplaced()) && (changed || clock.Since(lastCount) >= misplacedCountInterval) {
 			lastCount = clock.Now()
@@ -167,7 +167,7 @@
 func (d *data) yield() {
 	for _, runner := range d.shardWork.runners() {
 		if runner.Leading() {
-			runner.Yield()
+			runner.Preempt()
 		}
 	}
 }
--- a/internal/system/slowstart.go
+++ b/internal/system/slowstart.go
@@ -69,9 +69,9 @@
 		services = configuration.Services
 	}
 	for id, revision := range t.warmReports.take() {
-		t.warmth.EndCold(id, revision)
+		t.coldTracker.EndCold(id, revision)
 	}
-	changes, nextUpdate := t.warmth.Update(engines, services, now)
+	changes, nextUpdate := t.coldTracker.Update(engines, services, now)
 	for _, change := range changes {
 		if change.Cold {
 			eventEngineCold.Info("engine", change.Engine.ID, "service", change.Engine.Service, "zone", change.Engine.Zone,
