--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine is the client side of a model engine: the types and the
-// interface through which the rest of chutelock uses one. The HTTP dialect is
-// an adapter behind Client; another dialect is another adapter.
+// Package engine defines the client interface to inference engines and its
+// request, result and error types. Each engine protocol has its own
+// implementation of Client.
 package engine
 
 import (
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// Priority orders requests inside an engine; a lower value runs earlier, as
-// in the `priority` field of OpenAI-compatible engines.
+// Priority orders requests within an engine; lower values run first, as in the
+// `priority` field of OpenAI-compatible engines.
 type Priority int
 
-// The priority classes in use. A tenant's own priority, 0 to 9, is added.
+// Base priorities, to which the tenant's priority (0 to 9) is added.
 const (
 	PriorityOnline Priority = 0
 	PriorityBatch  Priority = 100
@@ -20,35 +20,34 @@
 
 // Request is one attempt to run a completion on one engine.
 type Request struct {
-	// ID names the caller's request; ID and Attempt together name the attempt
-	// and come back in every chunk, so that answers can be matched.
+	// ID identifies the caller's request. The engine echoes ID and Attempt in
+	// every event, so that a response can be matched to its attempt.
 	ID      string
 	Attempt uint32
 	// Path is "/v1/completions" or "/v1/chat/completions".
 	Path string
-	// Body is the caller's JSON object, without the fields that the adapter adds.
+	// Body is the caller's JSON object, without the fields that Client adds.
 	Body     []byte
 	Model    string
 	Priority Priority
-	// ResumeFrom is the number of output tokens that the caller already has;
-	// the engine continues behind them (its output is a function of the prompt).
+	// ResumeFrom is the number of output tokens that the caller already has. The
+	// engine continues after them; its output is deterministic for a prompt.
 	ResumeFrom int
-	// Tenant is passed for the engine's own logs.
+	// Tenant is passed on for the engine's logs.
 	Tenant string
 }
 
-// Chunk is one server-sent event of a completion, which carries one token.
+// Chunk is one server-sent event of a completion and carries one token.
 type Chunk struct {
-	// Index is the position of the token in the whole output, from 0.
+	// Index is the zero-based position of the token in the whole output.
 	Index int
-	// Data is the JSON of the event as the engine sent it. It is valid only
-	// until the sink returns; Text may be kept.
+	// Data is the event's JSON as the engine sent it, valid only until the sink
+	// returns. Text may be retained.
 	Data []byte
-	// Text is the token's text.
 	Text string
 }
 
-// Finish says how a generation ended.
+// Finish describes how a generation ended and its token usage.
 type Finish struct {
 	// Reason is "stop", "length" or "suspended".
 	Reason           string
@@ -57,28 +56,28 @@
 	CompletionTokens int
 }
 
-// Fate is what is known of an attempt that failed.
+// Fate classifies whether an engine ran a failed attempt.
 type Fate int
 
-// Fates of a failed attempt.
+// Values of Fate.
 const (
-	// FateUnknown: the engine may have run some or all of it.
+	// FateUnknown means that the engine may have run some or all of the request.
 	FateUnknown Fate = iota
-	// FateNotRun: no byte of the request reached an engine, or the engine
-	// itself answered that it refused the request before running any of it.
+	// FateNotRun means that no byte of the request reached an engine, or that the
+	// engine reported rejecting the request before running any of it.
 	FateNotRun
-	// FateFailed: the engine ran it and answered with an error of its own.
+	// FateFailed means that the engine ran the request and reported an error.
 	FateFailed
 )
 
-// Error is a failed attempt. It keeps the fate apart from the message,
-// because "not run" may be said to a caller only when it is true.
+// Error describes a failed attempt. Fate is a separate field because a caller
+// may be told "not run" only if the request certainly did not run.
 type Error struct {
 	Engine string
 	Step   string
 	Fate   Fate
 	Status int
-	// RetryAfter is the engine's own hint, zero when it gave none.
+	// RetryAfter is the delay that the engine suggested, or zero.
 	RetryAfter time.Duration
 	Err        error
 }
@@ -91,10 +90,10 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Load is an engine's own report; it lags behind the truth.
+// Load is a load report from an engine; it may be out of date.
 type Load struct {
-	// At is when the engine measured, by the reader's clock if it was stamped
-	// on receipt.
+	// At is the time of measurement, or of receipt by the reader's clock if the
+	// report has no timestamp.
 	At            time.Time
 	Running       int
 	Waiting       int
@@ -109,10 +108,10 @@
 	FencingToken  uint64
 }
 
-// OrderVerb is what an order asks an engine to do.
+// OrderVerb is the operation that an order requests.
 type OrderVerb string
 
-// Orders.
+// Values of OrderVerb.
 const (
 	OrderLoadModel     OrderVerb = "load_model"
 	OrderUnloadModel   OrderVerb = "unload_model"
@@ -121,8 +120,8 @@
 	OrderSetRole       OrderVerb = "set_role"
 )
 
-// Order is fenced: an engine refuses one whose Token is lower than the
-// highest it has seen.
+// Order is a control command to an engine. The engine rejects an order whose
+// fencing token is lower than the highest it has seen.
 type Order struct {
 	Token   uint64    `json:"token"`
 	Verb    OrderVerb `json:"verb"`
@@ -130,18 +129,18 @@
 	Version string    `json:"version,omitempty"`
 }
 
-// Client talks to one engine. All methods may be called concurrently.
+// Client is a client of one engine. Its methods are safe for concurrent use.
 type Client interface {
-	// Generate runs a request and hands each chunk to sink in order, on the
-	// calling goroutine. Ending ctx or an error from sink cancels the request
-	// at the engine. A failure is an *Error.
+	// Generate runs a request and passes each chunk to sink in order, on the
+	// calling goroutine. Cancelling ctx or returning an error from sink cancels
+	// the request at the engine. Any error returned is an *Error.
 	Generate(ctx context.Context, request Request, sink func(Chunk) error) (Finish, error)
-	// Suspend parks a running stream with its state; Generate returns with
-	// Reason "suspended". A later Generate of the same ID with ResumeFrom
-	// goes on from there, cheaply if the state is still kept.
+	// Suspend stops a running stream and keeps its state at the engine; Generate
+	// returns with Reason "suspended". A later Generate with the same ID and
+	// ResumeFrom set continues it, without recomputation if the state remains.
 	Suspend(ctx context.Context, requestID string) error
-	// Load reads the engine's metrics.
+	// Load returns a load report from the engine's metrics.
 	Load(ctx context.Context) (Load, error)
-	// Order sends a fenced order.
+	// Order sends a control command protected by a fencing token.
 	Order(ctx context.Context, order Order) error
 }
