--- a/internal/engine/openaihttp/client.go
+++ b/internal/engine/openaihttp/client.go
@@ -19,54 +19,54 @@
 	"chutelock.dev/chutelock/internal/engine"
 )
 
-// Errors of Generate, inside an *engine.Error.
+// Errors that Client wraps in an *engine.Error.
 var (
-	// ErrCrossed: the engine answered with another request's events.
+	// ErrCrossed means that the response carries events of another attempt.
 	ErrCrossed = errors.New("openaihttp: answer of another request")
-	// ErrGap: a token is missing.
+	// ErrGap means that a token is missing.
 	ErrGap = errors.New("openaihttp: token missing in the answer")
-	// ErrTruncated: the answer ended before its last event.
+	// ErrTruncated means that the response ended before its final event.
 	ErrTruncated = errors.New("openaihttp: answer truncated")
-	// ErrRefused: the engine answered with an error.
+	// ErrRefused means that the engine responded with an error.
 	ErrRefused = errors.New("openaihttp: refused by the engine")
-	// ErrFenced: an order's token is lower than one that the engine has seen.
-	ErrFenced = errors.New("openaihttp: order fenced off")
+	// ErrFenced means that the engine has seen a higher fencing token.
+	ErrFenced = errors.New("openaihttp: fencing token of the order is outdated")
 )
 
 const (
 	requestIDHeader = "X-Request-Id"
-	// tenantHeader names the tenant for the engine's own logs.
+	// tenantHeader carries the tenant for the engine's logs.
 	tenantHeader = "X-Tenant"
-	// attemptSeparator stands between a request's ID and the attempt's number.
+	// attemptSeparator separates the request ID from the attempt number.
 	attemptSeparator = "#"
 	chatPath         = "/v1/chat/completions"
-	// codeNotRun in an error says that the engine refused before running.
+	// codeNotRun reports that the engine rejected the request before running it.
 	codeNotRun = "not_run"
-	// codeFailed in an error says that the engine ran the request in vain.
+	// codeFailed reports that the engine ran the request and it failed.
 	codeFailed = "failed"
 	codeFenced = "fenced"
 )
 
-// Options tune a Client.
+// Options configures a Client.
 type Options struct {
-	// ConnectTimeout bounds the time to establish a connection.
+	// ConnectTimeout limits connection setup.
 	ConnectTimeout time.Duration
-	// ControlTimeout bounds suspends, orders and reading the load.
+	// ControlTimeout limits each suspend, cancel, order and load request.
 	ControlTimeout time.Duration
-	// Transport is shared by the clients of many engines; nil makes an own one.
+	// Transport may be shared between clients; if nil, New creates one.
 	Transport *http.Transport
 }
 
-// Defaults of Options.
+// Default values of Options.
 const (
 	DefaultConnectTimeout = time.Second
 	DefaultControlTimeout = 2 * time.Second
 )
 
-// maxIdlePerEngine bounds the idle connections kept to one engine.
+// maxIdlePerEngine limits the idle connections per engine.
 const maxIdlePerEngine = 256
 
-// NewTransport returns a transport fit for streams to many engines.
+// NewTransport returns a transport for streaming from many engines.
 func NewTransport(connectTimeout time.Duration) *http.Transport {
 	if connectTimeout <= 0 {
 		connectTimeout = DefaultConnectTimeout
@@ -79,18 +79,18 @@
 	}
 }
 
-// Client speaks to one engine.
+// Client implements engine.Client over HTTP.
 type Client struct {
 	name    string
-	base    string
+	baseURL string
 	streams *http.Client
 	control *resty.Client
 }
 
 var _ engine.Client = (*Client)(nil)
 
-// New returns a client of the engine at address, an IP number with a port. The
-// name stands in errors.
+// New returns a client of the engine at address, an IP address with a port. Its
+// errors include name.
 func New(name, address string, options Options) *Client {
 	if options.ControlTimeout <= 0 {
 		options.ControlTimeout = DefaultControlTimeout
@@ -105,20 +105,20 @@
 		SetTimeout(options.ControlTimeout)
 	return &Client{
 		name:    name,
-		base:    base,
+		baseURL: base,
 		streams: &http.Client{Transport: transport},
 		control: control,
 	}
 }
 
-func (c *Client) fail(step string, fate engine.Fate, err error) *engine.Error {
+func (c *Client) newError(step string, fate engine.Fate, err error) *engine.Error {
 	return &engine.Error{Engine: c.name, Step: step, Fate: fate, Err: err}
 }
 
 // Generate implements engine.Client.
 func (c *Client) Generate(ctx context.Context, request engine.Request, sink func(engine.Chunk) error) (engine.Finish, error) {
-	// Cancelling on return closes the stream, which cancels the request at the
-	// engine unless it is over.
+	// Cancelling on return closes the stream, so that the engine cancels an
+	// unfinished request.
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	response, err := c.send(ctx, request)
@@ -127,22 +127,22 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return engine.Finish{}, c.refusal("generate", response)
+		return engine.Finish{}, c.responseError("generate", response)
 	}
-	relay := newRelay(request, sink)
-	defer relay.release()
-	finish, err := relay.run(response.Body)
+	stream := newStreamReader(request, sink)
+	defer stream.release()
+	finish, err := stream.run(response.Body)
 	if err == nil {
 		return finish, nil
 	}
 	if ctx.Err() != nil {
 		err = ctx.Err()
 	}
-	return engine.Finish{}, c.fail("read the answer", engine.FateUnknown, err)
+	return engine.Finish{}, c.newError("read the answer", engine.FateUnknown, err)
 }
 
-// send posts the request; its fate is "not run" only if no connection to the
-// engine came about, so that no byte can have been sent.
+// send posts the request. A failure is FateNotRun only if no connection to the
+// engine was established, so that no byte can have been sent.
 func (c *Client) send(ctx context.Context, request engine.Request) (*http.Response, error) {
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -150,11 +150,11 @@
 	})
 	body, err := Body(request)
 	if err != nil {
-		return nil, c.fail("encode", engine.FateNotRun, err)
+		return nil, c.newError("encode", engine.FateNotRun, err)
 	}
-	outgoing, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+request.Path, bytes.NewReader(body))
+	outgoing, err := http.NewRequestWithContext(ctx, http.MethodPost, c.baseURL+request.Path, bytes.NewReader(body))
 	if err != nil {
-		return nil, c.fail("encode", engine.FateNotRun, err)
+		return nil, c.newError("encode", engine.FateNotRun, err)
 	}
 	outgoing.Header.Set("Content-Type", "application/json")
 	outgoing.Header.Set(requestIDHeader, AttemptID(request.ID, request.Attempt))
@@ -166,21 +166,20 @@
 		return response, nil
 	}
 	if !connected.Load() {
-		return nil, c.fail("connect", engine.FateNotRun, err)
+		return nil, c.newError("connect", engine.FateNotRun, err)
 	}
-	return nil, c.fail("send", engine.FateUnknown, err)
+	return nil, c.newError("send", engine.FateUnknown, err)
 }
 
-// AttemptID is how an attempt is named towards the engine.
+// AttemptID returns the ID that identifies an attempt to the engine.
 func AttemptID(requestID string, attempt uint32) string {
 	return requestID + attemptSeparator + strconv.FormatUint(uint64(attempt), 10)
 }
 
-// errNotAnObject is returned for a body that can't be extended.
 var errNotAnObject = errors.New("openaihttp: the body is not a JSON object")
 
-// Body returns the caller's JSON object with the adapter's fields behind its
-// own, where they override fields of the same name.
+// Body returns the caller's JSON object with the client's fields appended,
+// where they override fields of the same name.
 func Body(request engine.Request) ([]byte, error) {
 	object := bytes.TrimSpace(request.Body)
 	if len(object) < 2 || object[0] != '{' || object[len(object)-1] != '}' {
@@ -210,12 +209,12 @@
 	return append(body, '}'), nil
 }
 
-// maxErrorBody bounds what is read of an engine's error, in bytes.
+// maxErrorBody is the maximum size of an engine's error body, in bytes.
 const maxErrorBody = 64 << 10
 
-// refusal turns an engine's error answer into an error with its fate: "not
-// run" and "failed" only if the engine says so itself.
-func (c *Client) refusal(step string, response *http.Response) error {
+// responseError converts an engine's error response. The result is FateNotRun or
+// FateFailed only if the engine reports so.
+func (c *Client) responseError(step string, response *http.Response) error {
 	var answer struct {
 		Error struct {
 			Message string `json:"message"`
@@ -233,7 +232,7 @@
 			fate = engine.FateFailed
 		}
 	}
-	failure := c.fail(step, fate, fmt.Errorf("%w: %s: %s (%s)", ErrRefused, response.Status, answer.Error.Message, answer.Error.Type))
+	failure := c.newError(step, fate, fmt.Errorf("%w: %s: %s (%s)", ErrRefused, response.Status, answer.Error.Message, answer.Error.Type))
 	failure.Status = response.StatusCode
 	if seconds, err := strconv.Atoi(response.Header.Get("Retry-After")); err == nil {
 		failure.RetryAfter = time.Duration(seconds) * time.Second
@@ -247,15 +246,15 @@
 	return c.checkControl("suspend", response, err)
 }
 
-// Cancel ends a request at the engine and drops its suspended state, if there
-// is any. A running Generate is cancelled by its context; this is for requests
-// that were suspended and will not go on here.
+// Cancel cancels a request at the engine and discards its suspended state. It is
+// for suspended requests that won't resume at this engine; a running Generate is
+// cancelled by its context.
 func (c *Client) Cancel(ctx context.Context, requestID string) error {
 	response, err := c.control.R().SetContext(ctx).Post("/v1/requests/" + url.PathEscape(requestID) + "/cancel")
 	return c.checkControl("cancel", response, err)
 }
 
-// Order implements engine.Client; a fenced order fails with ErrFenced.
+// Order implements engine.Client; an outdated fencing token gives ErrFenced.
 func (c *Client) Order(ctx context.Context, order engine.Order) error {
 	response, err := c.control.R().SetContext(ctx).SetBody(order).Post("/v1/orders")
 	return c.checkControl("order "+string(order.Verb), response, err)
@@ -263,7 +262,7 @@
 
 func (c *Client) checkControl(step string, response *resty.Response, err error) error {
 	if err != nil {
-		return c.fail(step, engine.FateUnknown, trace.Wrap(err))
+		return c.newError(step, engine.FateUnknown, trace.Wrap(err))
 	}
 	if response.IsSuccess() {
 		return nil
@@ -272,7 +271,7 @@
 	if response.StatusCode() == http.StatusConflict && bytes.Contains(response.Body(), []byte(codeFenced)) {
 		cause = ErrFenced
 	}
-	failure := c.fail(step, engine.FateUnknown, fmt.Errorf("%w: %s", cause, response.Status()))
+	failure := c.newError(step, engine.FateUnknown, fmt.Errorf("%w: %s", cause, response.Status()))
 	failure.Status = response.StatusCode()
 	return failure
 }
--- a/internal/engine/openaihttp/client_test.go
+++ b/internal/engine/openaihttp/client_test.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	patience       = 10 * time.Second
+	waitTimeout    = 10 * time.Second
 	completionPath = "/v1/completions"
 	chatPath       = "/v1/chat/completions"
 )
@@ -42,7 +42,7 @@
 	return truth.ExpectedText(standintest.Model, prompt, maxTokens)
 }
 
-// collect runs a request and joins the text of its chunks.
+// collect runs a request and returns the concatenated text of its chunks.
 func collect(ctx context.Context, client engine.Client, request engine.Request) (string, engine.Finish, error) {
 	var text strings.Builder
 	finish, err := client.Generate(ctx, request, func(chunk engine.Chunk) error {
@@ -91,9 +91,9 @@
 	}
 }
 
-// TestFates: "not run" is said only when it is true, judged by the engine's
-// own log; everything else is unknown.
-func TestFates(t *testing.T) {
+// Guards against reporting FateNotRun for an attempt that the engine's log shows
+// as run.
+func TestGenerateErrorFate(t *testing.T) {
 	for name, tested := range map[string]struct {
 		fault  *fault.Fault
 		change func(*engine.Request)
@@ -125,7 +125,7 @@
 			if tested.change != nil {
 				tested.change(&request)
 			}
-			limit := patience
+			limit := waitTimeout
 			if tested.cause == context.DeadlineExceeded {
 				limit = time.Second
 			}
@@ -138,7 +138,7 @@
 			}
 			ran := func() bool { return truth.Runs(running.Truth(), "a") > 0 }
 			if tested.ran {
-				g.Eventually(ran, patience).Should(gomega.BeTrue())
+				g.Eventually(ran, waitTimeout).Should(gomega.BeTrue())
 			} else {
 				g.Expect(ran()).To(gomega.BeFalse())
 			}
@@ -146,7 +146,7 @@
 	}
 }
 
-func TestNoConnectionMeansNotRun(t *testing.T) {
+func TestGenerateReportsNotRunWithoutConnection(t *testing.T) {
 	g := gomega.NewWithT(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -161,7 +161,7 @@
 	g.Expect(err).To(gomega.MatchError(context.Canceled))
 }
 
-func TestDownMeansNotRun(t *testing.T) {
+func TestGenerateReportsNotRunWhileEngineIsDown(t *testing.T) {
 	g := gomega.NewWithT(t)
 	running := standintest.Engine(t, nil)
 	client := openaihttp.New("e", running.Address, openaihttp.Options{})
@@ -171,12 +171,12 @@
 	g.Eventually(func() error {
 		_, _, err := collect(t.Context(), client, completion("b", "prompt", 3))
 		return err
-	}, patience).Should(gomega.Succeed())
+	}, waitTimeout).Should(gomega.Succeed())
 	g.Expect(truth.Runs(running.Truth(), "a")).To(gomega.BeZero())
 }
 
-// TestPauseInsideAnAnswer: a stream that stands still for a while goes on.
-func TestPauseInsideAnAnswer(t *testing.T) {
+// Guards against failing a stream that pauses between tokens.
+func TestGenerateContinuesAfterPause(t *testing.T) {
 	g := gomega.NewWithT(t)
 	running := standintest.Engine(t, nil)
 	client := openaihttp.New("e", running.Address, openaihttp.Options{})
@@ -198,7 +198,7 @@
 	g.Expect(longest).To(gomega.BeNumerically(">", pause/2))
 }
 
-func TestLateAndDuplicateAnswersAreRight(t *testing.T) {
+func TestGenerateWithLateAndDuplicateEvents(t *testing.T) {
 	g := gomega.NewWithT(t)
 	running := standintest.Engine(t, nil)
 	client := openaihttp.New("e", running.Address, openaihttp.Options{})
@@ -209,9 +209,8 @@
 	g.Expect(finish.CompletionTokens).To(gomega.Equal(12))
 }
 
-// TestConnectionsAreUsedAgain: an answer that was read to its end gives its
-// connection back.
-func TestConnectionsAreUsedAgain(t *testing.T) {
+// Guards against a new connection for each request.
+func TestGenerateReusesConnection(t *testing.T) {
 	g := gomega.NewWithT(t)
 	running := standintest.Engine(t, nil)
 	transport := openaihttp.NewTransport(0)
@@ -229,7 +228,8 @@
 	g.Expect(dials).To(gomega.Equal(1))
 }
 
-// TestSuspendAndResume parks a stream and goes on with it, here or elsewhere.
+// Guards against lost or recomputed tokens when a suspended stream resumes at the
+// same engine (here) or another one (elsewhere).
 func TestSuspendAndResume(t *testing.T) {
 	const maxTokens = 1000
 	first := standintest.Engine(t, nil)
@@ -258,8 +258,8 @@
 			g.Expect(tokens).To(gomega.BeNumerically("<", maxTokens))
 
 			suspended := func() int { return metric(first, "engine_requests_suspended") }
-			g.Eventually(suspended, patience).Should(gomega.Equal(1), "the state is kept")
-			made := metric(resumeAt, "engine_output_tokens_total")
+			g.Eventually(suspended, waitTimeout).Should(gomega.Equal(1), "the suspended state is kept")
+			tokensBefore := metric(resumeAt, "engine_output_tokens_total")
 
 			request.Attempt++
 			request.ResumeFrom = tokens
@@ -271,18 +271,18 @@
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			g.Expect(finish.Reason).To(gomega.Equal("length"))
 			g.Expect(text.String()).To(gomega.Equal(expected("prompt", maxTokens)))
-			g.Expect(client.Suspend(t.Context(), request.ID)).NotTo(gomega.Succeed(), "nothing runs any more")
-			madeSince := func() int { return metric(resumeAt, "engine_output_tokens_total") - made }
-			g.Eventually(madeSince, patience).Should(gomega.Equal(maxTokens-request.ResumeFrom), "no token is made again")
+			g.Expect(client.Suspend(t.Context(), request.ID)).NotTo(gomega.Succeed(), "the request has ended")
+			newTokens := func() int { return metric(resumeAt, "engine_output_tokens_total") - tokensBefore }
+			g.Eventually(newTokens, waitTimeout).Should(gomega.Equal(maxTokens-request.ResumeFrom), "no token is generated twice")
 			if resumeAt != first {
-				g.Expect(client.Cancel(t.Context(), request.ID)).To(gomega.Succeed(), "drops the kept state")
+				g.Expect(client.Cancel(t.Context(), request.ID)).To(gomega.Succeed(), "discards the suspended state")
 			}
-			g.Eventually(suspended, patience).Should(gomega.Equal(0))
+			g.Eventually(suspended, waitTimeout).Should(gomega.Equal(0))
 		})
 	}
 }
 
-// metric reads a metric without labels.
+// metric returns the value of a metric without labels, or -1.
 func metric(running *standintest.Standin, name string) int {
 	for line := range strings.Lines(string(running.Call("GET", "/metrics"))) {
 		if value, found := strings.CutPrefix(line, name+" "); found {
@@ -293,11 +293,11 @@
 	return -1
 }
 
-func TestLeavingCancelsAtTheEngine(t *testing.T) {
-	errLeft := errors.New("left")
-	for name, leave := range map[string]func(cancel func()) error{
+func TestGenerateCancelsAtEngine(t *testing.T) {
+	errStopped := errors.New("sink stopped")
+	for name, stop := range map[string]func(cancel func()) error{
 		"context":    func(cancel func()) error { cancel(); return nil },
-		"sink error": func(func()) error { return errLeft },
+		"sink error": func(func()) error { return errStopped },
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
@@ -305,17 +305,17 @@
 			client := openaihttp.New("e", running.Address, openaihttp.Options{})
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			_, err := client.Generate(ctx, completion("a", "prompt", 3000), func(engine.Chunk) error { return leave(cancel) })
-			g.Expect(err).To(gomega.Or(gomega.MatchError(errLeft), gomega.MatchError(context.Canceled)))
+			_, err := client.Generate(ctx, completion("a", "prompt", 3000), func(engine.Chunk) error { return stop(cancel) })
+			g.Expect(err).To(gomega.Or(gomega.MatchError(errStopped), gomega.MatchError(context.Canceled)))
 			g.Expect(fateOf(err)).To(gomega.Equal(engine.FateUnknown))
-			g.Eventually(func() []truth.Attempt { return truth.Attempts(running.Truth()) }, patience).
+			g.Eventually(func() []truth.Attempt { return truth.Attempts(running.Truth()) }, waitTimeout).
 				Should(gomega.ContainElement(gomega.HaveField("Cause", truth.CauseDisconnected)))
 			g.Expect(truth.Attempts(running.Truth())[0].Tokens).To(gomega.BeNumerically("<", 3000))
 		})
 	}
 }
 
-func TestLoadReport(t *testing.T) {
+func TestLoadReadsReport(t *testing.T) {
 	g := gomega.NewWithT(t)
 	running := standintest.Engine(t, func(config *standin.Config) {
 		config.Adapters = []string{"tuned"}
@@ -334,24 +334,24 @@
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		return load
 	}
-	g.Eventually(func() int { return load().Waiting }, patience).Should(gomega.Equal(2))
-	told := load()
-	g.Expect(told.Running).To(gomega.Equal(1))
-	g.Expect(told.RunningBatch + told.WaitingBatch).To(gomega.Equal(2))
-	g.Expect(told.KVUse).To(gomega.BeNumerically(">", 0))
-	g.Expect(told.StepTime).To(gomega.BeNumerically(">=", time.Millisecond))
-	g.Expect(told.Models).To(gomega.Equal([]string{standintest.Model}))
-	g.Expect(told.Adapters).To(gomega.Equal([]string{"tuned"}))
-	g.Expect(told.Draining).To(gomega.BeFalse())
+	g.Eventually(func() int { return load().Waiting }, waitTimeout).Should(gomega.Equal(2))
+	report := load()
+	g.Expect(report.Running).To(gomega.Equal(1))
+	g.Expect(report.RunningBatch + report.WaitingBatch).To(gomega.Equal(2))
+	g.Expect(report.KVUse).To(gomega.BeNumerically(">", 0))
+	g.Expect(report.StepTime).To(gomega.BeNumerically(">=", time.Millisecond))
+	g.Expect(report.Models).To(gomega.Equal([]string{standintest.Model}))
+	g.Expect(report.Adapters).To(gomega.Equal([]string{"tuned"}))
+	g.Expect(report.Draining).To(gomega.BeFalse())
 
 	running.Inject(fault.Fault{Kind: fault.ReportLag, Latency: fault.Duration(time.Hour)})
 	running.Post("/control/drain", nil)
-	g.Consistently(func() bool { return load().Draining }, "50ms").Should(gomega.BeFalse(), "the report lags")
+	g.Consistently(func() bool { return load().Draining }, "50ms").Should(gomega.BeFalse(), "the report is delayed")
 	running.Delete("/control/faults")
-	g.Eventually(func() bool { return load().Draining }, patience).Should(gomega.BeTrue())
+	g.Eventually(func() bool { return load().Draining }, waitTimeout).Should(gomega.BeTrue())
 }
 
-func TestOrdersAreFenced(t *testing.T) {
+func TestOrderRejectsOutdatedToken(t *testing.T) {
 	g := gomega.NewWithT(t)
 	ctx := t.Context()
 	running := standintest.Engine(t, func(config *standin.Config) { config.LoadTime = 100 * time.Millisecond })
@@ -364,21 +364,21 @@
 	g.Expect(client.Order(ctx, engine.Order{Token: 7, Verb: engine.OrderLoadModel, Target: "new"})).To(gomega.Succeed())
 	g.Expect(client.Order(ctx, engine.Order{Token: 6, Verb: engine.OrderUnloadModel, Target: standintest.Model})).
 		To(gomega.MatchError(openaihttp.ErrFenced))
-	g.Eventually(models, patience).Should(gomega.Equal([]string{standintest.Model, "new"}))
+	g.Eventually(models, waitTimeout).Should(gomega.Equal([]string{standintest.Model, "new"}))
 	g.Expect(client.Order(ctx, engine.Order{Token: 8, Verb: engine.OrderLoadModel, Target: "newer"})).To(gomega.Succeed())
 	g.Expect(client.Order(ctx, engine.Order{Token: 8, Verb: engine.OrderUnloadModel, Target: "newer"})).To(gomega.Succeed())
 	g.Expect(client.Order(ctx, engine.Order{Token: 8, Verb: engine.OrderUnloadModel, Target: "new"})).To(gomega.Succeed())
 	g.Expect(client.Order(ctx, engine.Order{Token: 9, Verb: "dance", Target: "x"})).To(gomega.MatchError(openaihttp.ErrRefused))
-	g.Eventually(models, patience).Should(gomega.Equal([]string{standintest.Model}))
-	g.Consistently(models, "150ms").Should(gomega.Equal([]string{standintest.Model}), "a load that was overtaken stays void")
+	g.Eventually(models, waitTimeout).Should(gomega.Equal([]string{standintest.Model}))
+	g.Consistently(models, "150ms").Should(gomega.Equal([]string{standintest.Model}), "a load cancelled by a later unload must not finish")
 	load, err := client.Load(ctx)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(load.FencingToken).To(gomega.BeEquivalentTo(8))
 }
 
-// TestOnlineTakesKVFromBatch: with KV memory full of batch work, an online
-// request preempts it, and the batch requests still get all their tokens.
-func TestOnlineTakesKVFromBatch(t *testing.T) {
+// Guards against an online request waiting for KV memory held by batch requests,
+// and against preempted batch requests losing tokens.
+func TestOnlineRequestPreemptsBatch(t *testing.T) {
 	g := gomega.NewWithT(t)
 	running := standintest.Engine(t, func(config *standin.Config) {
 		config.Scheduler = scheduler.Config{MaxRunning: 8, BlockTokens: 4, Blocks: 32, StepBase: 5 * time.Millisecond}
@@ -401,7 +401,7 @@
 		load, err := client.Load(t.Context())
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		return load.KVUse
-	}, patience, "1ms").Should(gomega.BeNumerically(">", 0.8))
+	}, waitTimeout, "1ms").Should(gomega.BeNumerically(">", 0.8))
 	text, _, err := collect(t.Context(), client, completion("online", "online prompt", 40))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(text).To(gomega.Equal(expected("online prompt", 40)))
--- a/internal/engine/openaihttp/dial.go
+++ b/internal/engine/openaihttp/dial.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// keepAlive is the period of TCP keep-alive probes towards engines.
+// keepAlive is the interval of TCP keep-alive probes to engines.
 const keepAlive = 15 * time.Second
 
 func dialer(timeout time.Duration) func(context.Context, string, string) (net.Conn, error) {
--- a/internal/engine/openaihttp/doc.go
+++ b/internal/engine/openaihttp/doc.go
@@ -1,16 +1,16 @@
-// Package openaihttp is the engine.Client for engines that speak the OpenAI
+// Package openaihttp implements engine.Client for engines that serve the OpenAI
 // HTTP API with the extensions of docs/operating/stand-ins.md: `priority` and
-// `resume_from` in the body, the attempt in X-Request-Id and back in `id`, and
+// `resume_from` in the body, the attempt ID in X-Request-Id, echoed in `id`, and
 // `token_index` in each event.
 //
-// Every attempt is streamed. Token events go to the sink as the engine sent
-// them; the last event, which carries the finish reason and the usage but no
-// token, goes into engine.Finish instead, and a caller's own last event is the
-// gateway's to write. Finish.CompletionTokens counts the whole output, the part
-// before ResumeFrom included.
+// Every attempt is streamed. The sink receives token events as the engine sent
+// them. The final event, which carries the finish reason and the usage but no
+// token, is returned as engine.Finish; the gateway writes the caller's final
+// event. Finish.CompletionTokens counts the whole output, including the tokens
+// before ResumeFrom.
 //
-// An answer is checked while it passes: an event of another attempt fails with
-// ErrCrossed, a missing token with ErrGap, an end without the last event with
-// ErrTruncated; an event that comes twice is dropped. Such failures leave the
-// fate unknown.
+// The response is checked as it is read: an event of another attempt fails with
+// ErrCrossed, a missing token with ErrGap, and an end without the final event
+// with ErrTruncated. Duplicate events are dropped. All of these errors have
+// engine.FateUnknown.
 package openaihttp
--- a/internal/engine/openaihttp/load.go
+++ b/internal/engine/openaihttp/load.go
@@ -12,7 +12,7 @@
 	"chutelock.dev/chutelock/internal/engine"
 )
 
-// Names of the metrics that make up a load report.
+// Metrics and labels that a load report is read from.
 const (
 	metricRunning      = "engine_requests_running"
 	metricWaiting      = "engine_requests_waiting"
@@ -28,25 +28,24 @@
 	labelName          = "name"
 )
 
-// Load implements engine.Client. At is the time of receipt: the report itself
-// doesn't tell how much it lags.
+// Load implements engine.Client. At is the time of receipt, because the report
+// has no timestamp.
 func (c *Client) Load(ctx context.Context) (engine.Load, error) {
-	// A compressed report is less than half as long, and a home reads one a
-	// second from each of its engines.
+	// Reports are polled frequently, and compression at least halves their size.
 	response, err := c.control.R().SetContext(ctx).SetHeader("Accept-Encoding", "gzip").Get("/metrics")
 	if err := c.checkControl("load", response, err); err != nil {
 		return engine.Load{}, err
 	}
 	load, err := ParseLoad(response.Body())
 	if err != nil {
-		return engine.Load{}, c.fail("load", engine.FateUnknown, err)
+		return engine.Load{}, c.newError("load", engine.FateUnknown, err)
 	}
 	load.At = time.Now()
 	return load, nil
 }
 
-// ParseLoad reads a load report in Prometheus' text format. Metrics that are
-// missing or unknown are left out.
+// ParseLoad parses a load report in the Prometheus text format. Missing metrics
+// give zero values and unknown ones are ignored.
 func ParseLoad(text []byte) (engine.Load, error) {
 	parser := expfmt.NewTextParser(model.UTF8Validation)
 	families, err := parser.TextToMetricFamilies(bytes.NewReader(text))
@@ -54,46 +53,46 @@
 		return engine.Load{}, err
 	}
 	var load engine.Load
-	load.Running, load.RunningBatch = countClasses(families[metricRunning])
-	load.Waiting, load.WaitingBatch = countClasses(families[metricWaiting])
-	load.KVUse = value(families[metricKVUse])
-	load.StepTime = time.Duration(value(families[metricStepSeconds]) * float64(time.Second))
-	load.TokensPerStep = value(families[metricStepTokens])
-	load.Draining = value(families[metricDraining]) != 0
-	load.FencingToken = uint64(value(families[metricFencingToken]))
-	load.Models = names(families[metricModel])
-	load.Adapters = names(families[metricAdapter])
+	load.Running, load.RunningBatch = sumByClass(families[metricRunning])
+	load.Waiting, load.WaitingBatch = sumByClass(families[metricWaiting])
+	load.KVUse = gaugeValue(families[metricKVUse])
+	load.StepTime = time.Duration(gaugeValue(families[metricStepSeconds]) * float64(time.Second))
+	load.TokensPerStep = gaugeValue(families[metricStepTokens])
+	load.Draining = gaugeValue(families[metricDraining]) != 0
+	load.FencingToken = uint64(gaugeValue(families[metricFencingToken]))
+	load.Models = nameLabels(families[metricModel])
+	load.Adapters = nameLabels(families[metricAdapter])
 	return load, nil
 }
 
-// countClasses sums over all classes and tells the part of batch.
-func countClasses(family *dto.MetricFamily) (all, batch int) {
+// sumByClass returns the sum over all classes and that of the batch class.
+func sumByClass(family *dto.MetricFamily) (all, batch int) {
 	for _, metric := range family.GetMetric() {
 		count := int(metric.GetGauge().GetValue())
 		all += count
-		if label(metric, labelClass) == classBatch {
+		if labelValue(metric, labelClass) == classBatch {
 			batch += count
 		}
 	}
 	return all, batch
 }
 
-func value(family *dto.MetricFamily) float64 {
+func gaugeValue(family *dto.MetricFamily) float64 {
 	for _, metric := range family.GetMetric() {
 		return metric.GetGauge().GetValue()
 	}
 	return 0
 }
 
-func names(family *dto.MetricFamily) []string {
+func nameLabels(family *dto.MetricFamily) []string {
 	var listed []string
 	for _, metric := range family.GetMetric() {
-		listed = append(listed, label(metric, labelName))
+		listed = append(listed, labelValue(metric, labelName))
 	}
 	return listed
 }
 
-func label(metric *dto.Metric, name string) string {
+func labelValue(metric *dto.Metric, name string) string {
 	for _, pair := range metric.GetLabel() {
 		if pair.GetName() == name {
 			return pair.GetValue()
--- a/internal/engine/openaihttp/stream.go
+++ b/internal/engine/openaihttp/stream.go
@@ -12,56 +12,56 @@
 	"chutelock.dev/chutelock/internal/engine"
 )
 
-// readBuffer is the size of the buffer between the connection and the scan.
+// readBuffer is the size of the read buffer for a response, in bytes.
 const readBuffer = 4 << 10
 
-var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBuffer) }}
+var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBuffer) }}
 
-// relay reads one answer and hands its token events on.
-type relay struct {
-	sink   func(engine.Chunk) error
-	reader *bufio.Reader
-	long   []byte // a line longer than the read buffer
+// streamReader reads one streamed response and passes its tokens to sink.
+type streamReader struct {
+	sink     func(engine.Chunk) error
+	reader   *bufio.Reader
+	longLine []byte // holds a line longer than the read buffer
 
 	id string
-	// start is how each token event of this answer begins.
-	start    []byte
-	textMark []byte
-	next     int // index of the next token
-	finish   engine.Finish
-	finished bool
+	// tokenPrefix starts each token event that has the usual field order.
+	tokenPrefix []byte
+	textPrefix  []byte
+	nextIndex   int // index of the next token
+	finish      engine.Finish
+	finished    bool
 }
 
-func newRelay(request engine.Request, sink func(engine.Chunk) error) *relay {
-	created := &relay{sink: sink, next: request.ResumeFrom}
-	created.id = "cmpl-" + AttemptID(request.ID, request.Attempt)
-	created.textMark = []byte(`"text":"`)
+func newStreamReader(request engine.Request, sink func(engine.Chunk) error) *streamReader {
+	reader := &streamReader{sink: sink, nextIndex: request.ResumeFrom}
+	reader.id = "cmpl-" + AttemptID(request.ID, request.Attempt)
+	reader.textPrefix = []byte(`"text":"`)
 	if request.Path == chatPath {
-		created.id = "chat" + created.id
-		created.textMark = []byte(`"delta":{"content":"`)
+		reader.id = "chat" + reader.id
+		reader.textPrefix = []byte(`"delta":{"content":"`)
 	}
-	quoted, _ := json.Marshal(created.id)
-	created.start = append(append([]byte(`{"id":`), quoted...), `,"token_index":`...)
-	created.reader = readers.Get().(*bufio.Reader)
-	return created
+	quoted, _ := json.Marshal(reader.id)
+	reader.tokenPrefix = append(append([]byte(`{"id":`), quoted...), `,"token_index":`...)
+	reader.reader = readerPool.Get().(*bufio.Reader)
+	return reader
 }
 
-func (r *relay) release() {
+func (r *streamReader) release() {
 	r.reader.Reset(nil)
-	readers.Put(r.reader)
+	readerPool.Put(r.reader)
 }
 
 var (
-	dataPrefix = []byte("data: ")
-	doneData   = []byte("[DONE]")
-	tokenEnd   = []byte(`"finish_reason":null}]}`)
+	dataPrefix  = []byte("data: ")
+	doneData    = []byte("[DONE]")
+	tokenSuffix = []byte(`"finish_reason":null}]}`)
 )
 
-// run reads to the end of the answer.
-func (r *relay) run(body io.Reader) (engine.Finish, error) {
+// run reads the response to its end.
+func (r *streamReader) run(body io.Reader) (engine.Finish, error) {
 	r.reader.Reset(body)
 	for {
-		line, err := r.line()
+		line, err := r.readLine()
 		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 			return engine.Finish{}, ErrTruncated
 		}
@@ -79,14 +79,14 @@
 			r.drain()
 			return r.finish, nil
 		}
-		if err := r.event(data); err != nil {
+		if err := r.handleEvent(data); err != nil {
 			return engine.Finish{}, err
 		}
 	}
 }
 
-// drain reads on to the end, so that the connection can be used again.
-func (r *relay) drain() {
+// drain reads to the end of the response, so that its connection can be reused.
+func (r *streamReader) drain() {
 	for {
 		if _, err := r.reader.ReadSlice('\n'); err != nil && !errors.Is(err, bufio.ErrBufferFull) {
 			return
@@ -94,16 +94,16 @@
 	}
 }
 
-// line returns the next line without its end; it is valid until the next call.
-func (r *relay) line() ([]byte, error) {
+// readLine returns the next line without its line ending, valid until the next call.
+func (r *streamReader) readLine() ([]byte, error) {
 	line, err := r.reader.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		r.long = append(r.long[:0], line...)
+		r.longLine = append(r.longLine[:0], line...)
 		for errors.Is(err, bufio.ErrBufferFull) {
 			line, err = r.reader.ReadSlice('\n')
-			r.long = append(r.long, line...)
+			r.longLine = append(r.longLine, line...)
 		}
-		line = r.long
+		line = r.longLine
 	}
 	if err != nil {
 		return nil, err
@@ -111,21 +111,21 @@
 	return bytes.TrimRight(line, "\r\n"), nil
 }
 
-// event takes one event; the usual token event is scanned, not decoded.
-func (r *relay) event(data []byte) error {
+// handleEvent processes one event, avoiding a JSON decode for usual token events.
+func (r *streamReader) handleEvent(data []byte) error {
 	if index, text, ok := r.scan(data); ok {
-		return r.token(index, text, data)
+		return r.deliver(index, text, data)
 	}
 	return r.decode(data)
 }
 
-// scan finds index and text in an event with the usual order of fields. It
-// fails on anything unusual, an escape in the text included.
-func (r *relay) scan(data []byte) (int, []byte, bool) {
-	if !bytes.HasPrefix(data, r.start) || !bytes.HasSuffix(data, tokenEnd) {
+// scan extracts index and text from a token event with the usual field order. It
+// reports false for any other event, including one with an escape in its text.
+func (r *streamReader) scan(data []byte) (int, []byte, bool) {
+	if !bytes.HasPrefix(data, r.tokenPrefix) || !bytes.HasSuffix(data, tokenSuffix) {
 		return 0, nil, false
 	}
-	rest := data[len(r.start):]
+	rest := data[len(r.tokenPrefix):]
 	index, digits := 0, 0
 	for digits < len(rest) && digits < maxIndexDigits && rest[digits] >= '0' && rest[digits] <= '9' {
 		index = index*10 + int(rest[digits]-'0')
@@ -134,11 +134,11 @@
 	if digits == 0 || digits == len(rest) || rest[digits] != ',' {
 		return 0, nil, false
 	}
-	position := bytes.Index(rest, r.textMark)
+	position := bytes.Index(rest, r.textPrefix)
 	if position < 0 {
 		return 0, nil, false
 	}
-	text := rest[position+len(r.textMark):]
+	text := rest[position+len(r.textPrefix):]
 	end := bytes.IndexByte(text, '"')
 	if end < 0 || bytes.IndexByte(text[:end], '\\') >= 0 {
 		return 0, nil, false
@@ -146,22 +146,22 @@
 	return index, text[:end], true
 }
 
-// maxIndexDigits keeps a scanned index within an int.
+// maxIndexDigits prevents overflow of a scanned index.
 const maxIndexDigits = 9
 
-// token hands a token on if it is the next one.
-func (r *relay) token(index int, text, data []byte) error {
-	if index < r.next {
-		return nil // sent twice
+// deliver passes a token to the sink if it is the next one.
+func (r *streamReader) deliver(index int, text, data []byte) error {
+	if index < r.nextIndex {
+		return nil // duplicate
 	}
-	if index > r.next {
-		return fmt.Errorf("%w: got token %d, want %d", ErrGap, index, r.next)
+	if index > r.nextIndex {
+		return fmt.Errorf("%w: got token %d, want %d", ErrGap, index, r.nextIndex)
 	}
-	r.next++
+	r.nextIndex++
 	return r.sink(engine.Chunk{Index: index, Data: data, Text: string(text)})
 }
 
-// streamEvent is an event in full.
+// streamEvent is the JSON form of an event.
 type streamEvent struct {
 	ID         string `json:"id"`
 	TokenIndex *int   `json:"token_index"`
@@ -184,9 +184,9 @@
 	} `json:"error"`
 }
 
-// decode takes an event in full. An event without token_index is the next
-// token, so that an engine without that extension is served too.
-func (r *relay) decode(data []byte) error {
+// decode processes an event by decoding its JSON. An event without token_index
+// is taken as the next token, for engines without that extension.
+func (r *streamReader) decode(data []byte) error {
 	var event streamEvent
 	if err := json.Unmarshal(data, &event); err != nil {
 		return fmt.Errorf("openaihttp: event: %w", err)
@@ -208,19 +208,19 @@
 	choice := event.Choices[0]
 	text := choice.Text + choice.Delta.Content
 	if text != "" {
-		index := r.next
+		index := r.nextIndex
 		if event.TokenIndex != nil {
 			index = *event.TokenIndex
 		}
-		if err := r.token(index, []byte(text), data); err != nil {
+		if err := r.deliver(index, []byte(text), data); err != nil {
 			return err
 		}
 	}
 	if choice.FinishReason == nil {
 		return nil
 	}
-	if text == "" && event.TokenIndex != nil && *event.TokenIndex != r.next {
-		return fmt.Errorf("%w: the output ends at %d, got %d", ErrGap, *event.TokenIndex, r.next)
+	if text == "" && event.TokenIndex != nil && *event.TokenIndex != r.nextIndex {
+		return fmt.Errorf("%w: the output ends at %d, got %d", ErrGap, *event.TokenIndex, r.nextIndex)
 	}
 	r.finished = true
 	r.finish.Reason = *choice.FinishReason
