--- a/internal/gateway/apierror/apierror.go
+++ b/internal/gateway/apierror/apierror.go
@@ -1,5 +1,5 @@
-// Package apierror gives the errors that callers see: OpenAI-shaped JSON with
-// a code that says what is known of the request.
+// Package apierror defines the error responses of the API: JSON in OpenAI's
+// format with a code that tells whether the request may have run.
 package apierror
 
 import (
@@ -12,28 +12,29 @@
 	"time"
 )
 
-// Headers that chutelock adds to answers.
+// Headers of responses.
 const (
-	// HeaderRequestID carries the request's id on every answer.
+	// HeaderRequestID carries the request ID in every response.
 	HeaderRequestID = "Chutelock-Request-Id"
-	// HeaderShouldRetry tells OpenAI's clients whether to resend by themselves.
+	// HeaderShouldRetry tells OpenAI clients whether to retry automatically.
 	HeaderShouldRetry = "X-Should-Retry"
 )
 
-// Code is the machine-readable kind of an error.
+// Code is a machine-readable error code.
 type Code string
 
-// Codes of errors.
+// Values of Code.
 const (
-	// CodeNotRun is said only when no engine saw the request.
+	// CodeNotRun means that no engine ran any of the request.
 	CodeNotRun Code = "not_run"
-	// CodeOutcomeUnknown: an engine may have run some or all of the request.
+	// CodeOutcomeUnknown means that an engine may have run some or all of the request.
 	CodeOutcomeUnknown Code = "outcome_unknown"
-	// CodeEngineFailed: an engine ran the request and answered with an error.
+	// CodeEngineFailed means that an engine ran the request and returned an error.
 	CodeEngineFailed Code = "engine_failed"
-	// CodeStreamBroken: a stream could not be finished after its first token.
+	// CodeStreamBroken means that a stream failed after its first token.
 	CodeStreamBroken Code = "stream_broken"
-	// CodeDeadlineExceeded: the request's time passed after an engine saw it.
+	// CodeDeadlineExceeded means that the deadline passed after an engine may have
+	// run some of the request.
 	CodeDeadlineExceeded Code = "deadline_exceeded"
 
 	CodeInvalidAPIKey    Code = "invalid_api_key"
@@ -49,10 +50,10 @@
 	CodeUnsupportedMedia Code = "unsupported_media_type"
 )
 
-// Type is OpenAI's coarse class of an error.
+// Type is OpenAI's error type, which is coarser than Code.
 type Type string
 
-// Types of errors.
+// Values of Type.
 const (
 	TypeInvalidRequest Type = "invalid_request_error"
 	TypeAuthentication Type = "authentication_error"
@@ -60,19 +61,19 @@
 	TypeServer         Type = "server_error"
 )
 
-// Error is an error as callers see it. It is immutable once made.
+// Error is an error response. It must not be modified once it is in use.
 type Error struct {
 	Status  int
 	Code    Code
 	Type    Type
 	Message string
-	// Param names the field or line at fault; empty when none is.
+	// Param names the invalid field or line, if any.
 	Param string
-	// RetryAfter tells when to come back; zero when it makes no sense.
+	// RetryAfter is the suggested delay before a retry; zero omits it.
 	RetryAfter time.Duration
-	// NoRetry tells clients not to resend by themselves.
+	// NoRetry tells clients not to retry automatically.
 	NoRetry bool
-	// Cause is logged, never shown to callers.
+	// Cause is logged and never sent to callers.
 	Cause error
 }
 
@@ -87,53 +88,54 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// Invalid says that a field (or line) of the caller's input is wrong.
+// Invalid returns the error for an invalid field or line of the input.
 func Invalid(param, format string, arguments ...any) *Error {
 	return &Error{Status: http.StatusBadRequest, Code: CodeInvalidValue, Type: TypeInvalidRequest, Param: param, Message: fmt.Sprintf(format, arguments...)}
 }
 
-// InvalidJSON says that the caller's body is not the JSON that was expected.
+// InvalidJSON returns the error for a body that is not the expected JSON.
 func InvalidJSON(param, format string, arguments ...any) *Error {
 	return &Error{Status: http.StatusBadRequest, Code: CodeInvalidJSON, Type: TypeInvalidRequest, Param: param, Message: fmt.Sprintf(format, arguments...)}
 }
 
-// InvalidKey says that the request carries no key or one that names no tenant.
+// InvalidKey returns the error for a missing or unknown API key.
 func InvalidKey(message string) *Error {
 	return &Error{Status: http.StatusUnauthorized, Code: CodeInvalidAPIKey, Type: TypeAuthentication, Message: message}
 }
 
-// ModelNotFound says that the tenant can't use such a model.
+// ModelNotFound returns the error for a model that is unknown or not allowed for
+// the tenant.
 func ModelNotFound(model string) *Error {
 	return &Error{Status: http.StatusNotFound, Code: CodeModelNotFound, Type: TypeInvalidRequest, Param: "model", Message: fmt.Sprintf("the model %q does not exist or you may not use it", model)}
 }
 
-// NotFound says that there is no such resource.
+// NotFound returns the error for a resource that does not exist.
 func NotFound(format string, arguments ...any) *Error {
 	return &Error{Status: http.StatusNotFound, Code: CodeNotFound, Type: TypeInvalidRequest, Message: fmt.Sprintf(format, arguments...)}
 }
 
-// MethodNotAllowed says that the path exists for another method.
+// MethodNotAllowed returns the error for a path that needs another method.
 func MethodNotAllowed(method, allowed string) *Error {
 	return &Error{Status: http.StatusMethodNotAllowed, Code: CodeMethodNotAllowed, Type: TypeInvalidRequest, Message: fmt.Sprintf("%s is not allowed here, use %s", method, allowed)}
 }
 
-// Conflict says that the request contradicts an earlier one.
+// Conflict returns the error for a request that conflicts with an earlier one.
 func Conflict(param, format string, arguments ...any) *Error {
 	return &Error{Status: http.StatusConflict, Code: CodeConflict, Type: TypeInvalidRequest, Param: param, Message: fmt.Sprintf(format, arguments...), NoRetry: true}
 }
 
-// BodyTooLarge says that the body is over the limit, in bytes.
+// BodyTooLarge returns the error for a body larger than limit bytes.
 func BodyTooLarge(limit int64) *Error {
 	return &Error{Status: http.StatusRequestEntityTooLarge, Code: CodeBodyTooLarge, Type: TypeInvalidRequest, Message: fmt.Sprintf("the body is larger than %d bytes", limit)}
 }
 
-// BodyTimeout says that the body did not arrive in time.
+// BodyTimeout returns the error for a body that did not arrive within limit.
 func BodyTimeout(limit time.Duration) *Error {
 	return &Error{Status: http.StatusRequestTimeout, Code: CodeBodyTimeout, Type: TypeInvalidRequest, Message: fmt.Sprintf("the body did not arrive within %s", limit), NoRetry: true}
 }
 
-// NotRun says that no engine saw the request and when to come back. Status is
-// 429 for a limit of the caller's own and 503 for everything else.
+// NotRun returns the error for a request that no engine ran, with a retry delay
+// of at least a millisecond. Status is 429 for a tenant's limit, otherwise 503.
 func NotRun(status int, retryAfter time.Duration, format string, arguments ...any) *Error {
 	kind := TypeServer
 	if status == http.StatusTooManyRequests {
@@ -142,38 +144,40 @@
 	return &Error{Status: status, Code: CodeNotRun, Type: kind, RetryAfter: max(retryAfter, time.Millisecond), Message: fmt.Sprintf(format, arguments...)}
 }
 
-// OutcomeUnknown says that an engine may have run some or all of the request,
-// which is not resent because the caller marked it as not repeatable.
+// OutcomeUnknown returns the error for a request that an engine may have run in
+// part or in full. Clients are told not to retry it.
 func OutcomeUnknown(cause error) *Error {
 	return &Error{Status: http.StatusBadGateway, Code: CodeOutcomeUnknown, Type: TypeServer, Message: "the request was sent to an engine and its outcome is not known", NoRetry: true, Cause: cause}
 }
 
-// EngineFailed says that an engine ran the request and answered with an error
-// or that every attempt allowed has failed.
+// EngineFailed returns the error for a request that an engine ran and answered
+// with an error.
 func EngineFailed(cause error) *Error {
 	return &Error{Status: http.StatusBadGateway, Code: CodeEngineFailed, Type: TypeServer, Message: "an engine ran the request and failed", Cause: cause}
 }
 
-// StreamBroken says that a stream could not be finished.
+// StreamBroken returns the error for a stream that failed after its first token.
 func StreamBroken(cause error) *Error {
 	return &Error{Status: http.StatusBadGateway, Code: CodeStreamBroken, Type: TypeServer, Message: "the stream broke off and could not be finished; what was sent before is not the whole answer", Cause: cause}
 }
 
-// DeadlineExceeded says that the request's time passed after an engine saw it.
+// DeadlineExceeded returns the error for a request whose deadline passed after an
+// engine may have run some of it.
 func DeadlineExceeded(cause error) *Error {
 	return &Error{Status: http.StatusGatewayTimeout, Code: CodeDeadlineExceeded, Type: TypeServer, Message: "the request's time passed; an engine may have run some of it", NoRetry: true, Cause: cause}
 }
 
-// From returns the *Error in err's chain, or an internal error that hides it.
+// From returns the *Error in err's chain, or else an internal error that hides err
+// from the caller.
 func From(err error) *Error {
-	var shown *Error
-	if errors.As(err, &shown) {
-		return shown
+	var apiError *Error
+	if errors.As(err, &apiError) {
+		return apiError
 	}
 	return &Error{Status: http.StatusInternalServerError, Code: CodeOutcomeUnknown, Type: TypeServer, Message: "an internal error occurred", NoRetry: true, Cause: err}
 }
 
-type detail struct {
+type errorDetail struct {
 	Message   string  `json:"message"`
 	Type      Type    `json:"type"`
 	Param     *string `json:"param"`
@@ -181,25 +185,25 @@
 	RequestID string  `json:"request_id,omitempty"`
 }
 
-type body struct {
-	Error detail `json:"error"`
+type errorBody struct {
+	Error errorDetail `json:"error"`
 }
 
-// JSON returns the OpenAI-shaped body of the error.
+// JSON returns the response body in OpenAI's format.
 func (e *Error) JSON(requestID string) []byte {
-	shown := detail{Message: e.Message, Type: e.Type, Code: e.Code, RequestID: requestID}
+	detail := errorDetail{Message: e.Message, Type: e.Type, Code: e.Code, RequestID: requestID}
 	if e.Param != "" {
-		shown.Param = &e.Param
+		detail.Param = &e.Param
 	}
-	out, err := json.Marshal(body{Error: shown})
-	if err != nil { // only strings inside, so it can't fail
+	out, err := json.Marshal(errorBody{Error: detail})
+	if err != nil { // unreachable: the body has only strings
 		panic(err)
 	}
 	return out
 }
 
-// Write answers a request with the error. It takes the request id from the
-// answer's HeaderRequestID, which the caller of Write has set before.
+// Write writes the error response. The header HeaderRequestID must be set in w; its
+// value is repeated in the body.
 func Write(w http.ResponseWriter, e *Error) {
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
--- a/internal/gateway/apierror/apierror_test.go
+++ b/internal/gateway/apierror/apierror_test.go
@@ -11,7 +11,7 @@
 	"github.com/onsi/gomega"
 )
 
-func TestWriteShowsCodeAndWhenToComeBack(t *testing.T) {
+func TestWriteSetsBodyAndRetryHeaders(t *testing.T) {
 	for name, test := range map[string]struct {
 		err        *Error
 		status     int
