--- a/internal/gateway/relay/budget.go
+++ b/internal/gateway/relay/budget.go
@@ -2,17 +2,16 @@
 
 import "sync"
 
-// DefaultReserve is the number of retries that a quiet service may spend at
-// once.
+// DefaultReserve is the default maximum number of saved retries.
 const DefaultReserve = 10
 
-// Budget bounds retries to a share of requests. The zero value allows none.
-// All calls of a service share one, from any goroutine; its lock is the
-// innermost.
+// Budget limits retries to a ratio of requests. The zero value allows none. It is
+// shared by all calls of a service and safe for concurrent use; no other lock is
+// acquired while its lock is held.
 type Budget struct {
 	mutex    sync.Mutex
 	ratio    float64 // retries earned by each request
-	reserve  float64 // bounds what is saved up
+	reserve  float64 // maximum balance
 	balance  float64
 	requests uint64
 	retries  uint64
@@ -24,14 +23,14 @@
 	return &Budget{ratio: ratio, reserve: reserve, balance: reserve}
 }
 
-// SetRatio changes the retries earned by each request from now on.
+// SetRatio sets the retries earned by each later request.
 func (b *Budget) SetRatio(ratio float64) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.ratio = ratio
 }
 
-// Earn counts a new request.
+// Earn counts a new request and credits its retries.
 func (b *Budget) Earn() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -39,8 +38,8 @@
 	b.balance = min(b.reserve, b.balance+b.ratio)
 }
 
-// Spend takes one retry out of the budget if there is one; a ratio of 0 allows
-// none, whatever was saved up.
+// Spend takes one retry from the balance and reports whether there was one. With a
+// ratio of 0 it always reports false.
 func (b *Budget) Spend() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -53,7 +52,7 @@
 	return true
 }
 
-// Amplification is attempts divided by requests.
+// Amplification returns the number of attempts per request.
 func (b *Budget) Amplification() float64 {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/gateway/relay/call.go
+++ b/internal/gateway/relay/call.go
@@ -10,18 +10,17 @@
 	"chutelock.dev/chutelock/internal/gateway/apierror"
 )
 
-// Limits of a call.
 const (
-	// MaxAttempts bounds the attempts of one call.
+	// MaxAttempts is the maximum number of attempts of one call.
 	MaxAttempts = 4
-	// retryAfterNoEngine is when to come back if the engines gave no hint.
+	// retryAfterNoEngine is the retry delay if no engine suggested one.
 	retryAfterNoEngine = time.Second
 )
 
-// ErrStale is returned to an attempt whose chunks are no longer wanted.
+// ErrStale means that an attempt must stop because it ended or isn't the owner.
 var ErrStale = errors.New("relay: the attempt no longer owns the call")
 
-// GapError says that an engine skipped tokens.
+// GapError reports that an engine skipped tokens.
 type GapError struct {
 	Attempt uint32
 	Want    int
@@ -33,53 +32,52 @@
 	return fmt.Sprintf("relay: attempt %d sent token %d, want %d", e.Attempt, e.Got, e.Want)
 }
 
-// Call is one caller's request over all its attempts.
+// Call is the state of one caller's request across its attempts.
 type Call struct {
 	repeatable bool
 	deadline   time.Time // zero means none
 	budget     *Budget
 
 	attempts  uint32
-	live      map[uint32]int // resume point of each live attempt
-	owner     uint32         // 0 while no attempt brought a token
-	delivered int            // tokens that the caller has
+	live      map[uint32]int // first token of each live attempt
+	owner     uint32         // attempt that delivers tokens; 0 if none
+	delivered int            // number of tokens delivered to the caller
 
-	mayHaveRun bool // some ended attempt may have run
+	mayHaveRun bool // an ended attempt may have run
 	finished   bool
 	lastError  *engine.Error
 	retryAfter time.Duration
 }
 
-// NewCall returns a call without attempts. The budget is shared with the
-// other calls of the service.
+// NewCall returns a call without attempts and counts it in budget, which the calls
+// of a service share. A zero deadline means none.
 func NewCall(repeatable bool, deadline time.Time, budget *Budget) *Call {
 	budget.Earn()
 	return &Call{repeatable: repeatable, deadline: deadline, budget: budget, live: make(map[uint32]int, 1)}
 }
 
-// Delivered is the number of tokens that the caller has.
+// Delivered returns the number of tokens delivered to the caller.
 func (c *Call) Delivered() int { return c.delivered }
 
-// Attempts is the number of attempts begun.
+// Attempts returns the number of attempts begun.
 func (c *Call) Attempts() int { return int(c.attempts) }
 
-// Finished says that the final answer was given.
+// Finished reports whether the final response was determined.
 func (c *Call) Finished() bool { return c.finished }
 
-// MayHaveRun says that some attempt that ended may have run at an engine.
+// MayHaveRun reports whether an engine may have run an attempt that ended.
 func (c *Call) MayHaveRun() bool { return c.mayHaveRun }
 
-// Begin starts an attempt and tells from which token it is to go on.
+// Begin starts an attempt and returns its number and the index of its first token.
 func (c *Call) Begin() (attempt uint32, resumeFrom int) {
 	c.attempts++
 	c.live[c.attempts] = c.delivered
 	return c.attempts, c.delivered
 }
 
-// Accept judges a chunk of an attempt: deliver says that it is the caller's
-// next token. A duplicate or a token that the caller has already is neither
-// delivered nor an error. An error means that the attempt is to be stopped;
-// *GapError is the engine's failure, ErrStale is not.
+// Accept reports whether a token of an attempt is the next one to deliver. A token
+// delivered before is ignored without an error. An error means that the attempt
+// must be stopped: *GapError is a failure of the engine, ErrStale is not.
 func (c *Call) Accept(attempt uint32, index int) (deliver bool, err error) {
 	if _, live := c.live[attempt]; !live || c.finished {
 		return false, ErrStale
@@ -98,12 +96,12 @@
 	return true, nil
 }
 
-// Owner is the attempt that delivers, 0 while none does.
+// Owner returns the attempt that delivers tokens, or 0 if none does.
 func (c *Call) Owner() uint32 { return c.owner }
 
-// Succeed ends an attempt that the engine finished. It returns true when this
-// is the call's final answer; an attempt that lost ends silently. An engine
-// that finishes with fewer tokens than the caller must have got is an error.
+// Succeed ends an attempt that the engine finished and reports whether this
+// completes the call. An attempt that isn't the owner ends without effect. It is
+// an error if the engine's token count differs from the number delivered.
 func (c *Call) Succeed(attempt uint32, finish engine.Finish) (bool, error) {
 	if _, live := c.live[attempt]; !live || c.finished {
 		return false, nil
@@ -123,23 +121,23 @@
 	return true, nil
 }
 
-// Next is what to do after a failed attempt.
+// Next is the action to take after a failed attempt.
 type Next struct {
-	// Wait: another attempt is still live.
+	// Wait means to wait for another live attempt or that the call has ended.
 	Wait bool
-	// Retry: begin another attempt, at another engine.
+	// Retry means to begin another attempt, at another engine.
 	Retry bool
-	// Answer is the final answer when neither holds.
+	// Answer is the final response if neither Wait nor Retry is set.
 	Answer *apierror.Error
 }
 
-// Fail ends an attempt that failed and says what to do next.
+// Fail ends a failed attempt and returns the action to take.
 func (c *Call) Fail(now time.Time, attempt uint32, failure *engine.Error) Next {
 	if _, live := c.live[attempt]; !live || c.finished {
 		return Next{Wait: true}
 	}
 	delete(c.live, attempt)
-	c.note(attempt, failure)
+	c.recordFailure(attempt, failure)
 	if len(c.live) > 0 {
 		return Next{Wait: true}
 	}
@@ -149,7 +147,7 @@
 	return Next{Answer: c.GiveUp(now)}
 }
 
-func (c *Call) note(attempt uint32, failure *engine.Error) {
+func (c *Call) recordFailure(attempt uint32, failure *engine.Error) {
 	if c.owner == attempt {
 		c.owner = 0
 	}
@@ -160,12 +158,13 @@
 	c.retryAfter = max(c.retryAfter, failure.RetryAfter)
 }
 
-// mayRetry says whether another attempt is safe and allowed.
+// mayRetry reports whether another attempt is safe and within the limits, and if
+// so takes it from the budget.
 func (c *Call) mayRetry(now time.Time, failure *engine.Error) bool {
 	if c.mayHaveRun && !c.repeatable {
 		return false
 	}
-	if isRefusal(failure) {
+	if isInvalidRequest(failure) {
 		return false
 	}
 	if c.attempts >= MaxAttempts || c.expired(now) {
@@ -174,9 +173,9 @@
 	return c.budget.Spend()
 }
 
-// isRefusal says that the engine found the request itself to be wrong, so
-// that another engine would as well.
-func isRefusal(failure *engine.Error) bool {
+// isInvalidRequest reports whether the engine rejected the request as invalid, so
+// that other engines would reject it too.
+func isInvalidRequest(failure *engine.Error) bool {
 	switch failure.Status {
 	case http.StatusBadRequest, http.StatusRequestEntityTooLarge, http.StatusUnprocessableEntity:
 		return true
@@ -188,15 +187,15 @@
 	return !c.deadline.IsZero() && !now.Before(c.deadline)
 }
 
-// Abandon ends a live attempt without judging it: the caller left or another
-// attempt won.
+// Abandon ends a live attempt without a result, because the caller disconnected or
+// another attempt became the owner.
 func (c *Call) Abandon(attempt uint32) {
 	delete(c.live, attempt)
 }
 
-// GiveUp gives the final answer of a call that can't be finished: no engine is
-// left, or its time passed. It says only what is known. Every attempt still
-// live counts as one that may have run.
+// GiveUp ends a call that can't be finished, because no engine is left or its
+// deadline passed, and returns the final response. Every attempt still live counts
+// as one that may have run.
 func (c *Call) GiveUp(now time.Time) *apierror.Error {
 	if len(c.live) > 0 {
 		c.mayHaveRun = true
@@ -208,12 +207,12 @@
 		cause = c.lastError
 	}
 	switch {
-	case c.lastError != nil && isRefusal(c.lastError) && c.delivered == 0 && !c.mayHaveRun:
-		return refused(c.lastError)
+	case c.lastError != nil && isInvalidRequest(c.lastError) && c.delivered == 0 && !c.mayHaveRun:
+		return invalidRequest(c.lastError)
 	case !c.mayHaveRun:
-		return apierror.NotRun(http.StatusServiceUnavailable, c.comeBack(), "no engine could take the request; it was not run")
+		return apierror.NotRun(http.StatusServiceUnavailable, c.retryDelay(), "no engine could take the request; it was not run")
 	case c.lastError != nil && c.lastError.Fate == engine.FateFailed && c.delivered == 0:
-		return failed(cause, c.repeatable)
+		return engineFailed(cause, c.repeatable)
 	case !c.repeatable:
 		return apierror.OutcomeUnknown(cause)
 	case c.delivered > 0:
@@ -221,31 +220,32 @@
 	case c.expired(now):
 		return apierror.DeadlineExceeded(cause)
 	default:
-		return unknown(cause)
+		return retryableUnknown(cause)
 	}
 }
 
-func (c *Call) comeBack() time.Duration {
+func (c *Call) retryDelay() time.Duration {
 	if c.retryAfter > 0 {
 		return c.retryAfter
 	}
 	return retryAfterNoEngine
 }
 
-func refused(failure *engine.Error) *apierror.Error {
+func invalidRequest(failure *engine.Error) *apierror.Error {
 	answer := apierror.Invalid("", "the engine refused the request: %v", failure.Err)
 	answer.Cause = failure
 	return answer
 }
 
-func failed(cause error, repeatable bool) *apierror.Error {
+func engineFailed(cause error, repeatable bool) *apierror.Error {
 	answer := apierror.EngineFailed(cause)
 	answer.NoRetry = !repeatable
 	return answer
 }
 
-// unknown is the answer to a repeatable request, which the client may resend.
-func unknown(cause error) *apierror.Error {
+// retryableUnknown returns the response to a repeatable request, which the client
+// may retry.
+func retryableUnknown(cause error) *apierror.Error {
 	answer := apierror.OutcomeUnknown(cause)
 	answer.NoRetry = false
 	return answer
--- a/internal/gateway/relay/doc.go
+++ b/internal/gateway/relay/doc.go
@@ -1,19 +1,19 @@
-// Package relay decides what happens to one caller's request over its
-// attempts: which chunks reach the caller, whether a failed attempt may be
-// followed by another, and what the final answer says.
+// Package relay tracks a caller's request across its attempts: it decides which
+// tokens reach the caller, whether to retry after a failed attempt, and which
+// final response the caller gets.
 //
-// It is pure: the shell starts attempts, feeds chunks and endings with the
-// attempt's number, and does what is returned. A Call is not safe for
-// concurrent use; the shell holds its lock.
+// It performs no I/O: the caller of the package starts attempts, reports their
+// tokens and results, and acts on the values returned. A Call is not safe for
+// concurrent use and has to be guarded by a lock.
 //
 // Invariants:
 //
-//   - a token is delivered at most once and in order of its index, whichever
-//     attempt it came from;
-//   - only an attempt that is live and owns the call delivers: the first to
-//     bring a new token becomes the owner, and the others are to be cancelled;
-//   - a call that is not repeatable has a second attempt only when all earlier
-//     ones certainly did not run;
-//   - exactly one final answer is given, and it says "not run" only when every
+//   - each token is delivered at most once and in order of index, whichever
+//     attempt produced it;
+//   - only a live attempt that owns the call delivers tokens: the first to
+//     produce a new token becomes the owner, and the others must be cancelled;
+//   - a call that is not repeatable is retried only if all earlier attempts
+//     certainly did not run;
+//   - there is exactly one final response, and it reports "not run" only if every
 //     attempt certainly did not run.
 package relay
--- a/internal/gateway/relay/relay_test.go
+++ b/internal/gateway/relay/relay_test.go
@@ -34,26 +34,26 @@
 	return &engine.Error{Engine: "e", Step: "test", Fate: fate, Status: status, Err: errors.New("broken")}
 }
 
-// hostileEngines feeds a Call with chunks that are late, duplicated or out of
-// order and with endings that tell as little as is honest, and checks what the
-// caller gets against the truth that it keeps.
-type hostileEngines struct {
+// faultyEngines is a state machine that sends a Call late, duplicate and unordered
+// tokens and uncertain results. It records which attempts ran, and checks the
+// delivered tokens and the final response against that record.
+type faultyEngines struct {
 	call       *Call
 	repeatable bool
 	length     int // tokens of the whole output
 	now        time.Time
 	deadline   time.Time
 
-	ran       map[uint32]bool // truth: the attempt ran at its engine
-	open      []uint32        // attempts whose engine has not ended
+	ran       map[uint32]bool // attempts that an engine ran
+	open      []uint32        // attempts that their engine has not ended
 	begun     []uint32
 	delivered []int
-	source    uint32 // of the newest delivered token
+	source    uint32 // attempt of the last delivered token
 	answer    *apierror.Error
 	succeeded bool
 }
 
-func (h *hostileEngines) begin(t *rapid.T) {
+func (h *faultyEngines) begin(t *rapid.T) {
 	if !h.repeatable {
 		for number, ran := range h.ran {
 			if ran {
@@ -69,7 +69,7 @@
 	h.open = append(h.open, number)
 }
 
-func (h *hostileEngines) chunk(t *rapid.T) {
+func (h *faultyEngines) sendChunk(t *rapid.T) {
 	number := rapid.SampledFrom(h.begun).Draw(t, "attempt")
 	index := rapid.OneOf(rapid.Just(len(h.delivered)), rapid.IntRange(0, h.length-1)).Draw(t, "index")
 	h.ran[number] = true
@@ -78,10 +78,10 @@
 		return
 	}
 	if h.answer != nil || h.succeeded {
-		t.Fatalf("token %d delivered after the final answer", index)
+		t.Fatalf("token %d delivered after the final response", index)
 	}
 	if index != len(h.delivered) {
-		t.Fatalf("token %d delivered in place %d", index, len(h.delivered))
+		t.Fatalf("token %d delivered at position %d", index, len(h.delivered))
 	}
 	if h.source != number && slices.Contains(h.open, h.source) {
 		t.Fatalf("attempt %d delivers while attempt %d owns the call", number, h.source)
@@ -90,7 +90,7 @@
 	h.delivered = append(h.delivered, index)
 }
 
-func (h *hostileEngines) end(t *rapid.T) {
+func (h *faultyEngines) endAttempt(t *rapid.T) {
 	if len(h.open) == 0 {
 		return
 	}
@@ -110,73 +110,74 @@
 		h.ran[number] = true
 	}
 	status := rapid.SampledFrom([]int{0, 500, 503, 429, 400}).Draw(t, "status")
-	h.do(t, h.call.Fail(h.now, number, failure(fate, status)))
+	h.follow(t, h.call.Fail(h.now, number, failure(fate, status)))
 }
 
-func (h *hostileEngines) finish(t *rapid.T, number uint32) {
+func (h *faultyEngines) finish(t *rapid.T, number uint32) {
 	h.ran[number] = true
-	// An engine may end early and still call it a success.
+	// An engine may report success before it sent all tokens.
 	final, err := h.call.Succeed(number, engine.Finish{Reason: "stop", CompletionTokens: h.length})
 	if err != nil {
-		h.do(t, h.call.Fail(h.now, number, failure(engine.FateUnknown, 0)))
+		h.follow(t, h.call.Fail(h.now, number, failure(engine.FateUnknown, 0)))
 		return
 	}
 	if !final {
 		return
 	}
 	if h.answer != nil || h.succeeded {
-		t.Fatalf("a second final answer")
+		t.Fatalf("second final response")
 	}
 	if len(h.delivered) != h.length {
-		t.Fatalf("%d of %d tokens called the whole answer", len(h.delivered), h.length)
+		t.Fatalf("call succeeded with %d of %d tokens", len(h.delivered), h.length)
 	}
 	h.succeeded = true
 }
 
-func (h *hostileEngines) do(t *rapid.T, next Next) {
+func (h *faultyEngines) follow(t *rapid.T, next Next) {
 	switch {
 	case next.Wait:
 	case next.Retry:
 		h.begin(t)
 	default:
-		h.final(t, next.Answer)
+		h.recordAnswer(t, next.Answer)
 	}
 }
 
-func (h *hostileEngines) final(t *rapid.T, answer *apierror.Error) {
+func (h *faultyEngines) recordAnswer(t *rapid.T, answer *apierror.Error) {
 	if h.answer != nil || h.succeeded {
-		t.Fatalf("a second final answer")
+		t.Fatalf("second final response")
 	}
 	h.answer = answer
 	if answer.Code != apierror.CodeNotRun {
 		return
 	}
 	if answer.RetryAfter <= 0 {
-		t.Fatalf("not_run without when to come back")
+		t.Fatalf("not_run without RetryAfter")
 	}
 	for number, ran := range h.ran {
 		if ran {
-			t.Fatalf("attempt %d ran, and the caller was told not_run", number)
+			t.Fatalf("attempt %d ran, but the response is not_run", number)
 		}
 	}
 }
 
-func (h *hostileEngines) timeOut(t *rapid.T) {
+func (h *faultyEngines) advance(t *rapid.T) {
 	h.now = h.now.Add(rapid.SampledFrom([]time.Duration{time.Millisecond, time.Minute}).Draw(t, "passes"))
 	if h.answer == nil && !h.succeeded && !h.now.Before(h.deadline) {
-		h.final(t, h.call.GiveUp(h.now))
+		h.recordAnswer(t, h.call.GiveUp(h.now))
 	}
 }
 
-func (h *hostileEngines) abandon(t *rapid.T) {
+func (h *faultyEngines) hedge(t *rapid.T) {
 	if h.call.Attempts() < MaxAttempts && h.repeatable && h.answer == nil && !h.succeeded {
 		h.begin(t) // a hedge
 	}
 }
 
-func TestCallerGetsEachTokenOnceOrAnHonestError(t *testing.T) {
+// Guards against lost or duplicate tokens, unsafe retries and a false not_run.
+func TestCallWithFaultyEngines(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := &hostileEngines{
+		h := &faultyEngines{
 			repeatable: rapid.Bool().Draw(t, "repeatable"),
 			length:     rapid.IntRange(1, 6).Draw(t, "length"),
 			now:        epoch,
@@ -185,14 +186,15 @@
 		}
 		h.call = NewCall(h.repeatable, h.deadline, NewBudget(0.1, DefaultReserve))
 		h.begin(t)
-		t.Repeat(map[string]func(*rapid.T){"chunk": h.chunk, "end": h.end, "time": h.timeOut, "hedge": h.abandon})
+		t.Repeat(map[string]func(*rapid.T){"chunk": h.sendChunk, "end": h.endAttempt, "time": h.advance, "hedge": h.hedge})
 		if h.call.Finished() != (h.answer != nil || h.succeeded) {
 			t.Fatalf("finished is %v, answer %v, succeeded %v", h.call.Finished(), h.answer, h.succeeded)
 		}
 	})
 }
 
-func TestFinalAnswerSaysWhatIsKnown(t *testing.T) {
+// Guards against a final response that claims more than is known of the attempts.
+func TestCallFinalResponse(t *testing.T) {
 	for name, test := range map[string]struct {
 		repeatable bool
 		tokens     int
@@ -235,7 +237,7 @@
 	}
 }
 
-func TestRetriesStayWithinTheBudget(t *testing.T) {
+func TestBudgetLimitsRetries(t *testing.T) {
 	g := gomega.NewWithT(t)
 	budget := NewBudget(0.1, DefaultReserve)
 	const calls = 2000
