--- a/internal/gateway/batchapi/auth.go
+++ b/internal/gateway/batchapi/auth.go
@@ -8,12 +8,12 @@
 	"chutelock.dev/chutelock/internal/settings"
 )
 
-// keyAuthenticator finds tenants by the key of the Authorization header.
+// keyAuthenticator identifies tenants by the API key of the Authorization header.
 type keyAuthenticator struct {
 	source settings.Source
 }
 
-// Authenticate implements Authenticator, by the rules of the online API.
+// Authenticate implements Authenticator with the rules of the online API.
 func (a keyAuthenticator) Authenticate(r *http.Request) (*settings.Tenant, error) {
 	tenant, failure := gateway.Authenticate(a.source.Current(), r)
 	if failure != nil {
@@ -22,7 +22,7 @@
 	return tenant, nil
 }
 
-// checkModel says whether the tenant may use the model.
+// checkModel returns an error unless the model exists and the tenant may use it.
 func (h *handler) checkModel(tenant *settings.Tenant, model string) error {
 	snapshot := h.Settings.Current()
 	known := false
--- a/internal/gateway/batchapi/batchapi_test.go
+++ b/internal/gateway/batchapi/batchapi_test.go
@@ -15,11 +15,12 @@
 	"chutelock.dev/chutelock/internal/jobs/command"
 )
 
-const patience = "20s"
+const waitTimeout = "20s"
 
-func TestBatchRunsEveryItemAndKeepsOrder(t *testing.T) {
+// Guards against lost, repeated or reordered items.
+func TestBatchRunsItemsOnceInOrder(t *testing.T) {
 	g := gomega.NewWithT(t)
-	d := deploy(t, true)
+	d := newDeployment(t, true)
 	var input strings.Builder
 	const items = 300
 	for i := range items {
@@ -38,7 +39,7 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Eventually(func(g gomega.Gomega) {
 		g.Expect(string(d.get(g, batch.ID).Status)).To(gomega.Equal("completed"))
-	}, patience).Should(gomega.Succeed())
+	}, waitTimeout).Should(gomega.Succeed())
 
 	done := d.get(g, batch.ID)
 	g.Expect(done.RequestCounts.Total).To(gomega.Equal(int64(items)))
@@ -57,7 +58,7 @@
 	g.Expect(failed[0].Response.StatusCode).To(gomega.Equal(400))
 	g.Expect(failed[1].Response.StatusCode).To(gomega.Equal(500))
 	g.Expect(d.engine.attempts("refuse me")).To(gomega.Equal(1))
-	g.Expect(d.engine.attempts("poison me")).To(gomega.Equal(3), "an engine's own error is tried three times")
+	g.Expect(d.engine.attempts("poison me")).To(gomega.Equal(3), "an item that fails at the engine has three attempts")
 	for i := range items {
 		if i != 7 && i != 8 {
 			g.Expect(d.engine.attempts(fmt.Sprintf("item %d", i))).To(gomega.Equal(1), "item %d", i)
@@ -65,9 +66,10 @@
 	}
 }
 
-func TestResendIsTheSameBatch(t *testing.T) {
+// Guards against a second batch when a submission is repeated with its key.
+func TestCreateBatchIsIdempotent(t *testing.T) {
 	g := gomega.NewWithT(t)
-	d := deploy(t, false)
+	d := newDeployment(t, false)
 	lines := line("a", "one") + line("b", "two")
 	first, err := d.upload(lines)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -92,15 +94,15 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	resent, err := d.submit(first.ID, withKey("k"))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(resent.ID).To(gomega.Equal(batch.ID), "also after the file was deleted")
+	g.Expect(resent.ID).To(gomega.Equal(batch.ID), "a deleted file must not change the batch")
 
 	list, err := d.client.Batches.List(context.Background(), openai.BatchListParams{})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(list.Data).To(gomega.HaveLen(1))
 }
 
-func TestBadInputNamesLineAndFieldAndLeavesNothing(t *testing.T) {
-	d := deploy(t, false)
+func TestUploadRejectsInvalidInput(t *testing.T) {
+	d := newDeployment(t, false)
 	good := line("a", "one")
 	for name, test := range map[string]struct{ lines, code, message string }{
 		"malformed":      {good + "{\n", "invalid_json_line", "line 2: "},
@@ -130,9 +132,10 @@
 	}
 }
 
-func TestTenantsAreApart(t *testing.T) {
+// Guards against access to another tenant's files and batches.
+func TestTenantIsolation(t *testing.T) {
 	g := gomega.NewWithT(t)
-	d := deploy(t, false)
+	d := newDeployment(t, false)
 	file, err := d.upload(line("a", "one"))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	batch, err := d.submit(file.ID)
@@ -154,10 +157,11 @@
 	}
 }
 
-func TestCancelStopsAndRecordsNothingMore(t *testing.T) {
+// Guards against items that start or are recorded after a cancellation.
+func TestCancelBatchStopsItems(t *testing.T) {
 	g := gomega.NewWithT(t)
-	d := deploy(t, true)
-	d.engine.pace = 100 * time.Millisecond // 160 items a second: far from done in this test
+	d := newDeployment(t, true)
+	d.engine.attemptTime = 100 * time.Millisecond // 160 items per second, so that the batch outlasts the test
 	const items = 2000
 	var input strings.Builder
 	for i := range items {
@@ -172,7 +176,7 @@
 		defer d.engine.mutex.Unlock()
 		return len(d.engine.runs)
 	}
-	g.Eventually(started, patience).Should(gomega.BeNumerically(">", 16))
+	g.Eventually(started, waitTimeout).Should(gomega.BeNumerically(">", 16))
 	cancelled, err := d.client.Batches.Cancel(context.Background(), batch.ID)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(string(cancelled.Status)).To(gomega.Equal("cancelled"))
@@ -187,9 +191,9 @@
 	g.Expect(lines[len(lines)-1].Error.Code).To(gomega.Equal("batch_cancelled"))
 }
 
-func TestNotRepeatableItemRunsOnce(t *testing.T) {
+func TestNonRepeatableItemRunsOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
-	d := deploy(t, true)
+	d := newDeployment(t, true)
 	notRepeatable := func(customID, prompt string) string {
 		return strings.Replace(line(customID, prompt), `{"custom_id"`, `{"repeatable":false,"custom_id"`, 1)
 	}
@@ -199,7 +203,7 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Eventually(func(g gomega.Gomega) {
 		g.Expect(string(d.get(g, batch.ID).Status)).To(gomega.Equal("completed"))
-	}, patience).Should(gomega.Succeed())
+	}, waitTimeout).Should(gomega.Succeed())
 	for _, prompt := range []string{"lose a", "poison b", "fine c"} {
 		g.Expect(d.engine.attempts(prompt)).To(gomega.Equal(1), prompt)
 	}
@@ -209,8 +213,8 @@
 	g.Expect(lines[1].Response.StatusCode).To(gomega.Equal(500))
 }
 
-func TestDeadlineIsRefusedOrKept(t *testing.T) {
-	d := deploy(t, false)
+func TestCreateBatchValidatesDeadline(t *testing.T) {
+	d := newDeployment(t, false)
 	g := gomega.NewWithT(t)
 	file, err := d.upload(line("a", "one"))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -238,10 +242,10 @@
 	}
 }
 
-func TestDeadlineThatPassesExpiresTheBatch(t *testing.T) {
+func TestBatchExpiresAtDeadline(t *testing.T) {
 	g := gomega.NewWithT(t)
-	d := deploy(t, true)
-	d.engine.pace = time.Hour
+	d := newDeployment(t, true)
+	d.engine.attemptTime = time.Hour
 	file, err := d.upload(line("a", "one") + line("b", "two"))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	batch, err := d.client.Batches.New(context.Background(), openai.BatchNewParams{
@@ -254,5 +258,5 @@
 		lines := d.lines(g, found.ErrorFileID)
 		g.Expect(lines).To(gomega.HaveLen(2))
 		g.Expect(lines[0].Error.Code).To(gomega.Equal("batch_expired"))
-	}, patience).Should(gomega.Succeed())
+	}, waitTimeout).Should(gomega.Succeed())
 }
--- a/internal/gateway/batchapi/batches.go
+++ b/internal/gateway/batchapi/batches.go
@@ -23,8 +23,8 @@
 	maxIdempotencyKey    = 255
 	metadataDeadline     = "deadline"
 	maxMetadata          = 16
-	defaultListed        = 20
-	maxListed            = 100
+	defaultPageSize      = 20
+	maxPageSize          = 100
 )
 
 // batchRequest is the body of POST /v1/batches.
@@ -64,7 +64,8 @@
 	}
 }
 
-// deadline reads metadata.deadline, or else the completion window.
+// deadline returns metadata.deadline if it is set, or else the end of the
+// completion window.
 func (b *batchRequest) deadline(now time.Time) (time.Time, error) {
 	if text := b.Metadata[metadataDeadline]; text != "" {
 		deadline, err := time.Parse(time.RFC3339, text)
@@ -82,7 +83,7 @@
 
 const day = 24 * time.Hour
 
-// parseWindow reads a Go duration, or whole days such as "7d".
+// parseWindow parses a Go duration or a number of days such as "7d".
 func parseWindow(text string) (time.Duration, error) {
 	if days, found := strings.CutSuffix(text, "d"); found {
 		count, err := strconv.ParseUint(days, 10, 16)
@@ -109,7 +110,7 @@
 	if err != nil {
 		return submissionError(err, keyed)
 	}
-	return writeJSON(w, batchObject(&job))
+	return writeJSON(w, newBatchJSON(&job))
 }
 
 func (h *handler) submission(r *http.Request, tenant *settings.Tenant, request *batchRequest) (command.Submission, error) {
@@ -148,7 +149,8 @@
 	return key, nil
 }
 
-// canonicalMetadata encodes metadata with its fields in order.
+// canonicalMetadata encodes metadata with sorted keys, so that equal submissions
+// have equal encodings.
 func canonicalMetadata(metadata map[string]string) ([]byte, error) {
 	if len(metadata) == 0 {
 		return nil, nil
@@ -156,12 +158,12 @@
 	return json.Marshal(metadata)
 }
 
-// inputFile finds the input file. A file that was deleted since may still be
-// named by a resend of the job that it became.
+// inputFile returns the record of the input file. A resubmission of a job may name
+// a file that was deleted since.
 func (h *handler) inputFile(r *http.Request, tenant *settings.Tenant, key string, request *batchRequest) (machine.FileRecord, error) {
 	file, err := h.Queries.File(r.Context(), tenant.Name, request.InputFileID)
 	if errors.Is(err, query.ErrNotFound) {
-		return h.formerFile(r, tenant, key, request)
+		return h.deletedFile(r, tenant, key, request)
 	}
 	if err != nil {
 		return machine.FileRecord{}, submissionError(err, r.Header.Get(headerIdempotencyKey) != "")
@@ -175,7 +177,7 @@
 	return file, nil
 }
 
-func (h *handler) formerFile(r *http.Request, tenant *settings.Tenant, key string, request *batchRequest) (machine.FileRecord, error) {
+func (h *handler) deletedFile(r *http.Request, tenant *settings.Tenant, key string, request *batchRequest) (machine.FileRecord, error) {
 	job, err := h.Queries.JobByKey(r.Context(), tenant.Name, key)
 	if err != nil || job.FileID != request.InputFileID {
 		return machine.FileRecord{}, apierror.NotFound("there is no file %q", request.InputFileID)
@@ -188,7 +190,7 @@
 	if err != nil {
 		return err
 	}
-	return writeJSON(w, batchObject(&job))
+	return writeJSON(w, newBatchJSON(&job))
 }
 
 func (h *handler) cancelBatch(w http.ResponseWriter, r *http.Request, tenant *settings.Tenant) error {
@@ -198,30 +200,30 @@
 	return h.getBatch(w, r, tenant)
 }
 
-// batchList is OpenAI's list of batches.
+// batchList is OpenAI's list of batch objects.
 type batchList struct {
-	Object  string       `json:"object"`
-	Data    []batchShape `json:"data"`
-	FirstID string       `json:"first_id,omitempty"`
-	LastID  string       `json:"last_id,omitempty"`
-	HasMore bool         `json:"has_more"`
+	Object  string      `json:"object"`
+	Data    []batchJSON `json:"data"`
+	FirstID string      `json:"first_id,omitempty"`
+	LastID  string      `json:"last_id,omitempty"`
+	HasMore bool        `json:"has_more"`
 }
 
 func (h *handler) listBatches(w http.ResponseWriter, r *http.Request, tenant *settings.Tenant) error {
-	limit := defaultListed
+	limit := defaultPageSize
 	if text := r.URL.Query().Get("limit"); text != "" {
 		var err error
-		if limit, err = strconv.Atoi(text); err != nil || limit < 1 || limit > maxListed {
-			return apierror.Invalid("limit", "is %q, want 1 to %d", text, maxListed)
+		if limit, err = strconv.Atoi(text); err != nil || limit < 1 || limit > maxPageSize {
+			return apierror.Invalid("limit", "is %q, want 1 to %d", text, maxPageSize)
 		}
 	}
 	found, err := h.Queries.Jobs(r.Context(), tenant.Name, r.URL.Query().Get("after"), limit+1)
 	if err != nil {
 		return err
 	}
-	list := batchList{Object: "list", Data: []batchShape{}, HasMore: len(found) > limit}
+	list := batchList{Object: "list", Data: []batchJSON{}, HasMore: len(found) > limit}
 	for i := range found[:min(limit, len(found))] {
-		list.Data = append(list.Data, batchObject(&found[i]))
+		list.Data = append(list.Data, newBatchJSON(&found[i]))
 	}
 	if len(list.Data) > 0 {
 		list.FirstID, list.LastID = list.Data[0].ID, list.Data[len(list.Data)-1].ID
@@ -230,7 +232,7 @@
 }
 
 // batchShape is OpenAI's batch object.
-type batchShape struct {
+type batchJSON struct {
 	ID               string          `json:"id"`
 	Object           string          `json:"object"`
 	Endpoint         string          `json:"endpoint"`
@@ -264,8 +266,8 @@
 	machine.StateExpired:    "expired",
 }
 
-func batchObject(job *query.Job) batchShape {
-	shape := batchShape{
+func newBatchJSON(job *query.Job) batchJSON {
+	object := batchJSON{
 		ID: job.JobID, Object: "batch", Endpoint: job.Endpoint, Model: job.Model, InputFileID: job.FileID,
 		CompletionWindow: job.Window, Status: statusNames[job.State], CreatedAt: job.Created.Unix(),
 		InProgressAt: seconds(job.Accepted), ExpiresAt: job.Deadline.Unix(),
@@ -273,25 +275,25 @@
 		Metadata:      json.RawMessage("null"),
 	}
 	if len(job.Metadata) > 0 {
-		shape.Metadata = job.Metadata
+		object.Metadata = job.Metadata
 	}
 	switch job.State {
 	case machine.StateCompleted:
-		shape.CompletedAt = seconds(job.Ended)
+		object.CompletedAt = seconds(job.Ended)
 	case machine.StateCancelled:
-		shape.CancelledAt = seconds(job.Ended)
+		object.CancelledAt = seconds(job.Ended)
 	case machine.StateExpired:
-		shape.ExpiredAt = seconds(job.Ended)
+		object.ExpiredAt = seconds(job.Ended)
 	}
 	if job.Succeeded > 0 {
 		id := jobs.OutputFileID(job.JobID)
-		shape.OutputFileID = &id
+		object.OutputFileID = &id
 	}
 	if job.Counters.Failed+job.Unknown > 0 || job.State.Final() && job.Remaining() > 0 {
 		id := jobs.ErrorFileID(job.JobID)
-		shape.ErrorFileID = &id
+		object.ErrorFileID = &id
 	}
-	return shape
+	return object
 }
 
 func seconds(at time.Time) *int64 {
--- a/internal/gateway/batchapi/deployment_test.go
+++ b/internal/gateway/batchapi/deployment_test.go
@@ -34,12 +34,12 @@
 	testAddress = "127.0.0.1:1"
 )
 
-// fakeEngine answers each prompt word by word. Words of the prompt ask for
-// failures: "refuse" (400), "poison" (500), "lose" (the connection breaks).
+// fakeEngine echoes each prompt word by word. Words in the prompt select failures:
+// "refuse" (status 400), "poison" (status 500), "lose" (connection reset).
 type fakeEngine struct {
-	mutex sync.Mutex
-	runs  map[string]int // prompt → attempts that started
-	pace  time.Duration  // how long an attempt takes
+	mutex       sync.Mutex
+	runs        map[string]int // attempts started, by prompt
+	attemptTime time.Duration  // duration of an attempt
 }
 
 func (f *fakeEngine) Generate(ctx context.Context, request engine.Request, sink func(engine.Chunk) error) (engine.Finish, error) {
@@ -51,7 +51,7 @@
 	f.runs[body.Prompt]++
 	f.mutex.Unlock()
 	select {
-	case <-time.After(f.pace):
+	case <-time.After(f.attemptTime):
 	case <-ctx.Done():
 		return engine.Finish{}, &engine.Error{Step: "read", Err: ctx.Err()}
 	}
@@ -88,7 +88,7 @@
 	apikey.Of(otherKey): {Name: "b", Models: []string{"other"}},
 }, map[string]*settings.Service{testModel: {Model: testModel}, "other": {Model: "other"}})
 
-// deployment is one node with a single-copy ledger.
+// deployment is one node with an unreplicated ledger.
 type deployment struct {
 	engine     *fakeEngine
 	server     *httptest.Server
@@ -97,7 +97,7 @@
 	stop       func()
 }
 
-func deploy(t *testing.T, dispatching bool) *deployment {
+func newDeployment(t *testing.T, dispatching bool) *deployment {
 	t.Helper()
 	g := gomega.NewWithT(t)
 	node := service.New()
@@ -118,7 +118,7 @@
 	running.Go(func() { node.Run(ctx) })
 	if dispatching {
 		running.Go(func() { d.dispatcher.Run(ctx) })
-		d.gainEngine()
+		d.assignEngine()
 	}
 	d.stop = func() {
 		cancel()
@@ -130,8 +130,9 @@
 	return d
 }
 
-// gainEngine makes the node home of an engine, as soon as it runs.
-func (d *deployment) gainEngine() {
+// assignEngine repeatedly makes the node the home of an engine, since the dispatcher
+// may not be running yet.
+func (d *deployment) assignEngine() {
 	endpoint := &fleet.Endpoint{Name: "engine-1", Load: engine.Load{Models: []string{testModel}}}
 	go func() {
 		for range 100 {
@@ -196,7 +197,7 @@
 	return lines
 }
 
-// apiError returns an error's status and code.
+// apiError returns the HTTP status and code of an API error.
 func apiError(err error) (status int, code string) {
 	var failure *openai.Error
 	if !errors.As(err, &failure) {
--- a/internal/gateway/batchapi/doc.go
+++ b/internal/gateway/batchapi/doc.go
@@ -1,3 +1,3 @@
-// Package batchapi serves OpenAI's HTTP API of files and batches. It checks
-// and translates; the work is done by packages jobs/command and jobs/query.
+// Package batchapi serves OpenAI's HTTP API for files and batches. It validates
+// and converts requests, which packages jobs/command and jobs/query carry out.
 package batchapi
--- a/internal/gateway/batchapi/errors.go
+++ b/internal/gateway/batchapi/errors.go
@@ -13,24 +13,24 @@
 	"chutelock.dev/chutelock/internal/ledger"
 )
 
-// retryAfter is when a caller may come back while a shard has no leader: a
-// new one is there within a few seconds.
+// retryAfter is the suggested retry delay while a shard has no leader; an election
+// takes a few seconds.
 const retryAfter = 2 * time.Second
 
-// codeDeadline says that a deadline can't be met.
+// codeDeadline reports a deadline that can't be met.
 const codeDeadline apierror.Code = "deadline_not_feasible"
 
-// shown turns an error into what the caller sees.
-func shown(err error) *apierror.Error {
+// toAPIError converts an error to an error response.
+func toAPIError(err error) *apierror.Error {
 	var api *apierror.Error
-	var fault *input.Error
+	var invalid *input.Error
 	var deadline *command.DeadlineError
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &api):
 		return api
-	case errors.As(err, &fault):
-		return faultError(fault)
+	case errors.As(err, &invalid):
+		return inputError(invalid)
 	case errors.As(err, &tooLarge):
 		return apierror.BodyTooLarge(tooLarge.Limit)
 	case errors.As(err, &deadline):
@@ -48,21 +48,21 @@
 	}
 }
 
-func faultError(fault *input.Error) *apierror.Error {
-	param := fault.Field
-	if fault.Line > 0 {
-		param = fmt.Sprintf("line %d", fault.Line)
-		if fault.Field != "" {
-			param += ": " + fault.Field
+func inputError(invalid *input.Error) *apierror.Error {
+	param := invalid.Field
+	if invalid.Line > 0 {
+		param = fmt.Sprintf("line %d", invalid.Line)
+		if invalid.Field != "" {
+			param += ": " + invalid.Field
 		}
 	}
 	status := http.StatusBadRequest
-	if fault.Code == input.CodeFileTooLarge {
+	if invalid.Code == input.CodeFileTooLarge {
 		status = http.StatusRequestEntityTooLarge
 	}
 	return &apierror.Error{
-		Status: status, Code: apierror.Code(fault.Code), Type: apierror.TypeInvalidRequest,
-		Param: param, Message: fault.Error(),
+		Status: status, Code: apierror.Code(invalid.Code), Type: apierror.TypeInvalidRequest,
+		Param: param, Message: invalid.Error(),
 	}
 }
 
@@ -73,10 +73,10 @@
 	}
 }
 
-// submissionError makes the error of a submission. A caller that gave a key
-// may have submitted before, so that neither a lost answer nor a missing
-// leader shows that the batch did not run; it can ask again with the same key. The status
-// is one that promises nothing: 503 would say that the batch never runs.
+// submissionError converts an error of a submission. With an idempotency key, an
+// earlier submission may have succeeded, so that neither a lost response nor a
+// missing leader shows that the batch did not run; the caller can retry with the
+// same key. The status is 504 because 503 would report that the batch didn't run.
 func submissionError(err error, keyed bool) error {
 	unavailable := errors.Is(err, ledger.ErrUnavailable)
 	if !unavailable && !errors.Is(err, ledger.ErrUnknownOutcome) {
--- a/internal/gateway/batchapi/files.go
+++ b/internal/gateway/batchapi/files.go
@@ -23,11 +23,11 @@
 )
 
 const (
-	// multipartOverhead is what an upload may have beside the file, in bytes.
+	// multipartOverhead is the allowance for the form around the file, in bytes.
 	multipartOverhead = 64 << 10
-	// maxFormValue is the longest plain form value, in bytes.
+	// maxFormValue is the maximum size of a form value other than the file, in bytes.
 	maxFormValue = 1 << 10
-	// bodyIdleTimeout is how long an upload may send nothing.
+	// bodyIdleTimeout is the maximum time between two reads of an upload.
 	bodyIdleTimeout = 20 * time.Second
 )
 
@@ -38,7 +38,7 @@
 			Type: apierror.TypeInvalidRequest, Message: "an upload must be multipart/form-data",
 		}
 	}
-	r.Body = http.MaxBytesReader(w, &patientReader{
+	r.Body = http.MaxBytesReader(w, &idleTimeoutReader{
 		ReadCloser: r.Body, controller: http.NewResponseController(w),
 	}, h.Limits.FileBytes+multipartOverhead)
 	parts, err := r.MultipartReader()
@@ -54,7 +54,7 @@
 	if err != nil {
 		return err
 	}
-	return writeJSON(w, fileObject(record))
+	return writeJSON(w, newFileJSON(record))
 }
 
 func uploadError(err error) error {
@@ -67,20 +67,21 @@
 	return err
 }
 
-// patientReader allows a caller to be slow, but not to be silent.
-type patientReader struct {
+// idleTimeoutReader extends the read deadline at each read, so that only an idle
+// upload times out.
+type idleTimeoutReader struct {
 	io.ReadCloser
 	controller *http.ResponseController
 }
 
 // Read implements io.Reader.
-func (p *patientReader) Read(into []byte) (int, error) {
-	// A server that can't set deadlines has its own timeouts.
+func (p *idleTimeoutReader) Read(into []byte) (int, error) {
+	// If deadlines are not supported, the timeouts of the server apply.
 	_ = p.controller.SetReadDeadline(time.Now().Add(bodyIdleTimeout))
 	return p.ReadCloser.Read(into)
 }
 
-// uploadForm is a multipart form whose parts come in any order.
+// uploadForm reads a multipart upload with its parts in any order.
 type uploadForm struct {
 	handler *handler
 	tenant  *settings.Tenant
@@ -152,7 +153,7 @@
 	return err
 }
 
-// discardTimeout bounds the removal of a file whose form was refused.
+// discardTimeout limits the deletion of a file whose form was rejected.
 const discardTimeout = 5 * time.Second
 
 func (f *uploadForm) discard(ctx context.Context) {
@@ -161,12 +162,12 @@
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), discardTimeout)
 	defer cancel()
-	// A file that stays is removed when its retention ends.
+	// If this fails, the file is deleted when its retention ends.
 	_ = f.handler.Files.Delete(ctx, f.tenant.Name, f.fileID)
 }
 
 // fileShape is OpenAI's file object.
-type fileShape struct {
+type fileJSON struct {
 	ID        string `json:"id"`
 	Object    string `json:"object"`
 	Bytes     uint64 `json:"bytes"`
@@ -177,8 +178,8 @@
 	Status    string `json:"status"`
 }
 
-func fileObject(record machine.FileRecord) fileShape {
-	return fileShape{
+func newFileJSON(record machine.FileRecord) fileJSON {
+	return fileJSON{
 		ID: record.FileID, Object: "file", Bytes: record.Bytes, CreatedAt: record.Created.Unix(),
 		ExpiresAt: record.Created.Add(record.Retention).Unix(), Filename: record.Name, Purpose: record.Purpose,
 		Status: "processed",
@@ -194,17 +195,17 @@
 	if err != nil {
 		return err
 	}
-	return writeJSON(w, fileObject(record))
+	return writeJSON(w, newFileJSON(record))
 }
 
-// getResultFile answers without the size: result files are made as they are
+// getResultFile omits the size, because result files are generated when they are
 // read.
 func (h *handler) getResultFile(w http.ResponseWriter, r *http.Request, tenant *settings.Tenant, fileID, jobID string) error {
 	job, err := h.Queries.Job(r.Context(), tenant.Name, jobID)
 	if err != nil {
 		return err
 	}
-	return writeJSON(w, fileShape{
+	return writeJSON(w, fileJSON{
 		ID: fileID, Object: "file", CreatedAt: job.Accepted.Unix(), Filename: fileID + ".jsonl",
 		Purpose: purposeBatchOutput, Status: "processed",
 	})
@@ -237,7 +238,7 @@
 			return err
 		}
 		if err != nil {
-			panic(http.ErrAbortHandler) // the caller must not take a part for the whole
+			panic(http.ErrAbortHandler) // lets the caller see that the content is incomplete
 		}
 		w.Header().Set("Content-Type", contentTypeLines)
 		if _, err := w.Write(lines); err != nil {
--- a/internal/gateway/batchapi/handler.go
+++ b/internal/gateway/batchapi/handler.go
@@ -17,7 +17,7 @@
 	"chutelock.dev/chutelock/internal/settings"
 )
 
-// Files stores and removes input files.
+// Files stores and deletes input files.
 type Files interface {
 	Store(ctx context.Context, upload command.Upload, from io.Reader) (fileID string, summary input.Summary, err error)
 	Delete(ctx context.Context, tenant, fileID string) error
@@ -39,31 +39,30 @@
 	Results(ctx context.Context, tenant, jobID string, errors bool, visit func(machine.ResultRecord) error) error
 }
 
-// Authenticator finds the tenant of a request; its errors are shown to the
-// caller if they are *apierror.Error.
+// Authenticator identifies the tenant of a request. Only errors of type
+// *apierror.Error are shown to the caller.
 type Authenticator interface {
 	Authenticate(r *http.Request) (*settings.Tenant, error)
 }
 
-// Dependencies are what the handler works with.
+// Dependencies are the services that the handler uses.
 type Dependencies struct {
 	Files         Files
 	Jobs          Jobs
 	Queries       Queries
 	Settings      settings.Source
 	Authenticator Authenticator
-	// Limits of input files; the zero value means input.DefaultLimits.
+	// Limits apply to input files; the zero value means input.DefaultLimits.
 	Limits input.Limits
 }
 
-// DefaultRetention keeps files and results of tenants without a retention of
-// their own.
+// DefaultRetention applies to files and results of tenants without a configured
+// retention.
 const DefaultRetention = 30 * 24 * time.Hour
 
-// maxJSONBody is the largest JSON body, in bytes.
+// maxJSONBody is the maximum size of a JSON body, in bytes.
 const maxJSONBody = 64 << 10
 
-// handler serves the API.
 type handler struct {
 	Dependencies
 }
@@ -90,7 +89,7 @@
 	return mux
 }
 
-// endpoint answers a request of a tenant; its error is written as the answer.
+// endpoint handles a tenant's request; its error is sent as the response.
 type endpoint func(w http.ResponseWriter, r *http.Request, tenant *settings.Tenant) error
 
 func (h *handler) authenticated(serve endpoint) http.Handler {
@@ -101,7 +100,7 @@
 			err = serve(w, r, tenant)
 		}
 		if err != nil {
-			apierror.Write(w, shown(err))
+			apierror.Write(w, toAPIError(err))
 		}
 	})
 }
@@ -123,11 +122,11 @@
 		return err
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(encoded) // a caller that went away needs no answer
+	_, _ = w.Write(encoded) // fails only if the caller disconnected
 	return nil
 }
 
-// retention is how long a tenant's files and results are kept.
+// retention returns how long a tenant's files and results are kept.
 func retention(tenant *settings.Tenant) time.Duration {
 	if tenant.Retention > 0 {
 		return tenant.Retention
--- a/internal/gateway/batchapi/results.go
+++ b/internal/gateway/batchapi/results.go
@@ -33,7 +33,7 @@
 	Message string `json:"message"`
 }
 
-// Errors of items that have no answer of an engine, by their status.
+// itemErrors has the error of each status for items without an engine's response.
 var itemErrors = map[jobs.ItemStatus]resultError{
 	jobs.ItemFailed:         {"engine_failed", "the item failed"},
 	jobs.ItemOutcomeUnknown: {"outcome_unknown", "the item was sent to an engine once and its outcome is not known"},
@@ -41,26 +41,26 @@
 	jobs.ItemExpired:        {"batch_expired", "the deadline of the batch passed before the item was done"},
 }
 
-// lineOf makes the line of a result.
-func lineOf(jobID string, result machine.ResultRecord) resultLine {
+// newResultLine converts a result to a line of the output or error file.
+func newResultLine(jobID string, result machine.ResultRecord) resultLine {
 	requestID := fmt.Sprintf("%s-%d", strings.TrimPrefix(jobID, "batch_"), result.Index)
 	line := resultLine{ID: "batch_req_" + requestID, CustomID: result.CustomID}
 	if result.HTTPStatus != 0 && json.Valid(result.Body) {
 		line.Response = &resultResponse{StatusCode: result.HTTPStatus, RequestID: requestID, Body: result.Body}
 		return line
 	}
-	told := itemErrors[result.Status]
+	itemError := itemErrors[result.Status]
 	var body struct {
 		Error resultError `json:"error"`
 	}
 	if json.Unmarshal(result.Body, &body) == nil && body.Error.Code != "" {
-		told = body.Error
+		itemError = body.Error
 	}
-	line.Error = &told
+	line.Error = &itemError
 	return line
 }
 
-// resultBuffer is the size of the buffer in front of the connection, in bytes.
+// resultBuffer is the size of the write buffer for results, in bytes.
 const resultBuffer = 64 << 10
 
 // writeResults streams a job's output or error file.
@@ -74,15 +74,15 @@
 			w.Header().Set("Content-Type", contentTypeLines)
 		}
 		written++
-		return encoder.Encode(lineOf(jobID, result))
+		return encoder.Encode(newResultLine(jobID, result))
 	})
 	if err != nil && written == 0 {
 		return err
 	}
 	if err != nil {
-		panic(http.ErrAbortHandler) // the caller must not take a part for the whole
+		panic(http.ErrAbortHandler) // lets the caller see that the file is incomplete
 	}
 	w.Header().Set("Content-Type", contentTypeLines)
-	_ = buffered.Flush() // a caller that went away needs no answer
+	_ = buffered.Flush() // fails only if the caller disconnected
 	return nil
 }
