--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -11,36 +11,37 @@
 	"chutelock.dev/chutelock/internal/gateway/apierror"
 )
 
-// indexed names an element of a list.
+// indexed returns the parameter name of a list element.
 func indexed(param string, index int) string {
 	return param + "[" + strconv.Itoa(index) + "]"
 }
 
-// answer is how a caller gets a completion. Its methods are called under the
-// exchange's lock.
+// answer writes a completion to the caller. Its methods are called with
+// exchange.mutex held.
 type answer interface {
-	// token takes the next token's text. An error means that the caller left.
+	// token adds the text of the next token. An error means that the caller
+	// disconnected.
 	token(text string) error
-	// finish ends the answer with success.
+	// finish completes the response after tokens output tokens.
 	finish(finish engine.Finish, tokens int) error
-	// fail ends the answer with an error.
+	// fail ends the response with an error.
 	fail(failure *apierror.Error)
 }
 
-// shape is what all parts of one answer have in common.
-type shape struct {
+// shape has the fields that all objects of a response share.
+type responseInfo struct {
 	chat    bool
 	id      string
 	model   string
 	created int64
 }
 
-func newShape(path, requestID, model string, now time.Time) shape {
+func newResponseInfo(path, requestID, model string, now time.Time) responseInfo {
 	prefix := "cmpl-"
 	if path == PathChatCompletions {
 		prefix = "chatcmpl-"
 	}
-	return shape{chat: path == PathChatCompletions, id: prefix + requestID, model: model, created: now.Unix()}
+	return responseInfo{chat: path == PathChatCompletions, id: prefix + requestID, model: model, created: now.Unix()}
 }
 
 type usage struct {
@@ -86,10 +87,10 @@
 	Usage   usage    `json:"usage"`
 }
 
-// wholeAnswer collects all tokens and answers once: with the whole text or
-// with an error, never with part of the text.
+// wholeAnswer buffers all tokens and sends either the complete text or an error,
+// never a part of the text.
 type wholeAnswer struct {
-	shape
+	responseInfo
 	writer http.ResponseWriter
 	text   []byte
 }
@@ -121,36 +122,36 @@
 
 func (a *wholeAnswer) fail(failure *apierror.Error) { apierror.Write(a.writer, failure) }
 
-// deadlineStep is how seldom the write deadline of a stream is moved.
+// deadlineStep is the minimum time between updates of a stream's write deadline.
 const deadlineStep = time.Second
 
-// streamAnswer relays tokens as server-sent events.
+// streamAnswer sends tokens as server-sent events.
 type streamAnswer struct {
-	shape
+	responseInfo
 	writer       http.ResponseWriter
 	control      *http.ResponseController
 	timeout      time.Duration
 	includeUsage bool
 
-	begun         bool
-	deadlineSet   time.Time
-	before, after []byte // the constant parts of a token's event
-	buffer        []byte
+	begun                    bool
+	deadlineSet              time.Time
+	tokenPrefix, tokenSuffix []byte // constant parts of a token event
+	buffer                   []byte
 }
 
-func newStreamAnswer(shape shape, writer http.ResponseWriter, timeout time.Duration, includeUsage bool) *streamAnswer {
-	a := &streamAnswer{shape: shape, writer: writer, control: http.NewResponseController(writer), timeout: timeout, includeUsage: includeUsage}
+func newStreamAnswer(info responseInfo, writer http.ResponseWriter, timeout time.Duration, includeUsage bool) *streamAnswer {
+	a := &streamAnswer{responseInfo: info, writer: writer, control: http.NewResponseController(writer), timeout: timeout, includeUsage: includeUsage}
 	if a.chat {
-		a.before = append(a.head(), `{"index":0,"delta":{"content":`...)
-		a.after = []byte(`},"logprobs":null,"finish_reason":null}]}` + "\n\n")
+		a.tokenPrefix = append(a.head(), `{"index":0,"delta":{"content":`...)
+		a.tokenSuffix = []byte(`},"logprobs":null,"finish_reason":null}]}` + "\n\n")
 	} else {
-		a.before = append(a.head(), `{"index":0,"text":`...)
-		a.after = []byte(`,"logprobs":null,"finish_reason":null}]}` + "\n\n")
+		a.tokenPrefix = append(a.head(), `{"index":0,"text":`...)
+		a.tokenSuffix = []byte(`,"logprobs":null,"finish_reason":null}]}` + "\n\n")
 	}
 	return a
 }
 
-// head is the beginning of an event, up to its choices.
+// head returns the start of an event, up to its choices.
 func (a *streamAnswer) head() []byte {
 	object := "text_completion"
 	if a.chat {
@@ -182,9 +183,9 @@
 	if !a.begun {
 		a.begin()
 	}
-	a.buffer = append(a.buffer, a.before...)
+	a.buffer = append(a.buffer, a.tokenPrefix...)
 	a.buffer = appendString(a.buffer, text)
-	a.buffer = append(a.buffer, a.after...)
+	a.buffer = append(a.buffer, a.tokenSuffix...)
 	return a.send()
 }
 
@@ -215,7 +216,8 @@
 	return a.send()
 }
 
-// fail ends the stream with an error event and without [DONE].
+// fail sends an error response, or an error event without [DONE] if the stream has
+// begun.
 func (a *streamAnswer) fail(failure *apierror.Error) {
 	if !a.begun {
 		apierror.Write(a.writer, failure)
@@ -238,7 +240,8 @@
 	return a.control.Flush()
 }
 
-// appendString appends text as a JSON string; most tokens need no escape.
+// appendString appends text as a JSON string, with a fast path for text that needs
+// no escapes.
 func appendString(out []byte, text string) []byte {
 	for i := 0; i < len(text); i++ {
 		if c := text[i]; c < 0x20 || c == '"' || c == '\\' || c >= utf8.RuneSelf {
@@ -252,7 +255,7 @@
 
 func appendEscaped(out []byte, text string) []byte {
 	encoded, err := json.Marshal(text)
-	if err != nil { // a string always encodes
+	if err != nil { // unreachable for strings
 		panic(err)
 	}
 	return append(out, encoded...)
--- a/internal/gateway/authenticate.go
+++ b/internal/gateway/authenticate.go
@@ -9,10 +9,10 @@
 	"chutelock.dev/chutelock/internal/settings"
 )
 
-// retryAfterNoSettings is when to come back to a node that has no settings yet.
+// retryAfterNoSettings is the suggested retry delay until a node has settings.
 const retryAfterNoSettings = time.Second
 
-// Authenticate finds the tenant whose key the request carries.
+// Authenticate returns the tenant of the request's API key.
 func Authenticate(snapshot *settings.Snapshot, r *http.Request) (*settings.Tenant, *apierror.Error) {
 	if snapshot == nil {
 		return nil, apierror.NotRun(http.StatusServiceUnavailable, retryAfterNoSettings, "this node has no settings yet")
@@ -28,7 +28,7 @@
 	return tenant, nil
 }
 
-// MayUse says whether the tenant may use the model.
+// MayUse reports whether the tenant may use the model.
 func MayUse(tenant *settings.Tenant, model string) bool {
 	if len(tenant.Models) == 0 {
 		return true
--- a/internal/gateway/badinput_test.go
+++ b/internal/gateway/badinput_test.go
@@ -17,7 +17,8 @@
 	"chutelock.dev/chutelock/internal/settings"
 )
 
-func TestBadInputIsRefusedAndLeavesNothing(t *testing.T) {
+// Guards against invalid requests reaching an engine or staying in the queue.
+func TestInvalidRequestIsRejected(t *testing.T) {
 	const limit = 4096
 	engines := newFakeFleet(2)
 	server := newTestServer(engines, settings.Tenant{}, Config{MaxBodyBytes: limit})
@@ -115,8 +116,8 @@
 	g.Expect(server.gateway.gate.QueueLength()).To(gomega.BeEmpty())
 }
 
-// TestSlowSendersAreRefused covers what only a raw connection can send.
-func TestSlowSendersAreRefused(t *testing.T) {
+// Guards against slow or oversized requests that an HTTP client can't send.
+func TestSlowOrOversizedRequestIsRejected(t *testing.T) {
 	engines := newFakeFleet(1)
 	server := newTestServer(engines, settings.Tenant{}, Config{MaxBodyBytes: 4096, HeaderTimeout: 300 * time.Millisecond, BodyTimeout: 300 * time.Millisecond})
 	defer server.Close()
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -18,11 +18,10 @@
 	"chutelock.dev/chutelock/internal/settings"
 )
 
-// tokensPerStream of the benchmarks.
 const tokensPerStream = 500
 
-// processCPU is the processor time of the whole process; on a busy machine it
-// says more than the time that passed.
+// processCPU returns the CPU time of the process, which depends less on other load
+// than elapsed time does.
 func processCPU() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -31,7 +30,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// tokenEngine is an HTTP engine that streams tokens at once, one event each.
+// tokenEngine returns an HTTP engine that streams tokens without delay, one per
+// event.
 func tokenEngine() *httptest.Server {
 	return httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -54,7 +54,7 @@
 
 var benchTransport = openaihttp.NewTransport(time.Second)
 
-// readStream reads a whole stream and counts its events.
+// readStream reads a whole stream and fails if events are missing.
 func readStream(b *testing.B, url string) {
 	request, _ := http.NewRequest("POST", url+PathCompletions, strings.NewReader(completionBody(PathCompletions, "x", true)))
 	request.Header.Set("Authorization", "Bearer "+testKey)
@@ -75,9 +75,9 @@
 	}
 }
 
-// BenchmarkStream compares a stream read from the engine with the same stream
-// through the gateway, over sockets. The difference of cpu-ns/token is what a
-// gateway spends on a token, its reading and its writing included.
+// BenchmarkStream compares reading a stream from the engine directly and through
+// the gateway, over sockets. The difference in cpu-ns/token is the gateway's CPU
+// time per token, including its I/O.
 func BenchmarkStream(b *testing.B) {
 	engineServer := tokenEngine()
 	defer engineServer.Close()
@@ -97,7 +97,7 @@
 	}
 }
 
-// instantEngine hands over tokens without any transport.
+// instantEngine generates tokens without a transport.
 type instantEngine struct{ engine.Client }
 
 func (instantEngine) Generate(_ context.Context, _ engine.Request, sink func(engine.Chunk) error) (engine.Finish, error) {
@@ -113,7 +113,7 @@
 
 func (instantClients) Client(*fleet.Endpoint) engine.Client { return instantEngine{} }
 
-// discardWriter is a caller who takes everything at once.
+// discardWriter is a response writer that never blocks.
 type discardWriter struct{ header http.Header }
 
 func (w discardWriter) Header() http.Header              { return w.header }
@@ -123,7 +123,7 @@
 func (w discardWriter) SetWriteDeadline(time.Time) error { return nil }
 func (w discardWriter) SetReadDeadline(time.Time) error  { return nil }
 
-// BenchmarkRelay measures the gateway's own work on a token, without sockets.
+// BenchmarkRelay measures the gateway's CPU time per token without sockets.
 func BenchmarkRelay(b *testing.B) {
 	engines := newFakeFleet(12)
 	g := New(Dependencies{Settings: testSettings(settings.Tenant{}, testService()), Fleet: engines, Clients: instantClients{}, Config: Config{MinTokenTimeout: time.Minute}})
--- a/internal/gateway/body.go
+++ b/internal/gateway/body.go
@@ -11,7 +11,7 @@
 	"chutelock.dev/chutelock/internal/gateway/apierror"
 )
 
-// readBody reads a JSON body within the limits of size and time.
+// readBody reads a JSON body within MaxBodyBytes and BodyTimeout.
 func (g *Gateway) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *apierror.Error) {
 	if kind := r.Header.Get("Content-Type"); kind != "" {
 		media, _, err := mime.ParseMediaType(kind)
@@ -30,7 +30,7 @@
 	_ = control.SetReadDeadline(time.Now().Add(g.config.BodyTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, g.config.MaxBodyBytes))
 	if err != nil {
-		return nil, g.bodyFailure(w, err)
+		return nil, g.bodyError(w, err)
 	}
 	_ = control.SetReadDeadline(time.Time{})
 	return body, nil
@@ -40,7 +40,7 @@
 	return &apierror.Error{Status: http.StatusUnsupportedMediaType, Code: apierror.CodeUnsupportedMedia, Type: apierror.TypeInvalidRequest, Param: header, Message: "send the body as application/json without a content encoding"}
 }
 
-func (g *Gateway) bodyFailure(w http.ResponseWriter, err error) *apierror.Error {
+func (g *Gateway) bodyError(w http.ResponseWriter, err error) *apierror.Error {
 	w.Header().Set("Connection", "close")
 	var tooLarge *http.MaxBytesError
 	switch {
--- a/internal/gateway/completion.go
+++ b/internal/gateway/completion.go
@@ -19,7 +19,7 @@
 	PathModels          = "/v1/models"
 )
 
-// Limits of a request's fields.
+// Limits of request fields.
 const (
 	maxModelName     = 256
 	maxStopSequences = 4
@@ -27,19 +27,19 @@
 	maxMessages      = 4096
 )
 
-// Completion is a checked request for a completion.
+// Completion is a validated completion request.
 type Completion struct {
 	Model string
-	// Prompt is the text of the prompt, or of all messages one after another.
+	// Prompt is the prompt, or the concatenated roles and texts of all messages.
 	Prompt       string
 	Stream       bool
 	IncludeUsage bool
-	// Body is the caller's JSON object as it came.
+	// Body is the caller's JSON object, unchanged.
 	Body []byte
 }
 
-// ParseCompletion checks the body of a request to path. Each *apierror.Error
-// names the field at fault. Jobs check their items with it too.
+// ParseCompletion parses and validates the body of a request to path. Errors name
+// the invalid field.
 func ParseCompletion(path string, body []byte) (*Completion, *apierror.Error) {
 	if !utf8.Valid(body) {
 		return nil, apierror.InvalidJSON("", "the body is not valid UTF-8")
@@ -65,14 +65,14 @@
 
 type rawFields map[string]json.RawMessage
 
-// present says that the field is there and not null.
+// present reports whether the field exists and is not null.
 func (f rawFields) present(name string) bool {
 	raw, ok := f[name]
 	return ok && !bytes.Equal(raw, []byte("null"))
 }
 
-// objectFields splits a JSON object and refuses one with a field twice, which
-// the engine might read otherwise than we do.
+// objectFields returns the fields of a JSON object. It rejects duplicate fields,
+// which the engine might resolve differently from the gateway.
 func objectFields(param string, raw []byte) (rawFields, *apierror.Error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	opening, err := decoder.Token()
@@ -125,11 +125,11 @@
 	return apierror.InvalidJSON(param, "malformed JSON: %v", err)
 }
 
-// unsupported fields change the shape of the answer in ways that this gateway
-// can't relay; saying so is better than dropping them.
+// unsupported lists fields that change the response in ways that the gateway can't
+// relay. They are rejected rather than ignored.
 var unsupported = []string{"tools", "tool_choice", "functions", "function_call", "audio", "modalities", "logprobs", "top_logprobs", "response_format", "suffix"}
 
-// reserved fields are the gateway's to set.
+// reserved lists fields that only the gateway may set.
 var reserved = []string{"priority", "request_id", "resume_from", "kv_transfer_params"}
 
 // numberRange is the allowed range of a numeric field.
@@ -249,7 +249,7 @@
 	return nil
 }
 
-// readPrompt takes a string, or a list of exactly one.
+// readPrompt accepts a string or a list of one string.
 func (c *Completion) readPrompt(fields rawFields) *apierror.Error {
 	if !fields.present("prompt") {
 		return apierror.Invalid("prompt", "the field is required")
@@ -272,7 +272,7 @@
 	return nil
 }
 
-// messageRoles are the roles that a message may have.
+// messageRoles has the allowed roles of a message.
 var messageRoles = map[string]bool{"system": true, "developer": true, "user": true, "assistant": true}
 
 func (c *Completion) readMessages(fields rawFields) *apierror.Error {
@@ -317,7 +317,7 @@
 	return nil
 }
 
-// readContent takes a string or a list of text parts.
+// readContent accepts a string or a list of text parts.
 func readContent(param string, raw json.RawMessage, prompt *strings.Builder) *apierror.Error {
 	var text string
 	if json.Unmarshal(raw, &text) == nil {
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -2,38 +2,37 @@
 
 import "time"
 
-// Config bounds what a caller may ask of a node. Zero fields take the values
-// of DefaultConfig.
+// Config has the limits and timeouts of requests. Zero fields take the values of
+// DefaultConfig.
 type Config struct {
-	// MaxBodyBytes bounds a request's body.
+	// MaxBodyBytes is the maximum size of a request body.
 	MaxBodyBytes int64
-	// HeaderTimeout bounds the time in which a request's header must arrive.
+	// HeaderTimeout limits the time to receive a request header.
 	HeaderTimeout time.Duration
-	// BodyTimeout bounds the time in which the body must arrive.
+	// BodyTimeout limits the time to receive a request body.
 	BodyTimeout time.Duration
-	// WriteTimeout bounds how long a caller may take to read one piece of the
-	// answer.
+	// WriteTimeout limits the time for one write to a streaming caller.
 	WriteTimeout time.Duration
-	// RequestTimeout bounds a whole request; a caller may ask for less.
+	// RequestTimeout limits a whole request; a caller may set a shorter limit.
 	RequestTimeout time.Duration
-	// FirstTokenTimeout bounds the wait for an attempt's first token where the
-	// service has no objective; otherwise FirstTokenFactor × the objective
-	// does, within the bounds of MinTokenTimeout and FirstTokenTimeout.
+	// FirstTokenTimeout limits the wait for an attempt's first token. If the
+	// service has a latency objective, the limit is FirstTokenFactor × objective,
+	// clamped to MinTokenTimeout and FirstTokenTimeout.
 	FirstTokenTimeout time.Duration
 	FirstTokenFactor  float64
-	// NextTokenTimeout and NextTokenFactor are the same between tokens.
+	// NextTokenTimeout and NextTokenFactor do the same for later tokens.
 	NextTokenTimeout time.Duration
 	NextTokenFactor  float64
 	MinTokenTimeout  time.Duration
-	// HedgeAfter starts a second attempt of a repeatable request that has no
-	// token yet; 0 turns hedging off.
+	// HedgeAfter is the time without a token after which a repeatable request gets
+	// a second, concurrent attempt; 0 disables hedging.
 	HedgeAfter time.Duration
-	// DrainSettle is how long a draining node still takes requests, so that
-	// those who send to it can see that it isn't ready.
+	// DrainSettle is how long a draining node still accepts requests, so that load
+	// balancers can notice that it isn't ready.
 	DrainSettle time.Duration
 }
 
-// DefaultConfig returns the values in use when nothing is set.
+// DefaultConfig returns the default configuration.
 func DefaultConfig() Config {
 	return Config{
 		MaxBodyBytes:      4 << 20,
@@ -73,7 +72,7 @@
 	}
 }
 
-// tokenTimeout derives a timeout from a service's objective.
+// tokenTimeout returns the token timeout for a latency objective.
 func (c *Config) tokenTimeout(objective time.Duration, factor float64, longest time.Duration) time.Duration {
 	if objective <= 0 {
 		return longest
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -1,12 +1,12 @@
-// Package gateway answers callers' online requests in the form of OpenAI's
-// HTTP API: it authenticates and checks a request, asks for admission, lets
-// routing choose engines and relays their answer.
+// Package gateway serves online requests with OpenAI's HTTP API: it authenticates
+// and validates a request, passes it through admission control and relays the
+// response of an engine chosen by routing.
 //
-// The way of a request is: Gateway (HTTP, checks) → admission/online (limits,
-// queue) → exchange (attempts at engines, as relay.Call decides) → routing and
-// engine.Client. What is decided is decided in the pure packages relay,
-// routing and admission/online; this package is their shell.
+// A request passes through Gateway (HTTP, validation), admission/online (limits,
+// queue), exchange (attempts at engines, controlled by relay.Call), and routing and
+// engine.Client. The packages relay, routing and admission/online make the
+// decisions without I/O; this package performs the I/O and the locking.
 //
-// Lock order: exchange.mutex, then placement.mutex; the admission gate's lock
-// is taken with neither held, and before placement.mutex.
+// Lock order: exchange.mutex before placement.mutex. The lock of the admission gate
+// is acquired with neither held, and before placement.mutex.
 package gateway
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -5,16 +5,15 @@
 	"time"
 )
 
-// Ready says whether callers should send requests here.
+// Ready reports whether the gateway has settings and is not draining.
 func (g *Gateway) Ready() bool { return !g.draining.Load() && g.settings.Current() != nil }
 
-// drainPoll is how often Drain looks whether requests are in progress.
+// drainPoll is the interval at which Drain checks for requests in progress.
 const drainPoll = 5 * time.Millisecond
 
-// Drain stops the gateway: from now on it isn't ready; after the settle time
-// it refuses new requests as not run; and it returns when none is in progress
-// any more, or with an error when ctx ends first. The caller then shuts the
-// HTTP server down.
+// Drain stops the gateway. It makes Ready report false at once and rejects new
+// requests as not run after DrainSettle. It returns when no request is in progress,
+// or with an error if ctx ends first. The caller then shuts down the HTTP server.
 func (g *Gateway) Drain(ctx context.Context) error {
 	g.draining.Store(true)
 	eventDrainStarted.Info("in_progress", g.inFlight.Load())
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -17,29 +17,29 @@
 	"chutelock.dev/chutelock/internal/routing"
 )
 
-// bytesPerToken estimates the length of a prompt in tokens.
+// bytesPerToken is used to estimate the number of prompt tokens.
 const bytesPerToken = 4
 
-// errTimedOut is the cause of an attempt that brought no token in time.
+// errTimedOut is the cause of failure of an attempt without a token in time.
 var errTimedOut = errors.New("no token came in time")
 
-// exchange carries one admitted request through its attempts to its one final
-// answer. serve runs on the handler's goroutine; each attempt runs on its own
-// and hands its tokens to the caller under the mutex.
+// exchange runs the attempts of one admitted request and writes its response. serve
+// runs on the handler's goroutine; each attempt runs on its own goroutine and
+// writes its tokens to the caller with mutex held.
 type exchange struct {
-	gateway    *Gateway
-	id         string
-	path       string
-	tenant     string
-	priority   engine.Priority
-	completion *Completion
-	placing    routing.Request
-	deadline   time.Time
-	started    time.Time
-	// firstTokenLimit and nextTokenLimit bound the waits for tokens.
+	gateway      *Gateway
+	id           string
+	path         string
+	tenant       string
+	priority     engine.Priority
+	completion   *Completion
+	routeRequest routing.Request
+	deadline     time.Time
+	started      time.Time
+	// firstTokenLimit and nextTokenLimit are the timeouts of the waits for tokens.
 	firstTokenLimit, nextTokenLimit time.Duration
 
-	ends chan ended // holds one for each possible attempt, so senders never wait
+	ends chan ended // has capacity for all attempts, so that senders never block
 
 	mutex      sync.Mutex
 	answer     answer
@@ -48,7 +48,7 @@
 	lastToken  time.Time
 	callerLeft bool
 	hedged     bool
-	code       string // of the final answer, empty until it is given
+	code       string // code of the final response, empty until it is determined
 }
 
 // attempt is a live attempt at one engine.
@@ -57,20 +57,20 @@
 	decision routing.Decision
 	cancel   context.CancelFunc
 	began    time.Time
-	progress time.Time // newest token, zero before the first
-	highest  int       // highest index seen, -1 before the first
+	progress time.Time // time of the last token, zero before the first
+	highest  int       // highest token index received, -1 before the first
 	tokens   int
 }
 
-// ended is the end of an attempt.
+// ended is the result of an attempt.
 type ended struct {
 	attempt *attempt
 	finish  engine.Finish
 	err     error
 }
 
-// serve runs the exchange until its final answer is given or the caller left,
-// and returns the answer's code.
+// serve runs the exchange until the final response is written or the caller
+// disconnects, and returns the response code.
 func (x *exchange) serve(ctx context.Context) string {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -98,14 +98,15 @@
 	return x.code
 }
 
-// leave ends an exchange whose caller has gone.
+// leave ends the exchange because the caller disconnected.
 func (x *exchange) leave() {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	x.code = codeCallerLeft
 }
 
-// launch begins an attempt, or gives up if no engine can take it.
+// launch begins an attempt. If no engine can take it and no other attempt is live,
+// it ends the exchange.
 func (x *exchange) launch(ctx context.Context) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
@@ -114,7 +115,7 @@
 
 func (x *exchange) launchLocked(ctx context.Context) {
 	now := time.Now()
-	decision, err := x.gateway.placement.pick(now, x.placing)
+	decision, err := x.gateway.placement.pick(now, x.routeRequest)
 	if err != nil {
 		if len(x.attempts) == 0 {
 			x.giveUp(now, err)
@@ -125,8 +126,8 @@
 	attemptContext, cancel := context.WithCancel(ctx)
 	begun := &attempt{number: number, decision: decision, cancel: cancel, began: now, highest: -1}
 	x.attempts[number] = begun
-	x.placing.Tried = append(x.placing.Tried, decision.Endpoint.Name)
-	x.placing.Slots = 0 // once admitted, a retry must not fail for a full engine
+	x.routeRequest.Tried = append(x.routeRequest.Tried, decision.Endpoint.Name)
+	x.routeRequest.Slots = 0 // retries of an admitted request may use a full engine
 	if resumeFrom > 0 {
 		eventStreamResumed.Info("request", x.id, "attempt", number, "engine", decision.Endpoint.Name, "token", resumeFrom)
 	}
@@ -144,7 +145,7 @@
 	go x.run(attemptContext, begun, request)
 }
 
-// run is the attempt's goroutine.
+// run executes an attempt and sends its result to ends.
 func (x *exchange) run(ctx context.Context, running *attempt, request engine.Request) {
 	end := ended{attempt: running}
 	defer func() {
@@ -156,12 +157,12 @@
 	}()
 	client := x.gateway.clients.Client(running.decision.Endpoint)
 	end.finish, end.err = client.Generate(ctx, request, func(chunk engine.Chunk) error {
-		return x.take(running, chunk)
+		return x.receive(running, chunk)
 	})
 }
 
-// take is the sink of an attempt.
-func (x *exchange) take(from *attempt, chunk engine.Chunk) error {
+// receive is the sink of an attempt.
+func (x *exchange) receive(from *attempt, chunk engine.Chunk) error {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	if x.code != "" {
@@ -173,12 +174,12 @@
 	}
 	now := time.Now()
 	if chunk.Index > from.highest {
-		x.noteProgress(now, from, chunk.Index)
+		x.recordProgress(now, from, chunk.Index)
 	}
 	if !deliver {
 		return nil
 	}
-	x.measure(now)
+	x.observeToken(now)
 	if err := x.answer.token(chunk.Text); err != nil {
 		x.callerLeft = true
 		return trace.Wrap(err, "writing to the caller")
@@ -186,7 +187,7 @@
 	return nil
 }
 
-func (x *exchange) noteProgress(now time.Time, from *attempt, index int) {
+func (x *exchange) recordProgress(now time.Time, from *attempt, index int) {
 	if from.progress.IsZero() {
 		x.gateway.placement.observe(now, routing.Outcome{Attempt: from.decision.Attempt, Kind: routing.OutcomeFirstToken})
 		x.dropOthers(now, from)
@@ -196,7 +197,7 @@
 	from.tokens++
 }
 
-func (x *exchange) measure(now time.Time) {
+func (x *exchange) observeToken(now time.Time) {
 	if x.lastToken.IsZero() {
 		x.gateway.metrics.firstToken.Observe(now.Sub(x.started).Seconds())
 	} else {
@@ -205,7 +206,7 @@
 	x.lastToken = now
 }
 
-// dropOthers cancels the attempts that lost against the owner.
+// dropOthers cancels all attempts except the owner.
 func (x *exchange) dropOthers(now time.Time, owner *attempt) {
 	for _, other := range x.attempts {
 		if other != owner {
@@ -215,14 +216,14 @@
 	}
 }
 
-// dropAll cancels what is still live once the final answer is given.
+// dropAll cancels all live attempts.
 func (x *exchange) dropAll() {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	x.dropOthers(time.Now(), nil)
 }
 
-// release ends an attempt towards its engine, routing and observer.
+// release cancels an attempt and reports its end to routing, observer and metrics.
 func (x *exchange) release(now time.Time, ending *attempt, outcome routing.Outcome, label string) {
 	delete(x.attempts, ending.number)
 	ending.cancel()
@@ -231,7 +232,7 @@
 	x.gateway.metrics.attempts.WithLabelValues(label).Inc()
 }
 
-// handleEnd takes in the end of an attempt's goroutine.
+// handleEnd processes the result of an attempt.
 func (x *exchange) handleEnd(ctx context.Context, end ended) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
@@ -267,7 +268,7 @@
 	}
 }
 
-// asEngineError keeps an engine's own error; any other leaves the fate open.
+// asEngineError returns the engine's error, or wraps any other with FateUnknown.
 func asEngineError(end ended) *engine.Error {
 	var failure *engine.Error
 	if errors.As(end.err, &failure) {
@@ -276,7 +277,8 @@
 	return &engine.Error{Engine: end.attempt.decision.Endpoint.Name, Step: "relaying", Fate: engine.FateUnknown, Err: end.err}
 }
 
-// fail ends a failed attempt and does what the call decides.
+// fail ends a failed attempt, then waits, retries or ends the exchange as relay.Call
+// decides.
 func (x *exchange) fail(ctx context.Context, now time.Time, failed *attempt, failure *engine.Error, timedOut bool) {
 	eventAttemptFailed.Error(failure, "request", x.id, "attempt", failed.number, "fate", fateName(failure.Fate), "tokens", failed.tokens)
 	outcome := routing.FateOf(failed.decision.Attempt, failure, timedOut)
@@ -292,7 +294,7 @@
 		x.gateway.metrics.retries.WithLabelValues(kind).Inc()
 		x.launchLocked(ctx)
 	default:
-		x.conclude(next.Answer)
+		x.respondError(next.Answer)
 	}
 }
 
@@ -307,24 +309,24 @@
 	}
 }
 
-// giveUp ends an exchange for which no engine can be picked.
+// giveUp ends the exchange because routing found no engine.
 func (x *exchange) giveUp(now time.Time, cause error) {
 	failure := x.call.GiveUp(now)
 	var none *routing.NoEndpointError
 	if failure.Code == apierror.CodeNotRun && failure.Cause == nil && errors.As(cause, &none) {
 		failure = apierror.NotRun(http.StatusServiceUnavailable, failure.RetryAfter, "%s; the request was not run", none.Reason)
 	}
-	x.conclude(failure)
+	x.respondError(failure)
 }
 
-func (x *exchange) conclude(failure *apierror.Error) {
+func (x *exchange) respondError(failure *apierror.Error) {
 	x.code = string(failure.Code)
 	eventAnswerGivenUp.Error(failure, "request", x.id, "attempts", x.call.Attempts(), "tokens", x.call.Delivered())
 	x.answer.fail(failure)
 }
 
-// checkTimes ends attempts that bring no token and the whole exchange when its
-// deadline passes, and hedges if that is on.
+// checkTimes enforces the deadline and the token timeouts, and begins a hedged
+// attempt when it is due.
 func (x *exchange) checkTimes(ctx context.Context) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
@@ -333,7 +335,7 @@
 		return
 	}
 	if !now.Before(x.deadline) {
-		x.conclude(x.call.GiveUp(now))
+		x.respondError(x.call.GiveUp(now))
 		return
 	}
 	for _, live := range x.attempts {
@@ -342,7 +344,7 @@
 		}
 		failure := &engine.Error{Engine: live.decision.Endpoint.Name, Step: "waiting for a token", Fate: engine.FateUnknown, Err: errTimedOut}
 		x.fail(ctx, now, live, failure, true)
-		return // the timer comes again at once if there is more
+		return // the timer fires again at once for further attempts
 	}
 	if at := x.hedgeAt(); !at.IsZero() && !now.Before(at) {
 		x.hedged = true
@@ -351,7 +353,7 @@
 	}
 }
 
-// expiry is when an attempt counts as failed if no token comes.
+// expiry returns the time at which an attempt fails unless it sends a token.
 func (x *exchange) expiry(live *attempt) time.Time {
 	if live.progress.IsZero() {
 		return live.began.Add(x.firstTokenLimit)
@@ -359,11 +361,11 @@
 	return live.progress.Add(x.nextTokenLimit)
 }
 
-// hedgeAt is when a second attempt begins beside a silent first one; zero
-// means never.
+// hedgeAt returns the time to begin a second attempt beside one without tokens, or
+// the zero time for never.
 func (x *exchange) hedgeAt() time.Time {
 	after := x.gateway.config.HedgeAfter
-	if after <= 0 || x.hedged || !x.placing.Repeatable || len(x.attempts) != 1 || x.call.Attempts() >= relay.MaxAttempts {
+	if after <= 0 || x.hedged || !x.routeRequest.Repeatable || len(x.attempts) != 1 || x.call.Attempts() >= relay.MaxAttempts {
 		return time.Time{}
 	}
 	for _, live := range x.attempts {
@@ -389,7 +391,7 @@
 	return max(time.Until(next), 0)
 }
 
-// noObserver is used when nobody wants to know of online requests.
+// noObserver is used if no observer is configured.
 type noObserver struct{}
 
 func (noObserver) OnlineStarted(*fleet.Endpoint, string, int) {}
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -29,7 +29,7 @@
 	testKey   = "key-of-nairamdal"
 )
 
-// expectedTokens is what any engine generates for a prompt.
+// expectedTokens returns the tokens that every engine generates for a prompt.
 func expectedTokens(prompt string) []string {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(prompt))
@@ -40,41 +40,41 @@
 	return tokens
 }
 
-// behaviour is how a fake engine treats one attempt.
+// behaviour is a fake engine's behaviour in one attempt.
 type behaviour int
 
 const (
 	behaveWell behaviour = iota
 	refuseConnection
-	loseRequest     // never ran, but nobody can tell
-	loseAnswer      // ran to the end, nothing came back
-	cutStream       // breaks off after some tokens
-	stayDumb        // accepted and never answers
-	duplicateTokens // sends every token twice, and old ones again
-	answerLate      // breaks off, and goes on sending afterwards
-	finishEarly     // says it is done before it is
-	skipToken       // leaves a token out
+	loseRequest     // doesn't run, and the outcome is unknown
+	loseAnswer      // runs to the end, but the response is lost
+	cutStream       // fails after some tokens
+	neverAnswer     // accepts the request and never responds
+	duplicateTokens // sends every token twice and repeats old ones
+	answerLate      // fails, but continues to send tokens
+	finishEarly     // reports success before the last token
+	skipToken       // omits a token
 	panicMidway
-	failHonestly // ran, and answers with an error
-	behaviours   // their number
+	returnError    // runs and returns an error
+	behaviourCount // number of behaviours
 )
 
-// fakeFleet is a fleet of fake engines, which is also its own Clients. Plans
-// tell how the attempts of a prompt are treated, one after another.
+// fakeFleet is a fleet of fake engines and implements fleet.Source and
+// fleet.Clients. plan selects the behaviour of each attempt of a prompt.
 type fakeFleet struct {
 	snapshot *fleet.Snapshot
 	plan     func(prompt string, attempt uint32) behaviour
-	// sick engines treat all attempts alike.
-	sick map[string]behaviour
-	// hold, if set, is called before each token of a prompt but the first.
+	// faulty has the engines with a fixed behaviour, by name.
+	faulty map[string]behaviour
+	// hold, if set, is called before each token except the first.
 	hold func(ctx context.Context, prompt string)
-	// endless streams never finish by themselves.
+	// endless makes all streams run until they are cancelled.
 	endless bool
 
 	mutex    sync.Mutex
-	runs     map[string]int // truth: attempts of the prompt that ran
+	runs     map[string]int // attempts that ran, by prompt
 	attempts int
-	active   atomic.Int32 // attempts and late senders at work
+	active   atomic.Int32 // running attempts and late senders
 }
 
 func newFakeFleet(engines int) *fakeFleet {
@@ -122,13 +122,13 @@
 	e.fleet.active.Add(1)
 	defer e.fleet.active.Add(-1)
 	tokens := expectedTokens(body.Prompt)
-	how, sick := e.fleet.sick[e.name]
-	if !sick {
-		how = e.fleet.plan(body.Prompt, request.Attempt)
+	mode, faulty := e.fleet.faulty[e.name]
+	if !faulty {
+		mode = e.fleet.plan(body.Prompt, request.Attempt)
 	}
 	e.fleet.mutex.Lock()
 	e.fleet.attempts++
-	if how != refuseConnection && how != loseRequest {
+	if mode != refuseConnection && mode != loseRequest {
 		e.fleet.runs[body.Prompt]++
 	}
 	e.fleet.mutex.Unlock()
@@ -151,17 +151,17 @@
 	}
 	done := engine.Finish{Reason: "stop", PromptTokens: 7, CompletionTokens: len(tokens)}
 	broken := errors.New("connection reset")
-	switch how {
+	switch mode {
 	case refuseConnection:
 		return e.fail(engine.FateNotRun, errors.New("connection refused"))
 	case loseRequest, loseAnswer:
 		return e.fail(engine.FateUnknown, broken)
-	case failHonestly:
+	case returnError:
 		return e.fail(engine.FateFailed, errors.New("out of memory"))
 	case cutStream:
 		_ = send(request.ResumeFrom, middle)
 		return e.fail(engine.FateUnknown, broken)
-	case stayDumb:
+	case neverAnswer:
 		<-ctx.Done()
 		return e.fail(engine.FateUnknown, ctx.Err())
 	case duplicateTokens:
@@ -246,25 +246,25 @@
 	}
 }
 
-// reply is what a caller got.
+// reply is the response that a caller received.
 type reply struct {
-	closed  bool // the connection is to be closed
+	closed  bool // the server closes the connection
 	prompt  string
 	status  int
 	header  http.Header
 	text    string
-	whole   bool // a 200 with its whole body, or a stream with [DONE]
+	whole   bool // status 200 with a complete body, or a stream with [DONE]
 	code    apierror.Code
 	param   string
 	message string
 }
 
-// ask sends a request and reads its answer, plain or streamed.
+// ask sends a request and reads the response, streamed or not.
 func (s *testServer) ask(method, path, body string, headers map[string]string) (reply, error) {
 	return s.askWithin(context.Background(), method, path, body, headers)
 }
 
-// askWithin asks as a caller who leaves when ctx ends.
+// askWithin is like ask with a caller that disconnects when ctx ends.
 func (s *testServer) askWithin(ctx context.Context, method, path, body string, headers map[string]string) (reply, error) {
 	request, err := http.NewRequestWithContext(ctx, method, s.URL+path, strings.NewReader(body))
 	if err != nil {
@@ -330,7 +330,7 @@
 		switch {
 		case !isData:
 		case done:
-			return errors.New("an event after [DONE]")
+			return errors.New("event after [DONE]")
 		case data == "[DONE]":
 			done = true
 		default:
@@ -343,7 +343,7 @@
 	return scanner.Err()
 }
 
-// completionBody is the JSON of a request.
+// completionBody returns the JSON body of a request.
 func completionBody(path, prompt string, stream bool) string {
 	if path == PathChatCompletions {
 		return fmt.Sprintf(`{"model":%q,"stream":%v,"messages":[{"role":"system","content":"you draft replies"},{"role":"user","content":%q}]}`, testModel, stream, prompt)
@@ -351,7 +351,7 @@
 	return fmt.Sprintf(`{"model":%q,"stream":%v,"prompt":%q}`, testModel, stream, prompt)
 }
 
-// hedgeFor draws when to hedge.
-func hedgeFor(t *rapid.T) time.Duration {
+// drawHedgeAfter draws a value of Config.HedgeAfter.
+func drawHedgeAfter(t *rapid.T) time.Duration {
 	return rapid.SampledFrom([]time.Duration{0, time.Millisecond}).Draw(t, "hedge after")
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -23,27 +23,27 @@
 
 // Headers that callers may set.
 const (
-	// HeaderRepeatable with "false" marks a request that runs at most once.
+	// HeaderRepeatable with "false" marks a request that must run at most once.
 	HeaderRepeatable = "Chutelock-Repeatable"
-	// HeaderTimeout bounds the request's time: seconds or a Go duration.
+	// HeaderTimeout limits the request's time, in seconds or as a Go duration.
 	HeaderTimeout = "Chutelock-Timeout"
 )
 
-// Dependencies are what a Gateway works with.
+// Dependencies are the services and settings that a Gateway uses.
 type Dependencies struct {
 	Settings settings.Source
 	Fleet    fleet.Source
 	Clients  fleet.Clients
 	// Observer may be nil.
 	Observer fleet.OnlineObserver
-	// Registry takes the metrics; nil leaves them unregistered.
+	// Registry registers the metrics; if nil, they are not registered.
 	Registry prometheus.Registerer
 	Routing  routing.Config
 	Config   Config
 }
 
-// Gateway is the HTTP handler of the online API. All methods may be called
-// concurrently.
+// Gateway is the HTTP handler of the online API. Its methods are safe for
+// concurrent use.
 type Gateway struct {
 	settings  settings.Source
 	clients   fleet.Clients
@@ -60,7 +60,7 @@
 	inFlight atomic.Int64
 }
 
-// New returns a gateway that is ready to serve.
+// New returns a gateway.
 func New(dependencies Dependencies) *Gateway {
 	metrics := newMetrics(dependencies.Registry)
 	g := &Gateway{
@@ -82,8 +82,8 @@
 	return g
 }
 
-// WithRequestID gives each request an id: in its answer's
-// apierror.HeaderRequestID, from where handlers may read it.
+// WithRequestID assigns each request an ID and sets it in the response header
+// apierror.HeaderRequestID, where handlers can read it.
 func WithRequestID(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		setRequestID(w)
@@ -91,7 +91,7 @@
 	})
 }
 
-// setRequestID sets the id of a request unless it has one, and returns it.
+// setRequestID assigns an ID to a request that has none, and returns its ID.
 func setRequestID(w http.ResponseWriter) string {
 	id := w.Header().Get(apierror.HeaderRequestID)
 	if id == "" {
@@ -118,14 +118,14 @@
 	switch r.URL.Path {
 	case PathChatCompletions, PathCompletions:
 		if r.Method != http.MethodPost {
-			refuseMethod(w, r, http.MethodPost)
+			rejectMethod(w, r, http.MethodPost)
 			return
 		}
 		code := g.serveCompletion(w, r, id)
 		g.metrics.requests.WithLabelValues(r.URL.Path, code).Inc()
 	case PathModels:
 		if r.Method != http.MethodGet {
-			refuseMethod(w, r, http.MethodGet)
+			rejectMethod(w, r, http.MethodGet)
 			return
 		}
 		g.serveModels(w, r)
@@ -134,12 +134,12 @@
 	}
 }
 
-func refuseMethod(w http.ResponseWriter, r *http.Request, allowed string) {
+func rejectMethod(w http.ResponseWriter, r *http.Request, allowed string) {
 	w.Header().Set("Allow", allowed)
 	apierror.Write(w, apierror.MethodNotAllowed(r.Method, allowed))
 }
 
-// serveCompletion answers a request and returns the code of the answer.
+// serveCompletion serves a completion request and returns the response code.
 func (g *Gateway) serveCompletion(w http.ResponseWriter, r *http.Request, id string) string {
 	started := time.Now()
 	admitted, failure := g.check(w, r, started)
@@ -153,15 +153,15 @@
 		return codeCallerLeft
 	}
 	if refusal != nil {
-		failure := g.refused(refusal)
+		failure := g.rejected(refusal)
 		apierror.Write(w, failure)
 		return string(failure.Code)
 	}
 	defer release()
-	return g.exchange(w, id, started, admitted).serve(r.Context())
+	return g.newExchange(w, id, started, admitted).serve(r.Context())
 }
 
-// checked is a request that may ask for admission.
+// checked is an authenticated and validated request.
 type checked struct {
 	path       string
 	tenant     *settings.Tenant
@@ -172,7 +172,7 @@
 	deadline   time.Time
 }
 
-// check authenticates and checks a request; nothing is kept of one that fails.
+// check authenticates and validates a request.
 func (g *Gateway) check(w http.ResponseWriter, r *http.Request, now time.Time) (*checked, *apierror.Error) {
 	snapshot := g.settings.Current()
 	tenant, failure := Authenticate(snapshot, r)
@@ -199,8 +199,8 @@
 	return request, nil
 }
 
-// ResolveModel finds the service of a model's name. "MODEL:ADAPTER" names an
-// adapter of the service.
+// ResolveModel returns the service of a model name, and the adapter if the name has
+// the form "MODEL:ADAPTER".
 func ResolveModel(snapshot *settings.Snapshot, name string) (service *settings.Service, adapter string, ok bool) {
 	if service, ok = snapshot.ServiceByModel(name); ok {
 		return service, "", true
@@ -247,8 +247,8 @@
 	return duration, err == nil && duration > 0
 }
 
-// refused turns admission's refusal into the final answer.
-func (g *Gateway) refused(refusal *online.Refusal) *apierror.Error {
+// rejected converts a rejection by admission control to an error response.
+func (g *Gateway) rejected(refusal *online.Refusal) *apierror.Error {
 	g.metrics.refusals.WithLabelValues(string(refusal.Reason)).Inc()
 	status := http.StatusServiceUnavailable
 	if refusal.Reason.OfTenant() {
@@ -266,8 +266,8 @@
 	online.ReasonDraining:    "this node is stopping",
 }
 
-func (g *Gateway) exchange(w http.ResponseWriter, id string, started time.Time, request *checked) *exchange {
-	shape := newShape(request.path, id, request.completion.Model, started)
+func (g *Gateway) newExchange(w http.ResponseWriter, id string, started time.Time, request *checked) *exchange {
+	info := newResponseInfo(request.path, id, request.completion.Model, started)
 	service, completion := request.service, request.completion
 	x := &exchange{
 		gateway:    g,
@@ -276,7 +276,7 @@
 		tenant:     request.tenant.Name,
 		priority:   engine.PriorityOnline + engine.Priority(request.tenant.Priority),
 		completion: completion,
-		placing: routing.Request{
+		routeRequest: routing.Request{
 			Model:        service.Model,
 			Adapter:      request.adapter,
 			Regions:      service.Regions,
@@ -294,14 +294,14 @@
 		attempts:        make(map[uint32]*attempt, 1),
 	}
 	if completion.Stream {
-		x.answer = newStreamAnswer(shape, w, g.config.WriteTimeout, completion.IncludeUsage)
+		x.answer = newStreamAnswer(info, w, g.config.WriteTimeout, completion.IncludeUsage)
 	} else {
-		x.answer = &wholeAnswer{shape: shape, writer: w}
+		x.answer = &wholeAnswer{responseInfo: info, writer: w}
 	}
 	return x
 }
 
-// newCall makes the call of a request on the retry budget of its service.
+// newCall returns the call of a request, with the retry budget of its service.
 func (g *Gateway) newCall(request *checked) *relay.Call {
 	g.budgetsMutex.Lock()
 	defer g.budgetsMutex.Unlock()
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -4,13 +4,13 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// codeOK and codeCallerLeft label requests that ended without an error answer.
+// Values of the label "code" for requests that ended without an error response.
 const (
 	codeOK         = "ok"
 	codeCallerLeft = "caller_left"
 )
 
-// Kinds of second attempts.
+// Values of the label "kind" of retries.
 const (
 	retryPlain  = "retry"
 	retryResume = "resume"
@@ -58,7 +58,7 @@
 	return m
 }
 
-// queueCollector reports the queues' lengths when metrics are read.
+// queueCollector collects the current queue lengths at each scrape.
 type queueCollector struct {
 	lengths     func() map[string]int
 	description *prometheus.Desc
--- a/internal/gateway/online_test.go
+++ b/internal/gateway/online_test.go
@@ -22,10 +22,11 @@
 	"chutelock.dev/chutelock/internal/settings"
 )
 
-// generous bounds waits that end early unless something is broken.
-const generous = 20 * time.Second
+// waitTimeout limits waits that succeed earlier unless the test fails.
+const waitTimeout = 20 * time.Second
 
-func TestOpenAIClientIsServed(t *testing.T) {
+// Guards against responses that OpenAI's Go client can't read.
+func TestOpenAIClient(t *testing.T) {
 	g := gomega.NewWithT(t)
 	engines := newFakeFleet(3)
 	engines.plan = func(_ string, attempt uint32) behaviour {
@@ -34,7 +35,7 @@
 	server := newTestServer(engines, settings.Tenant{}, Config{})
 	defer server.Close()
 	client := openai.NewClient(option.WithBaseURL(server.URL+"/v1/"), option.WithAPIKey(testKey), option.WithMaxRetries(0))
-	ctx, cancel := context.WithTimeout(context.Background(), generous)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 
 	models, err := client.Models.List(ctx)
@@ -72,8 +73,8 @@
 	g.Expect(failure.Param).To(gomega.Equal("model"))
 }
 
-// TestClientDoesNotResendWhatMayHaveRun has OpenAI's client retry by itself.
-func TestClientDoesNotResendWhatMayHaveRun(t *testing.T) {
+// Guards against an automatic retry by OpenAI's client of a non-repeatable request.
+func TestOpenAIClientDoesNotRetryUnknownOutcome(t *testing.T) {
 	g := gomega.NewWithT(t)
 	engines := newFakeFleet(3)
 	engines.plan = func(string, uint32) behaviour { return loseAnswer }
@@ -87,7 +88,7 @@
 	g.Expect(engines.ran("sign")).To(gomega.Equal(1))
 }
 
-func TestFinalAnswers(t *testing.T) {
+func TestFinalResponse(t *testing.T) {
 	for name, test := range map[string]struct {
 		engines    int
 		plan       []behaviour
@@ -98,15 +99,15 @@
 		code       apierror.Code
 		attempts   int
 	}{
-		"no engine":                           {0, nil, "true", "", generous, 503, "not_run", 0},
-		"every engine refuses":                {3, []behaviour{refuseConnection}, "false", "", generous, 503, "not_run", 3},
-		"the deadline passes":                 {3, []behaviour{stayDumb}, "true", "0.05", time.Hour, 504, "deadline_exceeded", 1},
-		"the deadline passes, not repeatable": {3, []behaviour{stayDumb}, "false", "50ms", time.Hour, 502, "outcome_unknown", 1},
-		"a dumb engine is left":               {3, []behaviour{stayDumb, behaveWell}, "true", "", 50 * time.Millisecond, 200, "", 2},
-		"a dumb engine, not repeatable":       {3, []behaviour{stayDumb, behaveWell}, "false", "", 50 * time.Millisecond, 502, "outcome_unknown", 1},
-		"it failed, not repeatable":           {3, []behaviour{failHonestly}, "false", "", generous, 502, "engine_failed", 1},
-		"it fails everywhere":                 {3, []behaviour{failHonestly}, "true", "", generous, 502, "engine_failed", 3},
-		"a panic, then well":                  {3, []behaviour{panicMidway, behaveWell}, "true", "", generous, 200, "", 2},
+		"no engine":                           {0, nil, "true", "", waitTimeout, 503, "not_run", 0},
+		"every engine refuses":                {3, []behaviour{refuseConnection}, "false", "", waitTimeout, 503, "not_run", 3},
+		"the deadline passes":                 {3, []behaviour{neverAnswer}, "true", "0.05", time.Hour, 504, "deadline_exceeded", 1},
+		"the deadline passes, not repeatable": {3, []behaviour{neverAnswer}, "false", "50ms", time.Hour, 502, "outcome_unknown", 1},
+		"silent engine, repeatable":           {3, []behaviour{neverAnswer, behaveWell}, "true", "", 50 * time.Millisecond, 200, "", 2},
+		"silent engine, not repeatable":       {3, []behaviour{neverAnswer, behaveWell}, "false", "", 50 * time.Millisecond, 502, "outcome_unknown", 1},
+		"engine error, not repeatable":        {3, []behaviour{returnError}, "false", "", waitTimeout, 502, "engine_failed", 1},
+		"engine error everywhere":             {3, []behaviour{returnError}, "true", "", waitTimeout, 502, "engine_failed", 3},
+		"panic, then success":                 {3, []behaviour{panicMidway, behaveWell}, "true", "", waitTimeout, 200, "", 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
@@ -123,11 +124,11 @@
 	}
 }
 
-// promptInTime is not held by heldStreams.
+// promptInTime is the prompt whose stream heldStreams doesn't hold.
 const promptInTime = "in time"
 
-// heldStreams makes each other stream stop after its first token until
-// released.
+// heldStreams returns a fleet whose streams, except those of promptInTime, stop
+// after the first token until release is called.
 func heldStreams(engines int) (f *fakeFleet, release func()) {
 	f = newFakeFleet(engines)
 	gate := make(chan struct{})
@@ -143,12 +144,12 @@
 	return f, sync.OnceFunc(func() { close(gate) })
 }
 
-// beWhole matches a reply that is the whole answer to its prompt.
+// beWhole matches a reply with the complete text for its prompt.
 var beWhole = gomega.WithTransform(func(r reply) bool {
 	return r.whole && r.text == strings.Join(expectedTokens(r.prompt), "")
 }, gomega.BeTrue())
 
-// askLater asks on another goroutine.
+// askLater sends a streaming request on another goroutine.
 func (s *testServer) askLater(prompt string) <-chan reply {
 	answers := make(chan reply, 1)
 	go func() {
@@ -162,7 +163,7 @@
 	return answers
 }
 
-func (s *testServer) running(g *gomega.WithT, count int) {
+func (s *testServer) waitInFlight(g *gomega.WithT, count int) {
 	inFlight := func() int {
 		s.gateway.placement.mutex.Lock()
 		defer s.gateway.placement.mutex.Unlock()
@@ -172,10 +173,10 @@
 		}
 		return total
 	}
-	g.Eventually(inFlight).WithTimeout(generous).Should(gomega.Equal(count))
+	g.Eventually(inFlight).WithTimeout(waitTimeout).Should(gomega.Equal(count))
 }
 
-func TestTenantLimitsAnswerNotRun(t *testing.T) {
+func TestTenantLimitReturnsNotRun(t *testing.T) {
 	for name, test := range map[string]struct {
 		tenant settings.Tenant
 		text   string
@@ -190,7 +191,7 @@
 			defer server.Close()
 			defer release()
 			first := server.askLater("first")
-			server.running(g, 1)
+			server.waitInFlight(g, 1)
 			got, err := server.ask("POST", PathCompletions, completionBody(PathCompletions, "second", true), nil)
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			g.Expect(got.status).To(gomega.Equal(http.StatusTooManyRequests))
@@ -198,13 +199,14 @@
 			g.Expect(got.message).To(gomega.ContainSubstring(test.text))
 			g.Expect(got.header.Get("Retry-After")).NotTo(gomega.BeEmpty())
 			release()
-			g.Eventually(first).WithTimeout(generous).Should(gomega.Receive(beWhole))
+			g.Eventually(first).WithTimeout(waitTimeout).Should(gomega.Receive(beWhole))
 			g.Expect(engines.ran("second")).To(gomega.BeZero())
 		})
 	}
 }
 
-func TestDrainCutsNoStream(t *testing.T) {
+// Guards against a drain that interrupts running streams.
+func TestDrainWaitsForStreams(t *testing.T) {
 	g := gomega.NewWithT(t)
 	engines, release := heldStreams(2)
 	server := newTestServer(engines, settings.Tenant{}, Config{NextTokenTimeout: time.Hour, MinTokenTimeout: time.Hour, DrainSettle: time.Millisecond})
@@ -212,44 +214,44 @@
 	defer release()
 	g.Expect(server.gateway.Ready()).To(gomega.BeTrue())
 	held := server.askLater("held")
-	server.running(g, 1)
+	server.waitInFlight(g, 1)
 	var drained atomic.Bool
 	ended := make(chan error, 1)
 	go func() {
 		ended <- server.gateway.Drain(context.Background())
 		drained.Store(true)
 	}()
-	g.Eventually(server.gateway.Ready).WithTimeout(generous).Should(gomega.BeFalse())
+	g.Eventually(server.gateway.Ready).WithTimeout(waitTimeout).Should(gomega.BeFalse())
 	g.Eventually(func() apierror.Code {
 		got, err := server.ask("POST", PathCompletions, completionBody(PathCompletions, promptInTime, false), nil)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(got.closed).To(gomega.BeTrue())
 		return got.code
-	}).WithTimeout(generous).Should(gomega.Equal(apierror.CodeNotRun))
+	}).WithTimeout(waitTimeout).Should(gomega.Equal(apierror.CodeNotRun))
 	g.Expect(drained.Load()).To(gomega.BeFalse())
 	release()
-	g.Eventually(held).WithTimeout(generous).Should(gomega.Receive(beWhole))
-	g.Eventually(ended).WithTimeout(generous).Should(gomega.Receive(gomega.BeNil()))
+	g.Eventually(held).WithTimeout(waitTimeout).Should(gomega.Receive(beWhole))
+	g.Eventually(ended).WithTimeout(waitTimeout).Should(gomega.Receive(gomega.BeNil()))
 }
 
-func TestDrainIsBounded(t *testing.T) {
+func TestDrainStopsAtContextEnd(t *testing.T) {
 	g := gomega.NewWithT(t)
 	engines, release := heldStreams(1)
 	server := newTestServer(engines, settings.Tenant{}, Config{NextTokenTimeout: time.Hour, MinTokenTimeout: time.Hour, DrainSettle: time.Millisecond})
 	defer server.Close()
 	defer release()
 	held := server.askLater("held")
-	server.running(g, 1)
+	server.waitInFlight(g, 1)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Millisecond)
 	defer cancel()
 	g.Expect(server.gateway.Drain(ctx)).To(gomega.MatchError(context.DeadlineExceeded))
 	release()
-	g.Eventually(held).WithTimeout(generous).Should(gomega.Receive(beWhole))
+	g.Eventually(held).WithTimeout(waitTimeout).Should(gomega.Receive(beWhole))
 }
 
-// TestCallerWhoLeavesFreesTheEngine covers a caller who hangs up and one who
-// stops reading.
-func TestCallerWhoLeavesFreesTheEngine(t *testing.T) {
+// Guards against attempts that continue after the caller disconnects or stops
+// reading.
+func TestCallerDisconnectCancelsAttempt(t *testing.T) {
 	for name, leave := range map[string]func(net.Conn){
 		"hangs up":      func(connection net.Conn) { _ = connection.Close() },
 		"stops reading": func(net.Conn) {},
@@ -270,9 +272,9 @@
 			_, err = io.ReadFull(connection, make([]byte, 100))
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			leave(connection)
-			server.running(g, 0)
+			server.waitInFlight(g, 0)
 			g.Expect(engines.attempts).To(gomega.Equal(1))
-			g.Eventually(server.gateway.inFlight.Load).WithTimeout(generous).Should(gomega.BeZero())
+			g.Eventually(server.gateway.inFlight.Load).WithTimeout(waitTimeout).Should(gomega.BeZero())
 			left := server.gateway.metrics.requests.WithLabelValues(PathCompletions, codeCallerLeft)
 			var metric dto.Metric
 			g.Expect(left.Write(&metric)).To(gomega.Succeed())
@@ -281,16 +283,16 @@
 	}
 }
 
-// TestThirdOfEnginesFailing: callers get whole answers, and the retries stay
-// within a tenth of the requests.
-func TestThirdOfEnginesFailing(t *testing.T) {
-	for name, how := range map[string]behaviour{
-		"refuse": refuseConnection, "lose the answer": loseAnswer, "cut streams": cutStream, "stay dumb": stayDumb, "fail": failHonestly,
+// Guards against incomplete responses, and against retries above a tenth of the
+// requests, while a third of the engines fail.
+func TestRetriesWithThirdOfEnginesFailing(t *testing.T) {
+	for name, mode := range map[string]behaviour{
+		"refuse": refuseConnection, "lose the answer": loseAnswer, "cut streams": cutStream, "never answer": neverAnswer, "fail": returnError,
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			engines := newFakeFleet(12)
-			engines.sick = map[string]behaviour{"engine-01": how, "engine-04": how, "engine-05": how, "engine-10": how}
+			engines.faulty = map[string]behaviour{"engine-01": mode, "engine-04": mode, "engine-05": mode, "engine-10": mode}
 			server := newTestServer(engines, settings.Tenant{}, Config{MinTokenTimeout: 500 * time.Millisecond})
 			defer server.Close()
 			const requests, callers = 2000, 8
@@ -309,7 +311,7 @@
 			}
 			group.Wait()
 			amplification := float64(engines.attempts) / requests
-			t.Logf("amplification %.4f, %d of %d requests not answered", amplification, broken.Load(), requests)
+			t.Logf("amplification %.4f, %d of %d requests failed", amplification, broken.Load(), requests)
 			g.Expect(amplification).To(gomega.BeNumerically("<=", 1.1))
 			g.Expect(broken.Load()).To(gomega.BeZero())
 		})
--- a/internal/gateway/placement.go
+++ b/internal/gateway/placement.go
@@ -9,7 +9,7 @@
 	"chutelock.dev/chutelock/internal/settings"
 )
 
-// placement shares one router among all requests.
+// placement guards the router that all requests share and reports its ejections.
 type placement struct {
 	fleet   fleet.Source
 	metrics *metrics
@@ -36,7 +36,8 @@
 	p.report(transitions)
 }
 
-// capacity is how many requests of a service this node may have in flight.
+// capacity returns the number of requests of a service that this node may have in
+// flight.
 func (p *placement) capacity(now time.Time, service *settings.Service) int {
 	snapshot := p.fleet.Snapshot()
 	p.mutex.Lock()
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -12,22 +12,21 @@
 	"chutelock.dev/chutelock/internal/gateway/apierror"
 )
 
-// Limits of the callers' HTTP server.
+// Limits of the HTTP server.
 const (
 	maxHeaderBytes = 64 << 10
 	idleTimeout    = 2 * time.Minute
 )
 
-// NewServer returns an HTTP server with the limits that callers' requests are
-// held to. Serve it on a listener from NewListener, so that a caller whose
-// header doesn't arrive in time is told so.
+// NewServer returns an HTTP server with the limits of config. It must be served on
+// a listener from NewListener to send a response on a header timeout.
 func NewServer(handler http.Handler, config Config) *http.Server {
 	return &http.Server{
 		Handler:           handler,
 		ReadHeaderTimeout: config.withDefaults().HeaderTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
-		ConnState:         noteState,
+		ConnState:         trackState,
 	}
 }
 
@@ -45,16 +44,16 @@
 	return &headerConn{Conn: accepted}, nil
 }
 
-// headerConn answers a request whose header doesn't arrive in time; net/http
-// closes such a connection without a word.
+// headerConn sends an error response on a header timeout, on which net/http closes
+// the connection without one.
 type headerConn struct {
 	net.Conn
-	active  atomic.Bool // a handler runs, or its answer was written
-	partial atomic.Bool // some of a header arrived
+	active  atomic.Bool // a handler is running or has responded
+	partial atomic.Bool // part of a header was received
 }
 
-// noteState is the server's ConnState hook.
-func noteState(conn net.Conn, state http.ConnState) {
+// trackState is the server's ConnState hook.
+func trackState(conn net.Conn, state http.ConnState) {
 	if tracked, ok := conn.(*headerConn); ok {
 		tracked.active.Store(state == http.StateActive)
 		tracked.partial.Store(false)
@@ -71,12 +70,12 @@
 		c.partial.Store(true)
 	}
 	if err != nil && c.partial.Load() && errors.Is(err, os.ErrDeadlineExceeded) {
-		c.refuse()
+		c.sendTimeout()
 	}
 	return count, err
 }
 
-// headerTimedOut is the answer to a header that didn't arrive in time.
+// headerTimedOut is the response on a header timeout.
 var headerTimedOut = &apierror.Error{
 	Status:  http.StatusRequestTimeout,
 	Code:    apierror.CodeHeaderTimeout,
@@ -84,14 +83,14 @@
 	Message: "the request's header did not arrive in time",
 }
 
-// refuseTimeout bounds the writing of the last answer.
-const refuseTimeout = time.Second
+// writeErrorTimeout limits the writing of headerTimedOut.
+const writeErrorTimeout = time.Second
 
-func (c *headerConn) refuse() {
+func (c *headerConn) sendTimeout() {
 	id := newRequestID()
 	body := headerTimedOut.JSON(id)
 	answer := "HTTP/1.1 408 Request Timeout\r\nContent-Type: application/json\r\nConnection: close\r\n" +
 		apierror.HeaderRequestID + ": " + id + "\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n"
-	_ = c.SetWriteDeadline(time.Now().Add(refuseTimeout))
+	_ = c.SetWriteDeadline(time.Now().Add(writeErrorTimeout))
 	_, _ = c.Write(append([]byte(answer), body...))
 }
