--- a/internal/jobs/dispatch/dispatcher.go
+++ b/internal/jobs/dispatch/dispatcher.go
@@ -19,27 +19,27 @@
 )
 
 const (
-	// tickInterval is what the policy is promised while streams run.
+	// tickInterval is the tick interval while streams run; the policy relies on it.
 	tickInterval = 10 * time.Millisecond
-	// idleTickInterval is the interval while none does.
+	// idleTickInterval is the tick interval while no stream runs.
 	idleTickInterval = 100 * time.Millisecond
 	// maxStreams bounds the streams of one node.
 	maxStreams = 4096
-	// maxControls bounds the lease requests and suspensions under way.
+	// maxControls bounds the concurrent lease requests, renewals and suspensions.
 	maxControls = 64
 	// leaseTimeout bounds one lease request.
 	leaseTimeout = 5 * time.Second
 	// startTimeout bounds the recording of a start.
 	startTimeout = 5 * time.Second
-	// suspendTimeout bounds a suspension; a stream that does not suspend in
+	// suspendTimeout bounds a suspension; a stream that is not suspended in
 	// time is cancelled.
 	suspendTimeout = 500 * time.Millisecond
 )
 
-// Dependencies are what a dispatcher works with.
+// Dependencies holds the collaborators of a Dispatcher.
 type Dependencies struct {
-	// Name is unique to this run of this node: a restarted node is another
-	// dispatcher, whose predecessor's leases end.
+	// Name is unique to this run of the node: after a restart, the leases of
+	// the previous run are not continued.
 	Name    string
 	Work    jobs.Work
 	Policy  batch.Policy
@@ -54,24 +54,24 @@
 	clients fleet.Clients
 	reports *reporter
 	pool    pond.Pool // runs attempts
-	control pond.Pool // runs what must not wait for attempts to end
+	control pond.Pool // runs leasing, renewal and suspension, separate from attempts
 	metrics *metrics
 	drained chan struct{}
 	once    sync.Once
 
-	// mutex guards the fields below. Nothing else is locked and no call is
-	// made while it is held, but for the metrics.
+	// mutex guards the fields below. While it is held, no I/O is done and only
+	// the reporter's mutex is locked.
 	mutex     sync.Mutex
 	scheduler *scheduler
 	endpoints map[string]*fleet.Endpoint
-	cancels   map[string]context.CancelFunc // stream → ends its attempt
-	renewing  map[ledger.ShardID]bool       // a renewal is under way
+	cancels   map[string]context.CancelFunc // by stream ID; cancels its attempt
+	renewing  map[ledger.ShardID]bool       // shards with a renewal in progress
 	// context ends when Run ends.
 	context context.Context
 	stop    context.CancelFunc
 }
 
-// New returns a dispatcher. It takes events at once; Run must be called too.
+// New returns a Dispatcher. It accepts events before Run is called.
 func New(dependencies Dependencies) *Dispatcher {
 	counted := newMetrics(dependencies.Metrics)
 	ctx, stop := context.WithCancel(context.Background())
@@ -86,7 +86,7 @@
 	}
 }
 
-// Run works until ctx ends; call Drain before for a planned stop.
+// Run dispatches items until ctx ends. For a graceful stop, call Drain first.
 func (d *Dispatcher) Run(ctx context.Context) {
 	defer d.stop()
 	defer context.AfterFunc(ctx, d.stop)()
@@ -99,8 +99,8 @@
 	d.reports.wait()
 }
 
-// locked changes the scheduler and then does what it decided.
-func (d *Dispatcher) locked(change func(now time.Time, s *scheduler)) {
+// update applies change to the scheduler and executes the resulting actions.
+func (d *Dispatcher) update(change func(now time.Time, s *scheduler)) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.context.Err() != nil {
@@ -108,14 +108,14 @@
 	}
 	now := time.Now()
 	change(now, d.scheduler)
-	for _, next := range d.scheduler.take() {
-		d.do(next)
+	for _, next := range d.scheduler.takeActions() {
+		d.execute(next)
 	}
 	d.metrics.running.Set(float64(len(d.scheduler.streams)))
 }
 
-// do begins an action; the mutex is held, so it must not block.
-func (d *Dispatcher) do(next action) {
+// execute starts an action. The caller holds the mutex, so it must not block.
+func (d *Dispatcher) execute(next action) {
 	switch next.kind {
 	case actionRun:
 		d.launch(next.stream)
@@ -129,7 +129,7 @@
 	case actionFetch:
 		ctx := d.context
 		d.control.Submit(func() { d.fetch(ctx, next.model, next.count) })
-	case actionReport, actionReturned:
+	case actionReport, actionHandBack:
 		d.reports.add(next.result)
 	}
 }
@@ -138,7 +138,7 @@
 	ctx, cancel := context.WithCancel(d.context)
 	d.cancels[running.id] = cancel
 	client := d.clients.Client(d.endpoints[running.engine])
-	attempt := attemptOf(running)
+	attempt := newAttempt(running)
 	d.metrics.started.Inc()
 	d.pool.Submit(func() {
 		defer cancel()
@@ -146,7 +146,7 @@
 	})
 }
 
-// attempt is what one attempt needs; it is read under the mutex, once.
+// attempt is a snapshot, taken under the mutex, of what one attempt needs.
 type attempt struct {
 	request    engine.Request
 	lease      jobs.Lease
@@ -154,7 +154,7 @@
 	repeatable bool
 }
 
-func attemptOf(running *stream) attempt {
+func newAttempt(running *stream) attempt {
 	item := &running.task.item
 	return attempt{
 		request: engine.Request{
@@ -165,33 +165,34 @@
 	}
 }
 
-var errStale = errors.New("dispatch: the attempt is over")
+var errStale = errors.New("dispatch: the attempt has ended")
 
 // attempt runs one attempt; a non-repeatable item only after its start was
 // committed.
 func (d *Dispatcher) attempt(ctx context.Context, client engine.Client, running *stream, planned attempt) {
-	if !planned.repeatable && !d.startRecorded(ctx, running, planned) {
+	if !planned.repeatable && !d.recordStart(ctx, running, planned) {
 		return
 	}
 	finish, err := client.Generate(ctx, planned.request, func(chunk engine.Chunk) error {
 		accepted := false
-		d.locked(func(now time.Time, s *scheduler) {
-			accepted = s.token(now, running, planned.request.Attempt, chunk)
+		d.update(func(now time.Time, s *scheduler) {
+			accepted = s.addToken(now, running, planned.request.Attempt, chunk)
 		})
 		if !accepted {
 			return errStale
 		}
 		return nil
 	})
-	d.locked(func(now time.Time, s *scheduler) {
+	d.update(func(now time.Time, s *scheduler) {
 		delete(d.cancels, running.id)
-		s.ended(now, running, planned.request.Attempt, finish, err)
+		s.attemptEnded(now, running, planned.request.Attempt, finish, err)
 		s.fetch(now)
 	})
 }
 
-// startRecorded commits the start of a non-repeatable item.
-func (d *Dispatcher) startRecorded(ctx context.Context, running *stream, planned attempt) bool {
+// recordStart commits the start of a non-repeatable item and reports whether
+// the item may be sent.
+func (d *Dispatcher) recordStart(ctx context.Context, running *stream, planned attempt) bool {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	granted, err := d.work.Start(ctx, planned.lease, planned.index)
@@ -201,14 +202,14 @@
 	if err != nil {
 		eventStartFailed.Error(err, "job", planned.lease.JobID, "item", planned.index)
 	}
-	d.locked(func(now time.Time, s *scheduler) {
+	d.update(func(now time.Time, s *scheduler) {
 		delete(d.cancels, running.id)
-		s.refusedStart(now, running)
+		s.startRefused(now, running)
 	})
 	return false
 }
 
-// suspend parks a stream at its engine; if that fails, it is moved.
+// suspend suspends a stream at its engine; if that fails, the stream is moved.
 func (d *Dispatcher) suspend(running *stream) {
 	client := d.clients.Client(d.endpoints[running.engine])
 	parent := d.context
@@ -217,7 +218,7 @@
 		defer cancel()
 		if err := client.Suspend(ctx, running.id); err != nil && parent.Err() == nil {
 			eventSuspendFailed.Error(err, "engine", running.engine, "stream", running.id)
-			d.locked(func(now time.Time, s *scheduler) { s.move(now, running.id) })
+			d.update(func(now time.Time, s *scheduler) { s.move(now, running.id) })
 		}
 	})
 }
@@ -229,7 +230,7 @@
 	if err != nil && ctx.Err() == nil {
 		eventLeaseFailed.Error(err, "model", model)
 	}
-	d.locked(func(now time.Time, s *scheduler) {
+	d.update(func(now time.Time, s *scheduler) {
 		s.leased(now, model, leases)
 		s.fetch(now)
 	})
@@ -248,10 +249,10 @@
 	}
 }
 
-// renew renews the leases of all jobs here, shard by shard, so that one
-// without a leader holds up no other.
+// renew renews the leases of all held jobs, one request a shard, so that a
+// shard without a leader does not delay the others.
 func (d *Dispatcher) renew(ctx context.Context) {
-	for shard, jobIDs := range d.renewals() {
+	for shard, jobIDs := range d.renewalsByShard() {
 		d.control.Submit(func() {
 			d.renewShard(ctx, jobIDs)
 			d.mutex.Lock()
@@ -261,9 +262,9 @@
 	}
 }
 
-// renewals lists the jobs to renew, those with unreported results included,
-// less those whose shard has not answered the last time.
-func (d *Dispatcher) renewals() map[ledger.ShardID][]string {
+// renewalsByShard returns the jobs to renew, including those with unreported
+// results, without the shards that have a renewal in progress.
+func (d *Dispatcher) renewalsByShard() map[ledger.ShardID][]string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	byShard := map[ledger.ShardID][]string{}
@@ -281,8 +282,8 @@
 	return byShard
 }
 
-// renewShard renews jobs of one shard. The right to start is counted from
-// before the request was sent.
+// renewShard renews jobs of one shard. Their start validity counts from before
+// the request was sent.
 func (d *Dispatcher) renewShard(ctx context.Context, jobIDs []string) {
 	sent := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, command.StartValidity)
@@ -290,19 +291,19 @@
 	revoked, err := d.work.Renew(ctx, d.name, jobIDs)
 	if err != nil {
 		eventRenewFailed.Error(err)
-		jobIDs = renewedOf(jobIDs, err)
+		jobIDs = renewedJobs(jobIDs, err)
 	}
 	if len(revoked) > 0 {
 		eventRevoked.Info("jobs", len(revoked), "first", revoked[0])
 	}
-	d.locked(func(now time.Time, s *scheduler) {
+	d.update(func(now time.Time, s *scheduler) {
 		s.renewed(jobIDs, sent.Add(command.StartValidity))
 		s.revoke(now, revoked)
 	})
 }
 
-// renewedOf returns the jobs that were renewed although others were not.
-func renewedOf(jobIDs []string, err error) []string {
+// renewedJobs returns the jobs that were renewed despite err.
+func renewedJobs(jobIDs []string, err error) []string {
 	var partial *jobs.RenewError
 	if !errors.As(err, &partial) {
 		return nil
@@ -335,7 +336,7 @@
 
 func (d *Dispatcher) tick() (next time.Duration) {
 	next = idleTickInterval
-	d.locked(func(now time.Time, s *scheduler) {
+	d.update(func(now time.Time, s *scheduler) {
 		s.congested = d.reports.congested()
 		s.tick(now)
 		s.fetch(now)
@@ -348,16 +349,16 @@
 }
 
 func (d *Dispatcher) closeIfDrained(s *scheduler) {
-	if s.draining && len(s.streams) == 0 && d.reports.done() {
+	if s.draining && len(s.streams) == 0 && d.reports.isEmpty() {
 		d.once.Do(func() { close(d.drained) })
 	}
 }
 
-// HomeEvent takes what happens at the engines that this node is home of; it
-// is a fleet.HomeListener and never blocks.
+// HomeEvent handles an event of an engine whose home is this node. It is a
+// fleet.HomeListener and never blocks.
 func (d *Dispatcher) HomeEvent(_ time.Time, event fleet.HomeEvent) {
 	name := event.Endpoint.Name
-	d.locked(func(now time.Time, s *scheduler) {
+	d.update(func(now time.Time, s *scheduler) {
 		switch event.Kind {
 		case fleet.HomeGained:
 			d.endpoints[name] = event.Endpoint
@@ -373,7 +374,7 @@
 			d.endpoints[name] = event.Endpoint
 			s.load(now, name, event.Load)
 		case fleet.HomeOnlineStarted, fleet.HomeOnlineFinished:
-			s.online(now, onlineEvent(event))
+			s.onlineRequest(now, onlineEvent(event))
 		}
 	})
 }
@@ -388,18 +389,18 @@
 	}
 }
 
-// Drain starts no more items, hands back what waits, and lets what runs
-// finish until ctx ends; then it hands the rest back too. It returns when all
-// is reported or, with an error, when stop ends first.
+// Drain stops starting items, hands back the queued ones and lets the running
+// ones finish until ctx ends; then it moves the repeatable ones off their
+// engines. It returns nil once all is reported, or an error if stop ends first.
 func (d *Dispatcher) Drain(ctx, stop context.Context) error {
-	d.locked(func(now time.Time, s *scheduler) { s.drain(now) })
+	d.update(func(now time.Time, s *scheduler) { s.drain(now) })
 	select {
 	case <-d.drained:
 		eventDrained.Info()
 		return nil
 	case <-ctx.Done():
 	}
-	d.locked(func(now time.Time, s *scheduler) { s.cancelAll(now) })
+	d.update(func(now time.Time, s *scheduler) { s.cancelAll(now) })
 	select {
 	case <-d.drained:
 		eventDrained.Info()
--- a/internal/jobs/dispatch/dispatcher_test.go
+++ b/internal/jobs/dispatch/dispatcher_test.go
@@ -14,11 +14,11 @@
 	"chutelock.dev/chutelock/internal/jobs"
 )
 
-// fakeWork leases its items once, and grants starts as the test says.
+// fakeWork leases its items once and answers starts from the grant channel.
 type fakeWork struct {
 	mutex   sync.Mutex
 	leases  []jobs.Lease
-	grant   chan bool // the answer of each Start
+	grant   chan bool // the result of each Start
 	asked   chan struct{}
 	results []jobs.Result
 }
@@ -60,8 +60,8 @@
 	return statuses
 }
 
-// halfDeadWork has two shards, of which shard 1 answers nothing any more.
-type halfDeadWork struct {
+// partitionedWork has two shards; after one lease, shard 1 is unavailable.
+type partitionedWork struct {
 	mutex    sync.Mutex
 	jobIDs   [2]string
 	next     uint32
@@ -69,7 +69,7 @@
 	reported int
 }
 
-func (h *halfDeadWork) Lease(_ context.Context, _, _ string, count int) ([]jobs.Lease, error) {
+func (h *partitionedWork) Lease(_ context.Context, _, _ string, count int) ([]jobs.Lease, error) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	jobID := h.jobIDs[0]
@@ -85,9 +85,9 @@
 	return []jobs.Lease{lease}, nil
 }
 
-func (h *halfDeadWork) Start(context.Context, jobs.Lease, uint32) (bool, error) { return true, nil }
+func (h *partitionedWork) Start(context.Context, jobs.Lease, uint32) (bool, error) { return true, nil }
 
-func (h *halfDeadWork) Report(ctx context.Context, results []jobs.Result) error {
+func (h *partitionedWork) Report(ctx context.Context, results []jobs.Result) error {
 	for _, result := range results {
 		if result.JobID == h.jobIDs[1] {
 			<-ctx.Done()
@@ -100,7 +100,7 @@
 	return nil
 }
 
-func (h *halfDeadWork) Renew(ctx context.Context, _ string, jobIDs []string) ([]string, error) {
+func (h *partitionedWork) Renew(ctx context.Context, _ string, jobIDs []string) ([]string, error) {
 	for _, jobID := range jobIDs {
 		if jobID == h.jobIDs[1] {
 			<-ctx.Done()
@@ -110,18 +110,17 @@
 	return nil, nil
 }
 
-func (h *halfDeadWork) count() int {
+func (h *partitionedWork) count() int {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.reported
 }
 
-// A shard that answers nothing must hold up neither the reports nor the
-// renewals of the others.
-func TestDeadShardHoldsUpNoOther(t *testing.T) {
+// An unavailable shard must delay neither reports nor renewals of the others.
+func TestDispatcherIsolatesUnavailableShard(t *testing.T) {
 	g := gomega.NewWithT(t)
-	work := &halfDeadWork{jobIDs: [2]string{jobs.NewJobID(0), jobs.NewJobID(1)}}
-	d := New(Dependencies{Name: "d", Work: work, Policy: batch.NewFixed(4, false), Clients: &recorder{pace: 50 * time.Millisecond}})
+	work := &partitionedWork{jobIDs: [2]string{jobs.NewJobID(0), jobs.NewJobID(1)}}
+	d := New(Dependencies{Name: "d", Work: work, Policy: batch.NewFixed(4, false), Clients: &recordingEngine{delay: 50 * time.Millisecond}})
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { d.Run(ctx) })
@@ -129,48 +128,49 @@
 		Kind: fleet.HomeGained, Endpoint: &fleet.Endpoint{Name: "e", Load: engine.Load{Models: []string{"m"}}},
 	})
 	g.Eventually(work.count, "20s").Should(gomega.BeNumerically(">", 20))
-	time.Sleep(2 * leaseValidity) // the rights from before the shard died are over
+	time.Sleep(2 * leaseValidity) // the initial start validity has expired
 	later := work.count()
 	g.Eventually(work.count, "20s").Should(gomega.BeNumerically(">", later+50))
 	cancel()
 	running.Wait()
 }
 
-// recorder is an engine that notes what it was sent.
-type recorder struct {
-	pace  time.Duration
+// recordingEngine records the identifiers of the requests it was sent.
+type recordingEngine struct {
+	delay time.Duration
 	mutex sync.Mutex
 	sent  []string
 }
 
-func (r *recorder) Client(*fleet.Endpoint) engine.Client { return r }
+func (r *recordingEngine) Client(*fleet.Endpoint) engine.Client { return r }
 
-func (r *recorder) Generate(_ context.Context, request engine.Request, _ func(engine.Chunk) error) (engine.Finish, error) {
-	time.Sleep(r.pace)
+func (r *recordingEngine) Generate(_ context.Context, request engine.Request, _ func(engine.Chunk) error) (engine.Finish, error) {
+	time.Sleep(r.delay)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.sent = append(r.sent, request.ID)
 	return engine.Finish{Reason: "stop"}, nil
 }
 
-func (r *recorder) Suspend(context.Context, string) error     { return nil }
-func (r *recorder) Load(context.Context) (engine.Load, error) { return engine.Load{}, nil }
-func (r *recorder) Order(context.Context, engine.Order) error { return nil }
+func (r *recordingEngine) Suspend(context.Context, string) error     { return nil }
+func (r *recordingEngine) Load(context.Context) (engine.Load, error) { return engine.Load{}, nil }
+func (r *recordingEngine) Order(context.Context, engine.Order) error { return nil }
 
-func (r *recorder) count() int {
+func (r *recordingEngine) count() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return len(r.sent)
 }
 
-func TestNothingIsSentBeforeItsStartIsCommitted(t *testing.T) {
+// Sending a non-repeatable item before its start is committed could run it twice.
+func TestDispatcherSendsNonRepeatableItemAfterStartCommits(t *testing.T) {
 	for granted, expected := range map[bool]jobs.ItemStatus{true: jobs.ItemSucceeded, false: jobs.ItemOpen} {
 		g := gomega.NewWithT(t)
 		work := &fakeWork{grant: make(chan bool), asked: make(chan struct{}), leases: []jobs.Lease{{
 			JobID: "j", Epoch: 1, Deadline: time.Now().Add(time.Hour), Expires: time.Now().Add(time.Hour),
 			Items: []jobs.Item{{Index: 0, Repeatable: false}},
 		}}}
-		engines := &recorder{}
+		engines := &recordingEngine{}
 		d := New(Dependencies{Name: "d", Work: work, Policy: batch.NewFixed(4, false), Clients: engines})
 		ctx, cancel := context.WithCancel(context.Background())
 		var running sync.WaitGroup
--- a/internal/jobs/dispatch/doc.go
+++ b/internal/jobs/dispatch/doc.go
@@ -1,16 +1,16 @@
-// Package dispatch runs the items of batch jobs on the engines that this node
-// is home of.
+// Package dispatch runs the items of batch jobs on the engines whose home is
+// this node.
 //
-// scheduler is the decision logic, without I/O, clock or goroutine: it takes
-// events and the time and returns actions. It asks a batch.Policy how much
-// each engine may run, and decides which item runs, when to lease more, and
-// what becomes of an attempt that ended. Dispatcher is the shell around it.
+// scheduler makes the decisions, without I/O, clock or goroutines: it takes
+// events with their time and returns actions. A batch.Policy sets how much each
+// engine may run; scheduler selects the items, requests leases and handles the
+// outcome of attempts. Dispatcher executes the actions.
 //
-// Rules that scheduler keeps:
+// Invariants of scheduler:
 //
 //   - An item starts only while its job's leases were renewed within the last
-//     command.StartValidity, so that a node that is cut off stops by itself.
+//     command.StartValidity, so that a partitioned node stops starting items.
 //   - A non-repeatable item is sent once, after its start was committed; it is
 //     neither suspended nor moved.
-//   - When a job is revoked, its streams are cancelled at once.
+//   - When a job is revoked, its streams are cancelled immediately.
 package dispatch
--- a/internal/jobs/dispatch/engines.go
+++ b/internal/jobs/dispatch/engines.go
@@ -8,104 +8,104 @@
 	"chutelock.dev/chutelock/internal/engine"
 )
 
-// gained notes an engine that this node is home of from now on.
+// gained adds an engine whose home is now this node.
 func (s *scheduler) gained(now time.Time, name string, models []string, leaving bool) {
-	at, ok := s.engines[name]
+	home, ok := s.engines[name]
 	if !ok {
-		at = &home{name: name, streams: map[string]*stream{}}
-		s.engines[name] = at
-		s.step(now, batch.Event{Kind: batch.EventEngineOwned, Engine: name})
+		home = &homeEngine{name: name, streams: map[string]*stream{}}
+		s.engines[name] = home
+		s.stepPolicy(now, batch.Event{Kind: batch.EventEngineOwned, Engine: name})
 	}
-	at.models = models
-	at.leaving = leaving
+	home.models = models
+	home.leaving = leaving
 }
 
-// load gives a report of an engine to the policy.
+// load passes a load report of an engine to the policy.
 func (s *scheduler) load(now time.Time, name string, load engine.Load) {
-	at, ok := s.engines[name]
+	home, ok := s.engines[name]
 	if !ok {
 		return
 	}
 	if len(load.Models) > 0 {
-		at.models = load.Models
+		home.models = load.Models
 	}
 	if load.Draining {
 		s.setLeaving(now, name, true)
 	}
-	s.step(now, batch.Event{Kind: batch.EventLoad, Engine: name, Load: load})
+	s.stepPolicy(now, batch.Event{Kind: batch.EventLoad, Engine: name, Load: load})
 }
 
-// setLeaving stops new work for an engine, or allows it again.
+// setLeaving stops or resumes the start of items at an engine.
 func (s *scheduler) setLeaving(now time.Time, name string, leaving bool) {
-	at, ok := s.engines[name]
-	if !ok || at.leaving == leaving {
+	home, ok := s.engines[name]
+	if !ok || home.leaving == leaving {
 		return
 	}
-	at.leaving = leaving
+	home.leaving = leaving
 	if !leaving {
-		s.step(now, batch.Event{Kind: batch.EventEngineOwned, Engine: name})
+		s.stepPolicy(now, batch.Event{Kind: batch.EventEngineOwned, Engine: name})
 		return
 	}
-	s.step(now, batch.Event{Kind: batch.EventEngineGone, Engine: name})
-	s.moveSuspended(now, at)
+	s.stepPolicy(now, batch.Event{Kind: batch.EventEngineGone, Engine: name})
+	s.moveSuspended(now, home)
 }
 
-func (s *scheduler) moveSuspended(now time.Time, at *home) {
-	for _, id := range sortedStreams(at) {
-		if at.streams[id].state == streamSuspended {
+func (s *scheduler) moveSuspended(now time.Time, home *homeEngine) {
+	for _, id := range sortedStreams(home) {
+		if home.streams[id].state == streamSuspended {
 			s.move(now, id)
 		}
 	}
 }
 
-func sortedStreams(at *home) []string {
-	identifiers := make([]string, 0, len(at.streams))
-	for id := range at.streams {
+func sortedStreams(home *homeEngine) []string {
+	identifiers := make([]string, 0, len(home.streams))
+	for id := range home.streams {
 		identifiers = append(identifiers, id)
 	}
 	sort.Strings(identifiers)
 	return identifiers
 }
 
-// lost moves all work off an engine that has another home now: its new home
-// gets the online events, so only that one can take batch back in time.
+// lost moves all streams off an engine whose home is now another node: only
+// the new home gets the online events on which batch work must yield.
 func (s *scheduler) lost(now time.Time, name string) {
-	at, ok := s.engines[name]
+	home, ok := s.engines[name]
 	if !ok {
 		return
 	}
-	at.leaving = true
-	s.step(now, batch.Event{Kind: batch.EventEngineGone, Engine: name})
-	for _, id := range sortedStreams(at) {
+	home.leaving = true
+	s.stepPolicy(now, batch.Event{Kind: batch.EventEngineGone, Engine: name})
+	for _, id := range sortedStreams(home) {
 		s.move(now, id)
 	}
 	delete(s.engines, name)
 }
 
-// online tells the policy of an online request.
-func (s *scheduler) online(now time.Time, event batch.Event) {
+// onlineRequest passes the start or end of an online request to the policy.
+func (s *scheduler) onlineRequest(now time.Time, event batch.Event) {
 	if _, ok := s.engines[event.Engine]; ok {
-		s.step(now, event)
+		s.stepPolicy(now, event)
 	}
 }
 
-// drain stops new work and hands back what waits or is parked; what runs goes
-// on.
+// drain stops new work and hands back queued and suspended items; running
+// streams continue.
 func (s *scheduler) drain(now time.Time) {
 	s.draining = true
-	for _, source := range s.supplies {
-		for _, queued := range source.queue {
-			s.giveBack(queued)
+	for _, queue := range s.modelQueues {
+		for _, queued := range queue.tasks {
+			s.handBack(queued)
 		}
-		source.queue = nil
+		queue.tasks = nil
 	}
-	for _, at := range s.engines {
-		s.moveSuspended(now, at)
+	for _, home := range s.engines {
+		s.moveSuspended(now, home)
 	}
 }
 
-// cancelAll moves every running stream off its engine; while draining, their
-// items are handed back.
+// cancelAll moves every stream with a repeatable item off its engine; while
+// draining, their items are handed back.
 func (s *scheduler) cancelAll(now time.Time) {
 	for _, running := range s.streams {
 		s.move(now, running.id)
--- a/internal/jobs/dispatch/leases.go
+++ b/internal/jobs/dispatch/leases.go
@@ -7,54 +7,54 @@
 	"chutelock.dev/chutelock/internal/jobs"
 )
 
-// leased takes the answer to a fetch.
+// leased queues the items that a fetch returned.
 func (s *scheduler) leased(now time.Time, model string, leases []jobs.Lease) {
-	source := s.supply(model)
-	source.fetching = false
+	queue := s.modelQueue(model)
+	queue.fetching = false
 	if len(leases) == 0 {
-		source.nextFetch = now.Add(emptyWait)
+		queue.nextFetch = now.Add(emptyLeaseDelay)
 		return
 	}
 	for _, lease := range leases {
-		s.extendRight(lease.JobID, lease.Expires)
+		s.extendStart(lease.JobID, lease.Expires)
 		items := lease.Items
 		lease.Items = nil
 		for _, item := range items {
 			leased := &task{lease: lease, item: item, model: model, queued: now}
 			if s.draining {
-				s.giveBack(leased)
+				s.handBack(leased)
 				continue
 			}
-			source.queue = append(source.queue, leased)
+			queue.tasks = append(queue.tasks, leased)
 		}
 	}
-	sort.SliceStable(source.queue, func(a, b int) bool {
-		return source.queue[a].lease.Deadline.Before(source.queue[b].lease.Deadline)
+	sort.SliceStable(queue.tasks, func(a, b int) bool {
+		return queue.tasks[a].lease.Deadline.Before(queue.tasks[b].lease.Deadline)
 	})
 	s.tickEngines(now)
 }
 
-func (s *scheduler) extendRight(jobID string, until time.Time) {
-	if until.After(s.rights[jobID]) {
-		s.rights[jobID] = until
+func (s *scheduler) extendStart(jobID string, until time.Time) {
+	if until.After(s.startUntil[jobID]) {
+		s.startUntil[jobID] = until
 	}
 }
 
-// renewed extends the right to start items of jobs.
+// renewed extends the time until which items of held jobs may be started.
 func (s *scheduler) renewed(jobIDs []string, until time.Time) {
 	for _, jobID := range jobIDs {
-		if _, held := s.rights[jobID]; held {
-			s.extendRight(jobID, until)
+		if _, held := s.startUntil[jobID]; held {
+			s.extendStart(jobID, until)
 		}
 	}
 }
 
-// revoke stops all items of jobs that are final.
+// revoke drops all items of jobs that are final and cancels their streams.
 func (s *scheduler) revoke(now time.Time, jobIDs []string) {
 	for _, jobID := range jobIDs {
-		delete(s.rights, jobID)
-		for _, source := range s.supplies {
-			source.queue = without(source.queue, jobID)
+		delete(s.startUntil, jobID)
+		for _, queue := range s.modelQueues {
+			queue.tasks = withoutJob(queue.tasks, jobID)
 		}
 		for _, running := range s.streams {
 			if running.task.lease.JobID == jobID {
@@ -64,7 +64,7 @@
 	}
 }
 
-func without(queue []*task, jobID string) []*task {
+func withoutJob(queue []*task, jobID string) []*task {
 	kept := queue[:0]
 	for _, candidate := range queue {
 		if candidate.lease.JobID != jobID {
@@ -77,7 +77,7 @@
 
 func (s *scheduler) revokeStream(now time.Time, revoked *stream) {
 	if revoked.state == streamSuspended {
-		s.unpark(now, revoked)
+		s.endSuspended(now, revoked)
 		s.remove(revoked)
 		return
 	}
@@ -85,20 +85,21 @@
 	s.emit(action{kind: actionCancel, stream: revoked})
 }
 
-// heldJobs lists the jobs of which items are here.
+// heldJobs returns the jobs with queued items or streams on this node, sorted,
+// and forgets the start validity of all others.
 func (s *scheduler) heldJobs() []string {
 	held := map[string]struct{}{}
 	for _, running := range s.streams {
 		held[running.task.lease.JobID] = struct{}{}
 	}
-	for _, source := range s.supplies {
-		for _, queued := range source.queue {
+	for _, queue := range s.modelQueues {
+		for _, queued := range queue.tasks {
 			held[queued.lease.JobID] = struct{}{}
 		}
 	}
-	for jobID := range s.rights {
+	for jobID := range s.startUntil {
 		if _, ok := held[jobID]; !ok {
-			delete(s.rights, jobID)
+			delete(s.startUntil, jobID)
 		}
 	}
 	jobIDs := make([]string, 0, len(held))
@@ -109,16 +110,16 @@
 	return jobIDs
 }
 
-// returnStale hands back what waits here too long.
-func (s *scheduler) returnStale(now time.Time, source *supply) {
-	kept := source.queue[:0]
-	for _, candidate := range source.queue {
+// handBackStale hands back the items queued for queueTimeout or longer.
+func (s *scheduler) handBackStale(now time.Time, queue *modelQueue) {
+	kept := queue.tasks[:0]
+	for _, candidate := range queue.tasks {
 		if now.Sub(candidate.queued) < queueTimeout {
 			kept = append(kept, candidate)
 			continue
 		}
-		s.giveBack(candidate)
+		s.handBack(candidate)
 	}
-	clear(source.queue[len(kept):])
-	source.queue = kept
+	clear(queue.tasks[len(kept):])
+	queue.tasks = kept
 }
--- a/internal/jobs/dispatch/metrics.go
+++ b/internal/jobs/dispatch/metrics.go
@@ -6,7 +6,7 @@
 	"chutelock.dev/chutelock/internal/jobs"
 )
 
-// metrics counts what the dispatcher does.
+// metrics holds the dispatcher's Prometheus metrics.
 type metrics struct {
 	running   prometheus.Gauge
 	started   prometheus.Counter
--- a/internal/jobs/dispatch/outcome.go
+++ b/internal/jobs/dispatch/outcome.go
@@ -13,65 +13,65 @@
 
 const finishSuspended = "suspended"
 
-// Codes in the bodies of failed items.
+// Error codes in the response bodies of failed items.
 const (
-	codeEngineFailed   = "engine_failed"
-	codeEngineLost     = "engine_lost"
-	codeOutcomeUnknown = "outcome_unknown"
-	codeAnswerTooLarge = "answer_too_large"
+	codeEngineFailed     = "engine_failed"
+	codeEngineLost       = "engine_lost"
+	codeOutcomeUnknown   = "outcome_unknown"
+	codeResponseTooLarge = "answer_too_large"
 )
 
-// maxAnswer is the largest answer that is kept, in bytes: one that the ledger
-// can't take would keep all others from being reported.
-const maxAnswer = 8 << 20
+// maxResponseBytes bounds a stored response: one too large for the ledger
+// would block the reports of all others.
+const maxResponseBytes = 8 << 20
 
-// token takes a chunk of the running attempt; false means that the attempt is
-// over and must end.
-func (s *scheduler) token(now time.Time, running *stream, attempt uint32, chunk engine.Chunk) bool {
-	if !s.current(running, attempt) || chunk.Index != running.task.tokens {
+// addToken appends a chunk to the item's text. It reports whether the attempt
+// is still current; if not, the attempt must end.
+func (s *scheduler) addToken(now time.Time, running *stream, attempt uint32, chunk engine.Chunk) bool {
+	if !s.isCurrent(running, attempt) || chunk.Index != running.task.tokens {
 		return false
 	}
 	running.task.tokens++
 	running.task.text.WriteString(chunk.Text)
 	running.lastToken = now
-	s.step(now, batch.Event{Kind: batch.EventBatchToken, Engine: running.engine, Stream: running.id})
+	s.stepPolicy(now, batch.Event{Kind: batch.EventBatchToken, Engine: running.engine, Stream: running.id})
 	return true
 }
 
-func (s *scheduler) current(running *stream, attempt uint32) bool {
+func (s *scheduler) isCurrent(running *stream, attempt uint32) bool {
 	return s.streams[running.id] == running && running.state == streamRunning && running.attempt == attempt
 }
 
-// refusedStart ends a stream whose start was not granted, or was granted too
+// startRefused removes a stream whose start was not granted, or granted too
 // late. It hands the item back as not run, which undoes a recorded start.
-func (s *scheduler) refusedStart(now time.Time, running *stream) {
-	if !s.current(running, running.attempt) {
+func (s *scheduler) startRefused(now time.Time, running *stream) {
+	if !s.isCurrent(running, running.attempt) {
 		return
 	}
-	s.left(now, running)
+	s.endRunning(now, running)
 	s.remove(running)
 	if !running.revoked {
-		s.giveBack(running.task)
+		s.handBack(running.task)
 	}
 }
 
-// left tells the policy that a stream does not run any more.
-func (s *scheduler) left(now time.Time, running *stream) {
-	s.supply(running.task.model).running--
+// endRunning tells the policy that a stream no longer runs.
+func (s *scheduler) endRunning(now time.Time, running *stream) {
+	s.modelQueue(running.task.model).running--
 	running.state = 0
-	s.step(now, batch.Event{Kind: batch.EventBatchEnded, Engine: running.engine, Stream: running.id})
+	s.stepPolicy(now, batch.Event{Kind: batch.EventBatchEnded, Engine: running.engine, Stream: running.id})
 }
 
-// ended takes the end of an attempt.
-func (s *scheduler) ended(now time.Time, running *stream, attempt uint32, finish engine.Finish, err error) {
-	if !s.current(running, attempt) {
+// attemptEnded handles the end of an attempt; that of an earlier one is ignored.
+func (s *scheduler) attemptEnded(now time.Time, running *stream, attempt uint32, finish engine.Finish, err error) {
+	if !s.isCurrent(running, attempt) {
 		return
 	}
 	suspended := err == nil && finish.Reason == finishSuspended
-	if suspended && s.park(now, running) {
+	if suspended && s.keepSuspended(now, running) {
 		return
 	}
-	s.left(now, running)
+	s.endRunning(now, running)
 	switch {
 	case running.revoked:
 		s.remove(running)
@@ -84,36 +84,36 @@
 	}
 }
 
-// park keeps a stream that was suspended as the policy wanted, if it can go on
-// at its engine.
-func (s *scheduler) park(now time.Time, parked *stream) bool {
-	at, ok := s.engines[parked.engine]
-	if !ok || at.leaving || s.draining || !parked.suspending || parked.moving || parked.revoked {
+// keepSuspended keeps a stream that was suspended at the policy's request and
+// can resume at its engine. It reports whether the stream was kept.
+func (s *scheduler) keepSuspended(now time.Time, running *stream) bool {
+	home, ok := s.engines[running.engine]
+	if !ok || home.leaving || s.draining || !running.suspending || running.moving || running.revoked {
 		return false
 	}
-	s.supply(parked.task.model).running--
-	parked.state = streamSuspended
-	s.step(now, batch.Event{
-		Kind: batch.EventBatchEnded, Engine: parked.engine, Stream: parked.id, Suspended: true,
+	s.modelQueue(running.task.model).running--
+	running.state = streamSuspended
+	s.stepPolicy(now, batch.Event{
+		Kind: batch.EventBatchEnded, Engine: running.engine, Stream: running.id, Suspended: true,
 	})
 	return true
 }
 
 func (s *scheduler) succeeded(now time.Time, finished *stream, finish engine.Finish) {
 	s.remove(finished)
-	result := resultOf(finished.task)
+	result := newResult(finished.task)
 	result.Status = jobs.ItemSucceeded
 	result.HTTPStatus = http.StatusOK
 	result.CompletionTokens = uint32(max(finish.CompletionTokens, finished.task.tokens))
-	result.Body = wholeAnswer(now, finished, finish)
-	if len(result.Body) > maxAnswer {
+	result.Body = completionJSON(now, finished, finish)
+	if len(result.Body) > maxResponseBytes {
 		result.Status, result.HTTPStatus = jobs.ItemFailed, http.StatusInsufficientStorage
-		result.Body = errorAnswer(codeAnswerTooLarge, "the answer is too large to be kept")
+		result.Body = errorJSON(codeResponseTooLarge, "the answer is too large to be kept")
 	}
 	s.emit(action{kind: actionReport, result: result})
 }
 
-// failed decides what becomes of an item whose attempt failed.
+// failed requeues an item whose attempt failed or reports the failure.
 func (s *scheduler) failed(now time.Time, running *stream, err error) {
 	failure := asEngineError(err)
 	s.block(now, running.engine, failure)
@@ -122,34 +122,35 @@
 		return
 	}
 	s.remove(running)
-	result := resultOf(running.task)
+	result := newResult(running.task)
 	switch {
 	case failure.Fate == engine.FateNotRun:
 		result.HTTPStatus = machine.ReturnNotRun
-	case isFinal(failure.Status):
+	case isRejection(failure.Status):
 		result.Status, result.HTTPStatus = jobs.ItemFailed, uint16(failure.Status)
-		result.Body = errorAnswer(codeEngineFailed, failure.Error())
+		result.Body = errorJSON(codeEngineFailed, failure.Error())
 	case failure.Fate == engine.FateFailed || failure.Status != 0:
 		result.HTTPStatus = statusOr(failure.Status, http.StatusInternalServerError)
-		result.Body = errorAnswer(codeEngineFailed, failure.Error())
+		result.Body = errorJSON(codeEngineFailed, failure.Error())
 		if !running.task.item.Repeatable {
 			result.Status = jobs.ItemFailed
 		}
 	case running.task.item.Repeatable:
 		result.HTTPStatus = machine.ReturnLost
-		result.Body = errorAnswer(codeEngineLost, failure.Error())
+		result.Body = errorJSON(codeEngineLost, failure.Error())
 	default:
 		result.Status = jobs.ItemOutcomeUnknown
-		result.Body = errorAnswer(codeOutcomeUnknown, failure.Error())
+		result.Body = errorJSON(codeOutcomeUnknown, failure.Error())
 	}
 	kind := actionReport
 	if result.Status == jobs.ItemOpen {
-		kind = actionReturned
+		kind = actionHandBack
 	}
 	s.emit(action{kind: kind, result: result})
 }
 
-// statusOr keeps the status of an engine's own error apart from ReturnLost.
+// statusOr returns status, or fallback if status is unset or would be read as
+// machine.ReturnLost.
 func statusOr(status, fallback int) uint16 {
 	if status == 0 || uint16(status) == machine.ReturnLost {
 		return uint16(fallback)
@@ -165,18 +166,18 @@
 	return &engine.Error{Step: "generate", Fate: engine.FateUnknown, Err: err}
 }
 
-// isFinal says that the engine refuses the item as such: another try can't
-// end differently.
-func isFinal(status int) bool {
+// isRejection reports whether the status rejects the item itself, so that a
+// retry can't succeed.
+func isRejection(status int) bool {
 	return status >= http.StatusBadRequest && status < http.StatusInternalServerError &&
 		status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
 }
 
-// block keeps new items off an engine that just refused or lost one.
+// block starts the backoff of an engine that refused or lost an item.
 func (s *scheduler) block(now time.Time, name string, failure *engine.Error) {
-	at, ok := s.engines[name]
-	if !ok || failure.Fate == engine.FateFailed || isFinal(failure.Status) {
+	home, ok := s.engines[name]
+	if !ok || failure.Fate == engine.FateFailed || isRejection(failure.Status) {
 		return
 	}
-	at.blockedUntil = now.Add(max(refusalWait, failure.RetryAfter))
+	home.blockedUntil = now.Add(max(minRefusalBackoff, failure.RetryAfter))
 }
--- a/internal/jobs/dispatch/reporter.go
+++ b/internal/jobs/dispatch/reporter.go
@@ -10,72 +10,72 @@
 )
 
 const (
-	// reportDelay lets results gather before they are reported together.
+	// reportDelay is the wait for more results before a batch is reported.
 	reportDelay = 10 * time.Millisecond
-	// reportCount is how many results are reported together at most.
-	reportCount = 512
-	// maxPending is how many unreported results stop the start of new items.
-	// Those for a shard that fails are not counted: no more of its items are
-	// leased, so that they are bounded by what was.
+	// maxReportBatch bounds the results in one report.
+	maxReportBatch = 512
+	// maxPending is the number of unreported results at which no more items are
+	// started. Results of failing shards don't count: no more of their items are
+	// leased, which bounds them.
 	maxPending = 4096
 	// reportTimeout bounds one report; results are kept until it succeeds.
-	reportTimeout = 10 * time.Second
-	reportRetry   = 200 * time.Millisecond
+	reportTimeout    = 10 * time.Second
+	reportRetryDelay = 200 * time.Millisecond
 )
 
-// reporter gathers results and reports them until they are committed. Each
-// shard has a lane of its own, so that one without a leader holds up no other.
+// reporter batches results and retries reports until they are committed. Each
+// shard has its own queue, so that one without a leader delays no other.
 type reporter struct {
 	work    jobs.Work
 	metrics *metrics
 	context context.Context
 	workers sync.WaitGroup
 
-	// mutex guards the lanes; no call is made while it is held.
-	mutex sync.Mutex
-	lanes map[ledger.ShardID]*lane
+	// mutex guards the queues; no I/O is done while it is held.
+	mutex  sync.Mutex
+	queues map[ledger.ShardID]*shardQueue
 }
 
-// lane holds the results for one shard, the oldest first.
-type lane struct {
+// shardQueue holds the unreported results of one shard, oldest first.
+type shardQueue struct {
 	pending []jobs.Result
-	active  bool // a worker reports them
+	active  bool // a worker is reporting them
 	failing bool // the last report failed
 }
 
 func newReporter(ctx context.Context, work jobs.Work, counted *metrics) *reporter {
-	return &reporter{context: ctx, work: work, metrics: counted, lanes: map[ledger.ShardID]*lane{}}
+	return &reporter{context: ctx, work: work, metrics: counted, queues: map[ledger.ShardID]*shardQueue{}}
 }
 
 func (r *reporter) add(result jobs.Result) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	shard := shardOf(result.JobID)
-	found, ok := r.lanes[shard]
+	queue, ok := r.queues[shard]
 	if !ok {
-		found = &lane{}
-		r.lanes[shard] = found
+		queue = &shardQueue{}
+		r.queues[shard] = queue
 	}
-	found.pending = append(found.pending, result)
-	if !found.active {
-		found.active = true
-		r.workers.Go(func() { r.empty(found) })
+	queue.pending = append(queue.pending, result)
+	if !queue.active {
+		queue.active = true
+		r.workers.Go(func() { r.reportAll(queue) })
 	}
 }
 
-// shardOf reads the shard out of a job's identifier; identifiers that have
-// none share a lane.
+// shardOf returns the shard encoded in a job's identifier; identifiers without
+// one share a queue.
 func shardOf(jobID string) ledger.ShardID {
 	shard, _ := jobs.ShardOfJob(jobID, jobs.MaxShards)
 	return shard
 }
 
-// congested says that results come faster than they can be reported.
+// congested reports whether too many results wait to be reported.
 func (r *reporter) congested() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	waiting := 0
-	for _, each := range r.lanes {
+	for _, each := range r.queues {
 		if !each.failing {
 			waiting += len(each.pending)
 		}
@@ -83,11 +83,11 @@
 	return waiting >= maxPending
 }
 
-// done says that nothing waits to be reported.
-func (r *reporter) done() bool {
+// isEmpty reports whether all results were reported.
+func (r *reporter) isEmpty() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for _, each := range r.lanes {
+	for _, each := range r.queues {
 		if len(each.pending) > 0 {
 			return false
 		}
@@ -95,12 +95,12 @@
 	return true
 }
 
-// jobIDs lists the jobs of which results wait.
+// jobIDs returns the jobs with unreported results; it may repeat some.
 func (r *reporter) jobIDs() []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var found []string
-	for _, each := range r.lanes {
+	for _, each := range r.queues {
 		for _, result := range each.pending {
 			if len(found) == 0 || found[len(found)-1] != result.JobID {
 				found = append(found, result.JobID)
@@ -110,34 +110,34 @@
 	return found
 }
 
-// empty reports a lane's results until none is left.
-func (r *reporter) empty(from *lane) {
+// reportAll reports a queue's results until none is left.
+func (r *reporter) reportAll(queue *shardQueue) {
 	wait := reportDelay
 	for sleep(r.context, wait) {
-		batch := r.oldest(from)
+		batch := r.nextBatch(queue)
 		if len(batch) == 0 {
 			return
 		}
 		wait = reportDelay
 		if err := r.report(batch); err != nil {
 			eventReportFailed.Error(err, "results", len(batch))
-			wait = reportRetry
+			wait = reportRetryDelay
 		}
-		r.settle(from, len(batch), wait == reportDelay)
+		r.finishBatch(queue, len(batch), wait == reportDelay)
 	}
 }
 
-// oldest returns what to report next; when that is nothing, the worker must
-// end.
-func (r *reporter) oldest(from *lane) []jobs.Result {
+// nextBatch returns the results to report next. If there are none, it marks the
+// queue inactive and the worker must end.
+func (r *reporter) nextBatch(queue *shardQueue) []jobs.Result {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if len(from.pending) == 0 {
-		from.active = false
+	if len(queue.pending) == 0 {
+		queue.active = false
 		return nil
 	}
-	count := min(len(from.pending), reportCount)
-	return append([]jobs.Result(nil), from.pending[:count]...)
+	count := min(len(queue.pending), maxReportBatch)
+	return append([]jobs.Result(nil), queue.pending[:count]...)
 }
 
 func (r *reporter) report(batch []jobs.Result) error {
@@ -150,21 +150,21 @@
 	return nil
 }
 
-// settle removes results that were committed; others stay, so that none is
-// lost on the way.
-func (r *reporter) settle(from *lane, count int, committed bool) {
+// finishBatch removes a committed batch from the queue; a failed one stays for
+// the next report.
+func (r *reporter) finishBatch(queue *shardQueue, count int, committed bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	from.failing = !committed
+	queue.failing = !committed
 	if committed {
-		from.pending = append(from.pending[:0:0], from.pending[count:]...)
+		queue.pending = append(queue.pending[:0:0], queue.pending[count:]...)
 	}
 }
 
-// wait returns when all workers have ended, after the context has.
+// wait waits for all workers to end; the context must have ended.
 func (r *reporter) wait() { r.workers.Wait() }
 
-// sleep waits, and says whether ctx still holds.
+// sleep waits and reports whether the wait passed before ctx ended.
 func sleep(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/internal/jobs/dispatch/scheduler.go
+++ b/internal/jobs/dispatch/scheduler.go
@@ -10,23 +10,22 @@
 )
 
 const (
-	// queueTimeout is how long a leased item may wait here before it is
-	// handed back, so that another node can run it.
+	// queueTimeout bounds the time a leased item is queued; then it is handed
+	// back, so that another node can run it.
 	queueTimeout = 2 * time.Second
-	// stallTimeout is how long a stream may bring no token.
+	// stallTimeout bounds the time between tokens of a stream.
 	stallTimeout = 2 * time.Minute
-	// emptyWait is the wait after a lease request that found nothing.
-	emptyWait = 250 * time.Millisecond
-	// refusalWait is the least wait before more is sent to an engine that
-	// refused an item.
-	refusalWait = 100 * time.Millisecond
-	// maxFetch bounds one lease request.
+	// emptyLeaseDelay is the wait after a lease request that returned no items.
+	emptyLeaseDelay = 250 * time.Millisecond
+	// minRefusalBackoff is the minimum backoff after an engine refused an item.
+	minRefusalBackoff = 100 * time.Millisecond
+	// maxFetch is the maximum number of items in one lease request.
 	maxFetch = 512
-	// minFetch is the least that a lease request asks for.
+	// minFetch is the minimum number of items in one lease request.
 	minFetch = 4
 )
 
-// actionKind says what the shell must do.
+// actionKind is what the dispatcher must do.
 type actionKind uint8
 
 const (
@@ -35,7 +34,7 @@
 	actionCancel                         // end the stream's attempt
 	actionFetch                          // lease count items of model
 	actionReport                         // report the result
-	actionReturned                       // the same, of an item that was not finished
+	actionHandBack                       // the same, of an item that was not finished
 )
 
 // action is one output of the scheduler.
@@ -47,7 +46,7 @@
 	result jobs.Result
 }
 
-// task is a leased item on its way.
+// task is a leased item that is queued or has a stream.
 type task struct {
 	lease  jobs.Lease // without its items
 	item   jobs.Item
@@ -59,81 +58,78 @@
 	attempts uint32
 }
 
-// streamState is where a stream is.
+// streamState is the state of a stream; zero is ended.
 type streamState uint8
 
 const (
 	streamRunning   streamState = iota + 1
-	streamSuspended             // parked at its engine, with its tokens kept
+	streamSuspended             // suspended at its engine, which keeps its tokens
 )
 
-// stream is a task at an engine.
+// stream is a task that runs or is suspended at an engine.
 type stream struct {
 	id     string
 	engine string
 	task   *task
 	state  streamState
-	// attempt is the number of the running attempt; what comes of another is
-	// late and ignored.
+	// attempt is the number of the current attempt; events of earlier ones are
+	// ignored.
 	attempt   uint32
 	lastToken time.Time
-	// suspending says that the policy asked for the suspension.
+	// suspending is set when the policy requested a suspension.
 	suspending bool
-	// moving says that the stream was cancelled to run elsewhere; stalled,
-	// that it was cancelled because it brought nothing; revoked, that its job
-	// is final.
-	moving  bool
-	stalled bool
-	revoked bool
+	moving     bool // cancelled in order to run on another engine
+	stalled    bool // cancelled after stallTimeout without a token
+	revoked    bool // cancelled because its job is final
 }
 
-// home is an engine that this node is home of.
-type home struct {
+// homeEngine is an engine whose home is this node.
+type homeEngine struct {
 	name    string
 	models  []string
 	leaving bool
-	// blockedUntil is set when the engine refused an item.
+	// blockedUntil is the end of the backoff after the engine refused an item.
 	blockedUntil time.Time
 	streams      map[string]*stream
-	// lacking is how many more streams the policy would have started when it
-	// was last asked, had there been items.
-	lacking int
+	// unfilled is the number of streams that the policy last admitted and that
+	// could not be started for lack of items.
+	unfilled int
 }
 
-// supply is what is leased and waits for a model.
-type supply struct {
-	queue     []*task
+// modelQueue holds the leased items of one model that wait for an engine.
+type modelQueue struct {
+	tasks     []*task
 	running   int
 	fetching  bool
 	nextFetch time.Time
 }
 
-// scheduler decides. It is not safe for concurrent use.
+// scheduler decides which items run where. It is not safe for concurrent use.
 type scheduler struct {
-	policy   batch.Policy
-	engines  map[string]*home
-	streams  map[string]*stream
-	supplies map[string]*supply
-	// rights says until when items of a job may be started.
-	rights   map[string]time.Time
-	draining bool
-	// congested is set while results can't be reported.
+	policy      batch.Policy
+	engines     map[string]*homeEngine
+	streams     map[string]*stream
+	modelQueues map[string]*modelQueue
+	// startUntil is the time, by job ID, until which items may be started.
+	startUntil map[string]time.Time
+	draining   bool
+	// congested is set while too many results wait to be reported.
 	congested bool
 	actions   []action
-	// events wait for the policy; stepping says that they are being taken.
+	// events wait for the policy; stepping is set while they are processed.
 	events   []batch.Event
 	stepping bool
 }
 
 func newScheduler(policy batch.Policy) *scheduler {
 	return &scheduler{
-		policy: policy, engines: map[string]*home{}, streams: map[string]*stream{},
-		supplies: map[string]*supply{}, rights: map[string]time.Time{},
+		policy: policy, engines: map[string]*homeEngine{}, streams: map[string]*stream{},
+		modelQueues: map[string]*modelQueue{}, startUntil: map[string]time.Time{},
 	}
 }
 
-// take returns the actions since the last take.
-func (s *scheduler) take() []action {
+// takeActions returns and clears the pending actions.
+func (s *scheduler) takeActions() []action {
 	taken := s.actions
 	s.actions = nil
 	return taken
@@ -141,18 +137,18 @@
 
 func (s *scheduler) emit(next action) { s.actions = append(s.actions, next) }
 
-func (s *scheduler) supply(model string) *supply {
-	found, ok := s.supplies[model]
+func (s *scheduler) modelQueue(model string) *modelQueue {
+	found, ok := s.modelQueues[model]
 	if !ok {
-		found = &supply{}
-		s.supplies[model] = found
+		found = &modelQueue{}
+		s.modelQueues[model] = found
 	}
 	return found
 }
 
-// step gives an event to the policy and does what it says. Events that come
-// of that are given to the policy afterwards, one at a time.
-func (s *scheduler) step(now time.Time, event batch.Event) {
+// stepPolicy passes an event to the policy and applies its actions. Events
+// that result from these are queued and passed afterwards, one at a time.
+func (s *scheduler) stepPolicy(now time.Time, event batch.Event) {
 	s.events = append(s.events, event)
 	if s.stepping {
 		return
@@ -162,18 +158,18 @@
 		next := s.events[0]
 		s.events = s.events[1:]
 		for _, decided := range s.policy.Step(now, next) {
-			s.follow(now, decided)
+			s.apply(now, decided)
 		}
 	}
 	s.events = nil
 	s.stepping = false
 }
 
-func (s *scheduler) follow(now time.Time, decided batch.Action) {
+func (s *scheduler) apply(now time.Time, decided batch.Action) {
 	switch decided.Kind {
 	case batch.ActionAdmit:
-		if engine, ok := s.engines[decided.Engine]; ok {
-			s.admit(now, engine, decided.Count)
+		if home, ok := s.engines[decided.Engine]; ok {
+			s.admit(now, home, decided.Count)
 		}
 	case batch.ActionSuspend:
 		s.suspend(decided.Stream)
@@ -184,7 +180,7 @@
 	}
 }
 
-// tick lets time pass.
+// tick cancels stalled streams, hands back stale items and ticks the policy.
 func (s *scheduler) tick(now time.Time) {
 	for _, running := range s.streams {
 		if running.state == streamRunning && !running.stalled && now.Sub(running.lastToken) > stallTimeout {
@@ -192,8 +188,8 @@
 			s.emit(action{kind: actionCancel, stream: running})
 		}
 	}
-	for _, source := range s.supplies {
-		s.returnStale(now, source)
+	for _, queue := range s.modelQueues {
+		s.handBackStale(now, queue)
 	}
 	s.tickEngines(now)
 }
@@ -205,7 +201,7 @@
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		s.engines[name].lacking = 0
-		s.step(now, batch.Event{Kind: batch.EventTick, Engine: name})
+		s.engines[name].unfilled = 0
+		s.stepPolicy(now, batch.Event{Kind: batch.EventTick, Engine: name})
 	}
 }
--- a/internal/jobs/dispatch/fuzz_test.go
+++ b/internal/jobs/dispatch/simulation_test.go
@@ -30,84 +30,86 @@
 	os.Exit(m.Run())
 }
 
-// place is where the oracle believes an item to be.
-type place uint8
+// itemState is the expected state of an item.
+type itemState uint8
 
 const (
-	placeHere     place = iota + 1 // leased, and not yet reported or handed back
-	placeReported                  // reported or handed back
-	placeRevoked                   // its job is final: nothing is said of it any more
+	itemHeld     itemState = iota + 1 // leased, not yet reported or handed back
+	itemReported                      // reported or handed back
+	itemRevoked                       // its job is final: it must not be reported
 )
 
-// floor drives the scheduler under the real controller and plays the engines.
-type floor struct {
+// simulation drives the scheduler and simulates the engines.
+type simulation struct {
 	s       *scheduler
 	now     time.Time
 	epoch   uint64
-	places  map[string]place // by stream id
-	once    map[string]int   // attempts of non-repeatable items
-	running map[string]*attemptAt
+	states  map[string]itemState // by stream ID
+	sent    map[string]int       // attempts of non-repeatable items
+	running map[string]*runningAttempt
 	revoked map[string]bool
 }
 
-// attemptAt is an attempt that an engine runs.
-type attemptAt struct {
+// runningAttempt is an attempt that an engine runs.
+type runningAttempt struct {
 	stream    *stream
 	attempt   uint32
 	tokens    int
-	suspended bool // the engine was asked to suspend it
+	suspended bool // suspension was requested
 	cancelled bool
 }
 
-// whim is a policy that does anything with the streams that there are.
-type whim struct {
+// randomPolicy returns random actions on the existing streams.
+type randomPolicy struct {
 	t *rapid.T
 	s *scheduler
 }
 
-func (w *whim) Step(_ time.Time, event batch.Event) []batch.Action {
+func (w *randomPolicy) Step(_ time.Time, event batch.Event) []batch.Action {
 	if event.Kind == batch.EventBatchStarted || event.Kind == batch.EventBatchEnded {
 		return nil
 	}
-	actions := []batch.Action{{Kind: batch.ActionAdmit, Engine: event.Engine, Count: rapid.IntRange(0, 2).Draw(w.t, "room")}}
+	actions := []batch.Action{{Kind: batch.ActionAdmit, Engine: event.Engine, Count: rapid.IntRange(0, 2).Draw(w.t, "admit")}}
 	identifiers := make([]string, 0, len(w.s.streams))
 	for id := range w.s.streams {
 		identifiers = append(identifiers, id)
 	}
 	sort.Strings(identifiers)
 	for _, id := range identifiers {
-		// Zero is no action.
-		kind := rapid.SampledFrom([]batch.ActionKind{0, batch.ActionSuspend, batch.ActionResume, batch.ActionCancel}).Draw(w.t, "whim")
+		// Zero means no action.
+		kind := rapid.SampledFrom([]batch.ActionKind{0, batch.ActionSuspend, batch.ActionResume, batch.ActionCancel}).Draw(w.t, "action")
 		actions = append(actions, batch.Action{Kind: kind, Engine: event.Engine, Stream: id})
 	}
 	return actions
 }
 
-func newFloor(t *rapid.T) *floor {
-	chosen := &whim{t: t}
-	policy := batch.Policy(chosen)
+func newSimulation(t *rapid.T) *simulation {
+	random := &randomPolicy{t: t}
+	policy := batch.Policy(random)
 	if rapid.Bool().Draw(t, "controller") {
 		policy = batch.NewController(batch.Config{Share: 0.5, Slots: 4})
 	}
-	f := &floor{
-		s: newScheduler(policy), now: time.Unix(1_700_000_000, 0), places: map[string]place{}, once: map[string]int{},
-		running: map[string]*attemptAt{}, revoked: map[string]bool{},
+	f := &simulation{
+		s: newScheduler(policy), now: time.Unix(1_700_000_000, 0), states: map[string]itemState{}, sent: map[string]int{},
+		running: map[string]*runningAttempt{}, revoked: map[string]bool{},
 	}
-	chosen.s = f.s
+	random.s = f.s
 	f.gain(t)
 	return f
 }
 
 var engineNames = []string{"e1", "e2"}
 
-func (f *floor) engine(t *rapid.T) string { return rapid.SampledFrom(engineNames).Draw(t, "engine") }
+func (f *simulation) engine(t *rapid.T) string {
+	return rapid.SampledFrom(engineNames).Draw(t, "engine")
+}
 
-func (f *floor) gain(t *rapid.T) { f.s.gained(f.now, f.engine(t), []string{"m"}, false) }
+func (f *simulation) gain(t *rapid.T) { f.s.gained(f.now, f.engine(t), []string{"m"}, false) }
 
-// settle plays the shell: it does what the scheduler decided.
-func (f *floor) settle(t *rapid.T) {
+// execute executes the scheduler's actions in place of the dispatcher.
+func (f *simulation) execute(t *rapid.T) {
 	f.s.fetch(f.now)
-	for _, decided := range f.s.take() {
+	for _, decided := range f.s.takeActions() {
 		switch decided.kind {
 		case actionRun:
 			f.run(t, decided.stream)
@@ -119,32 +121,32 @@
 			if at := f.running[decided.stream.id]; at != nil {
 				at.cancelled = true
 			}
-		case actionReport, actionReturned:
+		case actionReport, actionHandBack:
 			id := fmt.Sprintf("%s-%d-%d", decided.result.JobID, decided.result.Index, decided.result.Epoch)
-			if f.places[id] != placeHere {
-				t.Fatalf("%s was reported in place %d", id, f.places[id])
+			if f.states[id] != itemHeld {
+				t.Fatalf("%s was reported in state %d", id, f.states[id])
 			}
-			f.places[id] = placeReported
+			f.states[id] = itemReported
 		}
 	}
 }
 
-func (f *floor) run(t *rapid.T, started *stream) {
+func (f *simulation) run(t *rapid.T, started *stream) {
 	if f.running[started.id] != nil {
-		t.Fatalf("%s runs twice at a time", started.id)
+		t.Fatalf("%s has two concurrent attempts", started.id)
 	}
 	if !started.task.item.Repeatable {
-		if f.once[started.id]++; f.once[started.id] > 1 {
+		if f.sent[started.id]++; f.sent[started.id] > 1 {
 			t.Fatalf("%s is not repeatable and was sent twice", started.id)
 		}
 	}
-	if f.places[started.id] != placeHere || !f.s.mayStart(f.now, started.task) {
+	if f.states[started.id] != itemHeld || !f.s.mayStart(f.now, started.task) {
 		t.Fatalf("%s must not start", started.id)
 	}
-	f.running[started.id] = &attemptAt{stream: started, attempt: started.attempt, tokens: started.task.tokens}
+	f.running[started.id] = &runningAttempt{stream: started, attempt: started.attempt, tokens: started.task.tokens}
 }
 
-func (f *floor) lease(t *rapid.T) {
+func (f *simulation) lease(t *rapid.T) {
 	f.epoch++
 	jobID := fmt.Sprintf("j%d", rapid.IntRange(1, 3).Draw(t, "job"))
 	if f.revoked[jobID] {
@@ -153,12 +155,12 @@
 	lease := jobs.Lease{JobID: jobID, Epoch: f.epoch, Deadline: f.now.Add(time.Hour), Expires: f.now.Add(leaseValidity)}
 	for i := range rapid.IntRange(0, 4).Draw(t, "items") {
 		lease.Items = append(lease.Items, jobs.Item{Index: uint32(i), Repeatable: rapid.Bool().Draw(t, "repeatable")})
-		f.places[fmt.Sprintf("%s-%d-%d", jobID, i, f.epoch)] = placeHere
+		f.states[fmt.Sprintf("%s-%d-%d", jobID, i, f.epoch)] = itemHeld
 	}
 	f.s.leased(f.now, "m", []jobs.Lease{lease})
 }
 
-func (f *floor) pick(t *rapid.T) *attemptAt {
+func (f *simulation) pick(t *rapid.T) *runningAttempt {
 	if len(f.running) == 0 {
 		return nil
 	}
@@ -170,15 +172,15 @@
 	return f.running[rapid.SampledFrom(identifiers).Draw(t, "stream")]
 }
 
-func (f *floor) token(t *rapid.T) {
+func (f *simulation) token(t *rapid.T) {
 	if at := f.pick(t); at != nil {
-		f.s.token(f.now, at.stream, at.attempt, engine.Chunk{Index: at.tokens, Text: "x"})
+		f.s.addToken(f.now, at.stream, at.attempt, engine.Chunk{Index: at.tokens, Text: "x"})
 		at.tokens++
 	}
 }
 
-// end ends an attempt in a way that an engine may.
-func (f *floor) end(t *rapid.T) {
+// endAttempt ends an attempt with a random outcome that an engine may give.
+func (f *simulation) endAttempt(t *rapid.T) {
 	at := f.pick(t)
 	if at == nil {
 		return
@@ -196,42 +198,43 @@
 			&engine.Error{Fate: engine.FateUnknown, Err: errors.New("x")}, errors.New("x"),
 		}).Draw(t, "failure")
 	}
-	f.s.ended(f.now, at.stream, at.attempt, finish, err)
-	f.s.ended(f.now, at.stream, at.attempt, finish, err) // an end that is told twice
+	f.s.attemptEnded(f.now, at.stream, at.attempt, finish, err)
+	f.s.attemptEnded(f.now, at.stream, at.attempt, finish, err) // a duplicate end must be ignored
 }
 
-func (f *floor) refuse(t *rapid.T) {
+func (f *simulation) refuseStart(t *rapid.T) {
 	if at := f.pick(t); at != nil && !at.stream.task.item.Repeatable && at.tokens == 0 {
 		delete(f.running, at.stream.id)
-		delete(f.once, at.stream.id)
-		f.s.refusedStart(f.now, at.stream)
+		delete(f.sent, at.stream.id)
+		f.s.startRefused(f.now, at.stream)
 	}
 }
 
-func (f *floor) revoke(t *rapid.T) {
+func (f *simulation) revoke(t *rapid.T) {
 	jobID := fmt.Sprintf("j%d", rapid.IntRange(1, 3).Draw(t, "job"))
 	f.revoked[jobID] = true
 	f.s.revoke(f.now, []string{jobID})
-	for id, where := range f.places {
-		if where == placeHere && id[:len(jobID)+1] == jobID+"-" {
-			f.places[id] = placeRevoked
+	for id, state := range f.states {
+		if state == itemHeld && id[:len(jobID)+1] == jobID+"-" {
+			f.states[id] = itemRevoked
 		}
 	}
 }
 
-func (f *floor) advance(t *rapid.T) {
+func (f *simulation) advance(t *rapid.T) {
 	f.now = f.now.Add(time.Duration(rapid.SampledFrom([]int{1, 10, 300, 1900, 2500, 130_000}).Draw(t, "ms")) * time.Millisecond)
 	f.s.tick(f.now)
 }
 
-func (f *floor) online(t *rapid.T) {
+func (f *simulation) online(t *rapid.T) {
 	kind := rapid.SampledFrom([]batch.EventKind{batch.EventOnlineStarted, batch.EventOnlineFinished}).Draw(t, "kind")
-	f.s.online(f.now, batch.Event{Kind: kind, Engine: f.engine(t), Stream: rapid.SampledFrom([]string{"o1", "o2", "o3", "o4"}).Draw(t, "request")})
+	f.s.onlineRequest(f.now, batch.Event{Kind: kind, Engine: f.engine(t), Stream: rapid.SampledFrom([]string{"o1", "o2", "o3", "o4"}).Draw(t, "request")})
 }
 
-// check says that each item is in one place, and that the counts agree.
-func (f *floor) check(t *rapid.T) {
-	f.settle(t)
+// checkInvariants fails if a held item is lost or duplicated, or if the count
+// of running streams is wrong.
+func (f *simulation) checkInvariants(t *rapid.T) {
+	f.execute(t)
 	found := map[string]int{}
 	running := 0
 	for id, known := range f.s.streams {
@@ -240,32 +243,33 @@
 			running++
 		}
 	}
-	for _, source := range f.s.supplies {
-		for _, queued := range source.queue {
+	for _, queue := range f.s.modelQueues {
+		for _, queued := range queue.tasks {
 			found[streamID(queued)]++
 		}
-		if source.running != running {
-			t.Fatalf("%d streams run, but %d are counted", running, source.running)
+		if queue.running != running {
+			t.Fatalf("%d streams run, but the count is %d", running, queue.running)
 		}
 	}
-	for id, where := range f.places {
+	for id, state := range f.states {
 		expected := 0
-		if where == placeHere {
+		if state == itemHeld {
 			expected = 1
 		}
-		ending := where == placeRevoked && f.running[id] != nil
+		ending := state == itemRevoked && f.running[id] != nil
 		if found[id] != expected && !ending {
-			t.Fatalf("item %s in place %d was found %d times", id, where, found[id])
+			t.Fatalf("item %s in state %d was found %d times", id, state, found[id])
 		}
 	}
 }
 
-func TestSchedulerLosesAndDoublesNothing(t *testing.T) {
+// Random events must neither lose an item nor report or run it twice.
+func TestSchedulerNeitherLosesNorDuplicatesItems(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := newFloor(t)
+		f := newSimulation(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"gain": f.gain, "lease": f.lease, "lease more": f.lease, "token": f.token, "token more": f.token, "end": f.end,
-			"end more": f.end, "refuse": f.refuse, "revoke": f.revoke, "advance": f.advance, "online": f.online,
+			"gain": f.gain, "lease": f.lease, "lease more": f.lease, "token": f.token, "token more": f.token, "end": f.endAttempt,
+			"end more": f.endAttempt, "refuse": f.refuseStart, "revoke": f.revoke, "advance": f.advance, "online": f.online,
 			"renew":   func(*rapid.T) { f.s.renewed(f.s.heldJobs(), f.now.Add(leaseValidity)) },
 			"lose":    func(t *rapid.T) { f.s.lost(f.now, f.engine(t)) },
 			"leaving": func(t *rapid.T) { f.s.setLeaving(f.now, f.engine(t), rapid.Bool().Draw(t, "leaving")) },
@@ -278,7 +282,7 @@
 					f.s.cancelAll(f.now)
 				}
 			},
-			"": f.check,
+			"": f.checkInvariants,
 		})
 	})
 }
--- a/internal/jobs/dispatch/start.go
+++ b/internal/jobs/dispatch/start.go
@@ -8,41 +8,42 @@
 	"chutelock.dev/chutelock/internal/jobs"
 )
 
-// admit starts up to count streams, and notes what it lacked.
-func (s *scheduler) admit(now time.Time, at *home, count int) {
-	at.lacking = 0
-	if at.leaving || s.draining || s.congested || now.Before(at.blockedUntil) {
+// admit starts up to count streams and records how many lacked items.
+func (s *scheduler) admit(now time.Time, home *homeEngine, count int) {
+	home.unfilled = 0
+	if home.leaving || s.draining || s.congested || now.Before(home.blockedUntil) {
 		return
 	}
-	for _, model := range at.models {
-		source := s.supply(model)
+	for _, model := range home.models {
+		queue := s.modelQueue(model)
 		for count > 0 {
-			next := s.nextTask(now, source)
+			next := s.nextTask(now, queue)
 			if next == nil {
 				break
 			}
 			count--
-			s.start(now, at, next)
+			s.start(now, home, next)
 		}
 	}
-	at.lacking = count
+	home.unfilled = count
 }
 
-// nextTask takes the first task that may start now.
-func (s *scheduler) nextTask(now time.Time, source *supply) *task {
-	for position, candidate := range source.queue {
+// nextTask removes and returns the first queued task that may start now.
+func (s *scheduler) nextTask(now time.Time, queue *modelQueue) *task {
+	for position, candidate := range queue.tasks {
 		if !s.mayStart(now, candidate) {
 			continue
 		}
-		source.queue = append(source.queue[:position], source.queue[position+1:]...)
+		queue.tasks = append(queue.tasks[:position], queue.tasks[position+1:]...)
 		return candidate
 	}
 	return nil
 }
 
-// mayStart says whether the job's leases were renewed lately.
+// mayStart reports whether the start validity of the job and its deadline
+// permit a start.
 func (s *scheduler) mayStart(now time.Time, candidate *task) bool {
-	return now.Before(s.rights[candidate.lease.JobID]) && now.Before(candidate.lease.Deadline)
+	return now.Before(s.startUntil[candidate.lease.JobID]) && now.Before(candidate.lease.Deadline)
 }
 
 func streamID(candidate *task) string {
@@ -50,67 +51,66 @@
 		"-" + strconv.FormatUint(candidate.lease.Epoch, 10)
 }
 
-func (s *scheduler) start(now time.Time, at *home, started *task) {
-	running := &stream{id: streamID(started), engine: at.name, task: started}
+func (s *scheduler) start(now time.Time, home *homeEngine, started *task) {
+	running := &stream{id: streamID(started), engine: home.name, task: started}
 	s.streams[running.id] = running
-	at.streams[running.id] = running
+	home.streams[running.id] = running
 	s.run(now, running)
 }
 
-// run sends a stream's next attempt.
+// run starts a stream's next attempt.
 func (s *scheduler) run(now time.Time, running *stream) {
 	running.task.attempts++
 	running.attempt = running.task.attempts
 	running.state = streamRunning
 	running.lastToken = now
 	running.suspending = false
-	s.supply(running.task.model).running++
+	s.modelQueue(running.task.model).running++
 	s.emit(action{kind: actionRun, stream: running})
-	s.step(now, batch.Event{
+	s.stepPolicy(now, batch.Event{
 		Kind: batch.EventBatchStarted, Engine: running.engine, Stream: running.id,
 		PromptTokens: promptTokens(running.task.item.Body), Deadline: running.task.lease.Deadline,
 	})
 }
 
-// bytesPerToken is a rough size of a token, in bytes.
+// bytesPerToken estimates the size of a token.
 const bytesPerToken = 4
 
 func promptTokens(body []byte) int { return len(body) / bytesPerToken }
 
-// fetch leases more of each model whose queue runs low. The shell calls it
-// after each change but a token.
+// fetch requests more items for each model whose queue runs low.
 func (s *scheduler) fetch(now time.Time) {
 	if s.draining || s.congested {
 		return
 	}
-	for model, lacking := range s.lacking() {
-		source := s.supply(model)
-		low := max(lacking, source.running/4)
-		if source.fetching || low == 0 || len(source.queue) >= low || now.Before(source.nextFetch) {
+	for model, unfilled := range s.unfilledByModel() {
+		queue := s.modelQueue(model)
+		low := max(unfilled, queue.running/4)
+		if queue.fetching || low == 0 || len(queue.tasks) >= low || now.Before(queue.nextFetch) {
 			continue
 		}
-		source.fetching = true
-		count := max(lacking, source.running/2) - len(source.queue)
+		queue.fetching = true
+		count := max(unfilled, queue.running/2) - len(queue.tasks)
 		s.emit(action{kind: actionFetch, model: model, count: min(max(count, minFetch), maxFetch)})
 	}
 }
 
-// lacking sums, for each model here, what the engines lacked.
-func (s *scheduler) lacking() map[string]int {
-	total := make(map[string]int, len(s.supplies))
-	for _, at := range s.engines {
-		if at.leaving {
+// unfilledByModel sums the unfilled streams of the engines by model.
+func (s *scheduler) unfilledByModel() map[string]int {
+	total := make(map[string]int, len(s.modelQueues))
+	for _, home := range s.engines {
+		if home.leaving {
 			continue
 		}
-		for _, model := range at.models {
-			total[model] += at.lacking
+		for _, model := range home.models {
+			total[model] += home.unfilled
 		}
 	}
 	return total
 }
 
-// suspend parks a running stream. A non-repeatable item runs on: what was sent
-// once may not be sent again to resume it.
+// suspend suspends a running stream. A non-repeatable item runs on, since
+// resuming would send it a second time.
 func (s *scheduler) suspend(id string) {
 	running, ok := s.streams[id]
 	if !ok || running.state != streamRunning || !running.task.item.Repeatable {
@@ -121,25 +121,25 @@
 }
 
 func (s *scheduler) resume(now time.Time, id string) {
-	parked, ok := s.streams[id]
-	if !ok || parked.state != streamSuspended {
+	suspended, ok := s.streams[id]
+	if !ok || suspended.state != streamSuspended {
 		return
 	}
-	if !s.mayStart(now, parked.task) {
-		return // the policy asks again, or the job is revoked
+	if !s.mayStart(now, suspended.task) {
+		return // the policy retries, or the job is revoked
 	}
-	s.run(now, parked)
+	s.run(now, suspended)
 }
 
-// move takes a stream off its engine; its item runs elsewhere, behind the
-// tokens that it has.
+// move takes a stream with a repeatable item off its engine; the item is
+// requeued and continues after the tokens it has.
 func (s *scheduler) move(now time.Time, id string) {
 	moved, ok := s.streams[id]
 	if !ok || !moved.task.item.Repeatable {
 		return
 	}
 	if moved.state == streamSuspended {
-		s.unpark(now, moved)
+		s.endSuspended(now, moved)
 		s.requeue(now, moved)
 		return
 	}
@@ -147,36 +147,37 @@
 	s.emit(action{kind: actionCancel, stream: moved})
 }
 
-// unpark tells the policy that a suspended stream waits no more.
-func (s *scheduler) unpark(now time.Time, parked *stream) {
-	parked.state = 0
-	s.step(now, batch.Event{Kind: batch.EventBatchEnded, Engine: parked.engine, Stream: parked.id})
+// endSuspended tells the policy that a suspended stream won't resume.
+func (s *scheduler) endSuspended(now time.Time, suspended *stream) {
+	suspended.state = 0
+	s.stepPolicy(now, batch.Event{Kind: batch.EventBatchEnded, Engine: suspended.engine, Stream: suspended.id})
 }
 
-// requeue puts a stream's task in front of the queue.
+// requeue puts a stream's task at the front of its model's queue; while
+// draining, it hands the item back.
 func (s *scheduler) requeue(now time.Time, ended *stream) {
 	s.remove(ended)
 	if s.draining {
-		s.giveBack(ended.task)
+		s.handBack(ended.task)
 		return
 	}
 	ended.task.queued = now
-	source := s.supply(ended.task.model)
-	source.queue = append([]*task{ended.task}, source.queue...)
+	queue := s.modelQueue(ended.task.model)
+	queue.tasks = append([]*task{ended.task}, queue.tasks...)
 }
 
 func (s *scheduler) remove(ended *stream) {
 	delete(s.streams, ended.id)
-	if at, ok := s.engines[ended.engine]; ok {
-		delete(at.streams, ended.id)
+	if home, ok := s.engines[ended.engine]; ok {
+		delete(home.streams, ended.id)
 	}
 }
 
-// giveBack hands an item back that no engine has finished.
-func (s *scheduler) giveBack(returned *task) {
-	s.emit(action{kind: actionReturned, result: resultOf(returned)})
+// handBack returns an unfinished item to its job.
+func (s *scheduler) handBack(returned *task) {
+	s.emit(action{kind: actionHandBack, result: newResult(returned)})
 }
 
-func resultOf(finished *task) jobs.Result {
+func newResult(finished *task) jobs.Result {
 	return jobs.Result{JobID: finished.lease.JobID, Index: finished.item.Index, Epoch: finished.lease.Epoch}
 }
