--- a/internal/jobs/service/cluster_test.go
+++ b/internal/jobs/service/cluster_test.go
@@ -24,23 +24,23 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// members is a membership that the test sets.
-type members struct {
+// fakeMembership is a membership whose view the test sets.
+type fakeMembership struct {
 	view atomic.Pointer[membership.View]
 	self membership.Member
 }
 
-func (m *members) View() *membership.View  { return m.view.Load() }
-func (m *members) Self() membership.Member { return m.self }
+func (m *fakeMembership) View() *membership.View  { return m.view.Load() }
+func (m *fakeMembership) Self() membership.Member { return m.self }
 
-// objects is the platform's store, as far as the ledger asks for it.
-type objects struct {
+// fakeStore implements the part of platform.Store that the ledger uses.
+type fakeStore struct {
 	platform.Store
 	mutex  sync.Mutex
 	stored map[string]platform.Object
 }
 
-func (o *objects) Get(_ context.Context, kind, name string) (platform.Object, error) {
+func (o *fakeStore) Get(_ context.Context, kind, name string) (platform.Object, error) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	object, found := o.stored[kind+"/"+name]
@@ -50,7 +50,7 @@
 	return object, nil
 }
 
-func (o *objects) List(context.Context, string) (list []platform.Object, revision uint64, err error) {
+func (o *fakeStore) List(context.Context, string) (list []platform.Object, revision uint64, err error) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	for _, object := range o.stored {
@@ -59,7 +59,7 @@
 	return list, 0, nil
 }
 
-func (o *objects) Put(_ context.Context, object platform.Object) (platform.Object, error) {
+func (o *fakeStore) Put(_ context.Context, object platform.Object) (platform.Object, error) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	key := object.Kind + "/" + object.Name
@@ -71,40 +71,40 @@
 	return object, nil
 }
 
-// member is a node of a cluster; the first three keep replicas.
-type member struct {
+// testNode is a node of a cluster; the first dataNodes of them hold replicas.
+type testNode struct {
 	*Service
-	transport *transport.Node
-	ledger    *replica.Service
-	members   *members
-	context   context.Context
-	cancel    context.CancelFunc
-	running   sync.WaitGroup
-	cut       atomic.Bool // cuts the node off from all others
+	transport   *transport.Node
+	ledger      *replica.Service
+	members     *fakeMembership
+	context     context.Context
+	cancel      context.CancelFunc
+	running     sync.WaitGroup
+	partitioned atomic.Bool // rejects all peers of the node
 }
 
 const dataNodes = 3
 
-// startCluster starts nodes over loopback; folder gives the disk of each.
-func startCluster(tb testing.TB, nodes, shards int) []*member {
+// startCluster starts nodes on loopback and waits for a leader of each shard.
+func startCluster(tb testing.TB, nodes, shards int) []*testNode {
 	tb.Helper()
 	g := gomega.NewWithT(tb)
 	keys, err := transport.NewKeyring([]byte("0123456789abcdef0123456789abcdef"))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	store := &objects{stored: map[string]platform.Object{}}
-	cluster := make([]*member, nodes)
+	store := &fakeStore{stored: map[string]platform.Object{}}
+	cluster := make([]*testNode, nodes)
 	view := &membership.View{}
 	for i := range cluster {
-		node := &member{Service: New()}
+		node := &testNode{Service: New()}
 		opened, err := transport.Listen(transport.Options{
-			Listen: "127.0.0.1:0", Keys: keys, Allow: func(transport.Address) bool { return !node.cut.Load() },
+			Listen: "127.0.0.1:0", Keys: keys, Allow: func(transport.Address) bool { return !node.partitioned.Load() },
 		})
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		self := membership.Member{
 			Name: fmt.Sprintf("n%d", i), Address: opened.Address(), Zone: fmt.Sprintf("z%d", i), HasData: i < dataNodes,
 		}
 		view.Members = append(view.Members, self)
-		node.transport, node.members = opened, &members{self: self}
+		node.transport, node.members = opened, &fakeMembership{self: self}
 		cluster[i] = node
 	}
 	for _, node := range cluster {
@@ -119,11 +119,11 @@
 			}
 		}
 		return true
-	}, "30s").Should(gomega.BeTrue(), "each shard needs a leader")
+	}, "30s").Should(gomega.BeTrue(), "each shard must have a leader")
 	return cluster
 }
 
-func (n *member) start(tb testing.TB, store platform.Store, shards int) {
+func (n *testNode) start(tb testing.TB, store platform.Store, shards int) {
 	options := replica.Options{
 		Sender: n.transport, Receiver: n.transport, Members: n.members, Store: store, Shards: shards, Copies: dataNodes,
 		NewMachine: n.NewMachine, BootstrapWait: 300 * time.Millisecond, Reserve: 1,
@@ -142,8 +142,8 @@
 	n.running.Go(func() { n.Run(n.context) })
 }
 
-// stop ends a node without a farewell.
-func (n *member) stop() {
+// stop stops a node without announcing that it leaves.
+func (n *testNode) stop() {
 	if n.context.Err() != nil {
 		return
 	}
@@ -153,8 +153,8 @@
 	_ = n.ledger.Close()
 }
 
-// dispatchTo lets the node run items on an engine of its own.
-func (n *member) dispatchTo(target *slowEngine, streams int) {
+// dispatchTo starts a dispatcher that runs items on an engine of this node.
+func (n *testNode) dispatchTo(target *slowEngine, streams int) {
 	dispatcher := dispatch.New(dispatch.Dependencies{
 		Name: n.members.self.Name, Work: n.Work, Policy: batch.NewFixed(streams, false), Clients: target,
 	})
@@ -168,7 +168,7 @@
 	})
 }
 
-// slowEngine takes a while for each item and counts them.
+// slowEngine delays each item and counts the attempts.
 type slowEngine struct {
 	time time.Duration
 	runs atomic.Int64
@@ -193,15 +193,15 @@
 func (s *slowEngine) Load(context.Context) (engine.Load, error) { return engine.Load{}, nil }
 func (s *slowEngine) Order(context.Context, engine.Order) error { return nil }
 
-// TestEveryItemOnceOverTheLossOfLeaderAndDispatcher runs a job on two nodes
-// without data, and takes the leader of its shard and one of the two away.
-func TestEveryItemOnceOverTheLossOfLeaderAndDispatcher(t *testing.T) {
+// The loss of a shard's leader and of one of two dispatchers must neither lose
+// nor duplicate results.
+func TestJobCompletesOnceAfterLossOfLeaderAndDispatcher(t *testing.T) {
 	g := gomega.NewWithT(t)
 	cluster := startCluster(t, dataNodes+2, 4)
 	first, second := cluster[dataNodes], cluster[dataNodes+1]
 	engines := &slowEngine{time: 50 * time.Millisecond}
 	const items = 3000
-	jobID := accept(t, first.Service, &lines{count: items, size: 100}, "k")
+	jobID := submitInput(t, first.Service, &inputFile{count: items, size: 100}, "k")
 	first.dispatchTo(engines, 32)
 	second.dispatchTo(engines, 32)
 	g.Eventually(engines.runs.Load, "30s").Should(gomega.BeNumerically(">", 500))
@@ -227,14 +227,14 @@
 	g.Expect(seen).To(gomega.HaveLen(items))
 	for _, node := range cluster[:dataNodes] {
 		if node.context.Err() == nil {
-			again := accept(t, node.Service, &lines{count: items, size: 100}, "k")
-			g.Expect(again).To(gomega.Equal(jobID), "a resend at another node is the same job")
+			resubmitted := submitInput(t, node.Service, &inputFile{count: items, size: 100}, "k")
+			g.Expect(resubmitted).To(gomega.Equal(jobID), "a resubmission at another node is the same job")
 		}
 	}
 }
 
 // leaderOf returns the node that leads the job's shard.
-func leaderOf(tb testing.TB, cluster []*member, jobID string) *member {
+func leaderOf(tb testing.TB, cluster []*testNode, jobID string) *testNode {
 	tb.Helper()
 	var shard ledger.ShardID
 	if _, err := fmt.Sscanf(strings.TrimPrefix(jobID, "batch_"), "%04x", &shard); err != nil {
@@ -251,17 +251,17 @@
 	return nil
 }
 
-// TestCutOffNodeStopsStartingItems cancels a job while a dispatcher of it is
-// cut off: it can't be told, and must stop by itself.
-func TestCutOffNodeStopsStartingItems(t *testing.T) {
+// A partitioned dispatcher can't learn of a cancellation and must stop starting
+// items once its leases are no longer renewed.
+func TestPartitionedNodeStopsStartingItems(t *testing.T) {
 	g := gomega.NewWithT(t)
 	cluster := startCluster(t, dataNodes+1, 1)
 	node := cluster[dataNodes]
 	engines := &slowEngine{time: 100 * time.Millisecond}
-	jobID := accept(t, cluster[0].Service, &lines{count: 10_000, size: 100}, "k")
+	jobID := submitInput(t, cluster[0].Service, &inputFile{count: 10_000, size: 100}, "k")
 	node.dispatchTo(engines, 2)
 	g.Eventually(engines.runs.Load, "30s").Should(gomega.BeNumerically(">", 10))
-	node.cut.Store(true)
+	node.partitioned.Store(true)
 	g.Eventually(func() error { return cluster[0].Jobs.Cancel(context.Background(), "t", jobID) }, "20s").Should(gomega.Succeed())
 	time.Sleep(command.StartValidity)
 	last := engines.runs.Load()
@@ -269,7 +269,7 @@
 	found, err := cluster[0].Queries.Job(context.Background(), "t", jobID)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	recorded := found.Succeeded
-	node.cut.Store(false)
+	node.partitioned.Store(false)
 	g.Consistently(func(g gomega.Gomega) {
 		found, err := cluster[0].Queries.Job(context.Background(), "t", jobID)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
--- a/internal/jobs/service/lossy_test.go
+++ b/internal/jobs/service/lossy_test.go
@@ -22,7 +22,7 @@
 )
 
 func TestMain(m *testing.M) {
-	collectAlone()
+	restartWithStopTheWorldGC()
 	flag.Parse()
 	settings := map[string]string{"rapid.seed": "20261202", "rapid.checks": "60", "rapid.steps": "60", "rapid.nofailfile": "true"}
 	if os.Getenv("CHUTELOCK_CAMPAIGN") != "" {
@@ -36,17 +36,17 @@
 	os.Exit(m.Run())
 }
 
-// lossyCaller loses requests and answers and delivers requests twice.
+// lossyCaller drops requests and responses and duplicates requests.
 type lossyCaller struct {
 	command.Caller
 	t *rapid.T
-	// calm stops the trouble.
-	calm bool
+	// reliable turns the faults off.
+	reliable bool
 }
 
 func (c *lossyCaller) Call(ctx context.Context, operation remote.Operation, shard ledger.ShardID, payload []byte) ([]byte, error) {
 	fate := 9
-	if !c.calm {
+	if !c.reliable {
 		fate = rapid.IntRange(0, 9).Draw(c.t, "fate")
 	}
 	switch fate {
@@ -54,47 +54,47 @@
 		return nil, &remote.CallError{Outcome: ledger.ErrUnavailable, Cause: errors.New("no leader")}
 	case 1:
 		_, _ = c.Caller.Call(ctx, operation, shard, payload)
-		return nil, &remote.CallError{Outcome: ledger.ErrUnknownOutcome, Cause: errors.New("answer lost")}
+		return nil, &remote.CallError{Outcome: ledger.ErrUnknownOutcome, Cause: errors.New("response lost")}
 	case 2:
 		_, _ = c.Caller.Call(ctx, operation, shard, payload)
 	}
 	return c.Caller.Call(ctx, operation, shard, payload)
 }
 
-// fileOf is a source of input files that are named by their content.
-type fileOf struct{}
+// fakeFiles provides input files whose identifier is their content.
+type fakeFiles struct{}
 
-func (fileOf) File(context.Context, string, string) (machine.FileRecord, error) {
-	return machine.FileRecord{}, errors.New("not asked for")
+func (fakeFiles) File(context.Context, string, string) (machine.FileRecord, error) {
+	return machine.FileRecord{}, errors.New("unexpected call of File")
 }
 
-const filePieces = 3
+const fileChunks = 3
 
-// Chunk makes two lines a chunk, the second not repeatable.
-func (fileOf) Chunk(_ context.Context, fileID string, chunk uint32) ([]byte, error) {
+// Chunk returns two lines, of which the second is not repeatable.
+func (fakeFiles) Chunk(_ context.Context, fileID string, chunk uint32) ([]byte, error) {
 	line := `{"custom_id":"%s-%d","repeatable":%v,"url":"/v1/completions","body":{"model":"m","prompt":"x"}}` + "\n"
 	return fmt.Appendf(nil, line+line, fileID, 2*chunk, true, fileID, 2*chunk+1, false), nil
 }
 
-// lossyWorld plays the clients and dispatchers of one ledger.
-type lossyWorld struct {
+// lossySimulation simulates the clients and a dispatcher of one ledger.
+type lossySimulation struct {
 	node    *Service
-	calm    *lossyCaller
+	caller  *lossyCaller
 	jobs    *command.Jobs
 	work    *command.Work
 	queries *query.Queries
-	// accepted names the jobs by key; content is what was accepted under it.
+	// accepted holds job IDs and content the accepted content, both by key.
 	accepted map[string]string
 	content  map[string]string
-	// cancelled holds the results that a cancelled job had.
+	// cancelled holds the number of results, by job ID, at cancellation.
 	cancelled map[string]uint32
-	lives     int // of dispatchers: a restarted one has another name
+	restarts  int // of the dispatcher; each run has its own name
 	held      []jobs.Lease
 	pending   []jobs.Result
 	sent      map[string]int
 }
 
-func newLossyWorld(t *rapid.T) (world *lossyWorld, closed func()) {
+func newLossySimulation(t *rapid.T) (simulation *lossySimulation, closeLedger func()) {
 	node := New()
 	directory, err := local.Open(local.Options{Shards: 2, Address: "127.0.0.1:1", NewMachine: node.NewMachine})
 	if err != nil {
@@ -104,8 +104,8 @@
 	server.Handle(remote.OperationQuery, query.Handle)
 	command.NewKeeper(directory, node.machine).Register(server)
 	caller := &lossyCaller{Caller: remote.NewCaller("127.0.0.1:1", directory, nil, server), t: t}
-	return &lossyWorld{
-		node: node, calm: caller, jobs: command.NewJobs(caller, fileOf{}), work: command.NewWork(caller),
+	return &lossySimulation{
+		node: node, caller: caller, jobs: command.NewJobs(caller, fakeFiles{}), work: command.NewWork(caller),
 		queries: query.New(caller), accepted: map[string]string{}, content: map[string]string{},
 		cancelled: map[string]uint32{}, sent: map[string]int{},
 	}, func() { _ = directory.Close() }
@@ -113,46 +113,46 @@
 
 var background = context.Background()
 
-func (w *lossyWorld) submit(t *rapid.T) {
+func (w *lossySimulation) submit(t *rapid.T) {
 	key := rapid.SampledFrom([]string{"k1", "k2", "k3", "k4"}).Draw(t, "key")
 	w.submitAs(t, key, rapid.SampledFrom([]string{"x", "y"}).Draw(t, "content"))
 }
 
-func (w *lossyWorld) submitAs(t *rapid.T, key, content string) {
+func (w *lossySimulation) submitAs(t *rapid.T, key, content string) {
 	jobID, err := w.jobs.Submit(background, command.Submission{
 		Tenant: "t", Key: key, Endpoint: input.PathCompletions, Window: "24h", Deadline: time.Now().Add(24 * time.Hour),
 		DefaultRepeatable: true, Retention: time.Hour,
 		File: machine.FileRecord{
-			FileID: content, Digest: machine.Digest{content[0]}, Model: "m", Lines: 2 * filePieces, Chunks: filePieces,
+			FileID: content, Digest: machine.Digest{content[0]}, Model: "m", Lines: 2 * fileChunks, Chunks: fileChunks,
 		},
 	})
 	known, accepted := w.accepted[key]
 	switch {
 	case err == nil && accepted && (known != jobID || w.content[key] != content):
-		t.Fatalf("key %s with %s gave job %s, but with %s it had been %s", key, content, jobID, w.content[key], known)
+		t.Fatalf("key %s with content %s gave job %s, but with %s it gave %s before", key, content, jobID, w.content[key], known)
 	case err == nil:
 		w.accepted[key], w.content[key] = jobID, content
 	case errors.Is(err, command.ErrConflict):
 		if accepted && w.content[key] == content {
-			t.Fatalf("key %s was refused with its own content", key)
+			t.Fatalf("key %s was refused with the content accepted before", key)
 		}
 	case !errors.Is(err, ledger.ErrUnavailable) && !errors.Is(err, ledger.ErrUnknownOutcome):
 		t.Fatalf("submit: %v", err)
 	}
 }
 
-func (w *lossyWorld) name() string { return fmt.Sprintf("dispatcher-%d", w.lives) }
+func (w *lossySimulation) dispatcher() string { return fmt.Sprintf("dispatcher-%d", w.restarts) }
 
-func (w *lossyWorld) lease(t *rapid.T) {
+func (w *lossySimulation) lease(t *rapid.T) {
 	shard := ledger.ShardID(rapid.IntRange(0, 1).Draw(t, "shard"))
-	leases, err := w.work.LeaseAt(background, shard, w.name(), "m", rapid.IntRange(1, 5).Draw(t, "count"))
+	leases, err := w.work.LeaseAt(background, shard, w.dispatcher(), "m", rapid.IntRange(1, 5).Draw(t, "count"))
 	if err == nil {
 		w.held = append(w.held, leases...)
 	}
 }
 
-// run runs the first item that is held, as a dispatcher does.
-func (w *lossyWorld) run(t *rapid.T) {
+// run runs the first held item as a dispatcher does.
+func (w *lossySimulation) run(t *rapid.T) {
 	if len(w.held) == 0 {
 		return
 	}
@@ -177,27 +177,28 @@
 	w.pending = append(w.pending, result)
 }
 
-func (w *lossyWorld) report(*rapid.T) {
+func (w *lossySimulation) report(*rapid.T) {
 	if len(w.pending) > 0 && w.work.Report(background, w.pending) == nil {
 		w.pending = nil
 	}
 }
 
-// crash ends the dispatcher; its leases end as the keeper would end them.
-func (w *lossyWorld) crash(t *rapid.T) {
-	dead := w.name()
-	w.lives++
+// crash restarts the dispatcher and expires its leases as the keeper would.
+func (w *lossySimulation) crash(t *rapid.T) {
+	crashed := w.dispatcher()
+	w.restarts++
 	w.held, w.pending = nil, nil
-	w.endLeases(t, dead)
+	w.expireLeases(t, crashed)
 }
 
-// orphans ends the leases whose answers were lost, which nobody renews.
-func (w *lossyWorld) orphans(t *rapid.T) {
+// expireOrphans expires all leases of the dispatcher, including those whose
+// responses were lost and which are never renewed.
+func (w *lossySimulation) expireOrphans(t *rapid.T) {
 	w.held, w.pending = nil, nil
-	w.endLeases(t, w.name())
+	w.expireLeases(t, w.dispatcher())
 }
 
-func (w *lossyWorld) endLeases(t *rapid.T, dispatcher string) {
+func (w *lossySimulation) expireLeases(t *rapid.T, dispatcher string) {
 	for shard := range ledger.ShardID(2) {
 		for _, held := range w.node.machine(shard).HeldLeases() {
 			if held.Dispatcher != dispatcher {
@@ -207,22 +208,22 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if _, err := w.calm.Caller.Call(background, remote.OperationPropose, shard, entry); err != nil {
+			if _, err := w.caller.Caller.Call(background, remote.OperationPropose, shard, entry); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 }
 
-func (w *lossyWorld) cancel(t *rapid.T) {
+func (w *lossySimulation) cancel(t *rapid.T) {
 	key := rapid.SampledFrom([]string{"k1", "k2", "k3", "k4"}).Draw(t, "key")
 	jobID, ok := w.accepted[key]
 	if !ok || rapid.IntRange(0, 3).Draw(t, "really") > 0 || w.jobs.Cancel(background, "t", jobID) != nil {
 		return
 	}
-	w.calm.calm = true
+	w.caller.reliable = true
 	job, err := w.queries.Job(background, "t", jobID)
-	w.calm.calm = false
+	w.caller.reliable = false
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -231,17 +232,17 @@
 	}
 }
 
-// finish lets all be done without trouble, and compares.
-func (w *lossyWorld) finish(t *rapid.T) {
-	w.calm.calm = true
+// finishAndCheck completes all jobs over a reliable link and checks them.
+func (w *lossySimulation) finishAndCheck(t *rapid.T) {
+	w.caller.reliable = true
 	for key, content := range w.content {
-		w.submitAs(t, key, content) // a resend finds the same job
+		w.submitAs(t, key, content) // a resubmission finds the same job
 	}
 	w.report(t)
-	w.orphans(t)
+	w.expireOrphans(t)
 	for range 200 {
 		for shard := range ledger.ShardID(2) {
-			leases, err := w.work.LeaseAt(background, shard, w.name(), "m", 10)
+			leases, err := w.work.LeaseAt(background, shard, w.dispatcher(), "m", 10)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -260,7 +261,7 @@
 	}
 }
 
-func (w *lossyWorld) checkJob(t *rapid.T, jobID, content string) {
+func (w *lossySimulation) checkJob(t *rapid.T, jobID, content string) {
 	job, err := w.queries.Job(background, "t", jobID)
 	if err != nil {
 		t.Fatal(err)
@@ -277,7 +278,7 @@
 	next := uint32(0)
 	err = w.queries.Results(background, "t", jobID, false, func(result machine.ResultRecord) error {
 		if result.CustomID != fmt.Sprintf("%s-%d", content, result.Index) || result.Index < next {
-			t.Fatalf("job %s: result %+v out of place", jobID, result)
+			t.Fatalf("job %s: unexpected result %+v", jobID, result)
 		}
 		next = result.Index + 1
 		return nil
@@ -296,14 +297,16 @@
 	}
 }
 
-func TestClientsOverALossyLink(t *testing.T) {
+// Lost and duplicated messages must neither duplicate jobs, lose results nor send
+// a non-repeatable item twice.
+func TestClientsTolerateLossyLink(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		world, closed := newLossyWorld(t)
-		defer closed()
+		simulation, closeLedger := newLossySimulation(t)
+		defer closeLedger()
 		t.Repeat(map[string]func(*rapid.T){
-			"submit": world.submit, "lease": world.lease, "run": world.run, "run more": world.run, "report": world.report,
-			"crash": world.crash, "orphans": world.orphans, "cancel": world.cancel,
+			"submit": simulation.submit, "lease": simulation.lease, "run": simulation.run, "run more": simulation.run, "report": simulation.report,
+			"crash": simulation.crash, "orphans": simulation.expireOrphans, "cancel": simulation.cancel,
 		})
-		world.finish(t)
+		simulation.finishAndCheck(t)
 	})
 }
--- a/internal/jobs/service/service.go
+++ b/internal/jobs/service/service.go
@@ -1,7 +1,7 @@
-// Package service puts the parts of batch jobs together for a node.
+// Package service assembles the batch-job components of a node.
 //
-// The order is: New; hand NewMachine to the ledger; Connect with the ledger's
-// directory and the transport, before the transport serves; Run.
+// Call New, pass NewMachine to the ledger, call Connect with the ledger's
+// directory and the transport before the transport serves, then call Run.
 package service
 
 import (
@@ -16,35 +16,36 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// Service is the batch jobs of one node. Its fields are set by Connect.
+// Service holds the batch-job components of one node. Connect sets its fields.
 type Service struct {
 	Files   *command.Files
 	Jobs    *command.Jobs
 	Queries *query.Queries
 	Work    *command.Work
 
-	// Keeper works for the shards led here; it is a prometheus.Collector too.
+	// Keeper maintains the shards led by this node; it is a prometheus.Collector.
 	Keeper *command.Keeper
 
-	// mutex guards machines; nothing is locked while it is held.
+	// mutex guards machines; no other lock is taken while it is held.
 	mutex    sync.Mutex
 	machines map[ledger.ShardID]*machine.Machine
 }
 
-// New returns a service without its parts.
+// New returns a Service that must be connected before use.
 func New() *Service { return &Service{machines: map[ledger.ShardID]*machine.Machine{}} }
 
-// NewMachine makes the state machine of a shard that has a replica here. A
-// machine that is made anew for the same shard takes the place of the former.
+// NewMachine returns a new state machine for a shard with a replica on this
+// node. It replaces an earlier one of the same shard.
 func (s *Service) NewMachine(id ledger.ShardID) ledger.StateMachine {
-	made := machine.New()
+	created := machine.New()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.machines[id] = made
-	return made
+	s.machines[id] = created
+	return created
 }
 
-// machine returns the machine of a shard; an empty one if it has none here.
+// machine returns the state machine of a shard, or an empty one if the shard
+// has no replica on this node.
 func (s *Service) machine(id ledger.ShardID) *machine.Machine {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -54,7 +55,8 @@
 	return machine.New()
 }
 
-// Connect makes the parts. Receiver may be nil where no peer calls.
+// Connect creates the components. The receiver may be nil if no peer calls this
+// node.
 func (s *Service) Connect(self transport.Address, directory ledger.Directory, sender transport.Sender,
 	receiver transport.Receiver) {
 	server := remote.NewServer(directory)
@@ -71,5 +73,5 @@
 	s.Work = command.NewWork(caller)
 }
 
-// Run does the work of the shards that this node leads until ctx ends.
+// Run maintains the shards that this node leads until ctx ends.
 func (s *Service) Run(ctx context.Context) { s.Keeper.Run(ctx) }
--- a/internal/jobs/service/service_test.go
+++ b/internal/jobs/service/service_test.go
@@ -24,26 +24,26 @@
 	"chutelock.dev/chutelock/internal/ledger/local"
 )
 
-// lines makes an input file of count lines of about size bytes, as it is read.
-type lines struct {
+// inputFile generates an input file of count lines of about size bytes on read.
+type inputFile struct {
 	count, size int
 	made        int
-	rest        strings.Reader
+	unread      strings.Reader
 }
 
-func (l *lines) Read(into []byte) (int, error) {
-	if l.rest.Len() == 0 {
+func (l *inputFile) Read(into []byte) (int, error) {
+	if l.unread.Len() == 0 {
 		if l.made == l.count {
 			return 0, io.EOF
 		}
-		l.rest.Reset(fmt.Sprintf(`{"custom_id":"c%d","url":"/v1/completions","body":{"model":"m","prompt":%q}}`+"\n",
+		l.unread.Reset(fmt.Sprintf(`{"custom_id":"c%d","url":"/v1/completions","body":{"model":"m","prompt":%q}}`+"\n",
 			l.made, strings.Repeat("x", l.size)))
 		l.made++
 	}
-	return l.rest.Read(into)
+	return l.unread.Read(into)
 }
 
-func open(tb testing.TB, folder string) *Service {
+func openNode(tb testing.TB, folder string) *Service {
 	tb.Helper()
 	node := New()
 	directory, err := local.Open(local.Options{Folder: folder, Address: "127.0.0.1:1", NewMachine: node.NewMachine})
@@ -55,8 +55,8 @@
 	return node
 }
 
-// accept uploads and submits a file.
-func accept(tb testing.TB, node *Service, from io.Reader, key string) (jobID string) {
+// submitInput uploads an input file and submits a job for it.
+func submitInput(tb testing.TB, node *Service, from io.Reader, key string) (jobID string) {
 	tb.Helper()
 	ctx := context.Background()
 	fileID, _, err := node.Files.Store(ctx, command.Upload{
@@ -80,28 +80,20 @@
 	return jobID
 }
 
-// The largest job of the target size.
+// Size of the largest job.
 const (
-	largestItems = 120_000
-	largestBytes = 100 << 20
-	// memoryLimit is how much accepting it may raise the memory that is in use.
-	memoryLimit = 32 << 20
+	maxJobItems = 120_000
+	maxJobBytes = 100 << 20
+	// maxHeapGrowth bounds the growth of the live heap, in bytes, on submission.
+	maxHeapGrowth = 32 << 20
 )
 
-// TestAcceptanceIsBoundedInMemory streams the largest job in. It counts what is in use
-// on the heap, the store's own buffers included, as a collection finds it that stops all
-// else: that does not depend on how long a collection takes on a busy machine. The whole
-// memory of a node is counted in test/e2e.
-//
-// Beside a load of 38 it once told 44 MB, where 12 to 20 are usual. Why: all that is allocated
-// while a collection runs beside the program counts as in use, and so did what was allocated
-// until the heap was read. Evidence: beside 40 busy processes collections took 50 ms and told
-// 12 MB, or took 250 to 308 ms and told 21 to 29 MB; the same plays with collections that stop
-// all else told 7.7 MB at most.
-func TestAcceptanceIsBoundedInMemory(t *testing.T) {
+// Submitting the largest job must stream its input rather than hold it in memory.
+// Stop-the-world collections keep concurrent allocations out of the live heap.
+func TestSubmissionBoundsHeapGrowth(t *testing.T) {
 	g := gomega.NewWithT(t)
-	node := open(t, t.TempDir())
-	before := memoryInUse()
+	node := openNode(t, t.TempDir())
+	before := liveHeap()
 	peak, stop := make(chan uint64), make(chan struct{})
 	go func() {
 		highest := uint64(0)
@@ -111,55 +103,58 @@
 				peak <- highest
 				return
 			case <-time.After(20 * time.Millisecond):
-				highest = max(highest, memoryInUse())
+				highest = max(highest, liveHeap())
 			}
 		}
 	}()
-	jobID := accept(t, node, &lines{count: largestItems, size: largestBytes / largestItems}, "largest")
+	jobID := submitInput(t, node, &inputFile{count: maxJobItems, size: maxJobBytes / maxJobItems}, "largest")
 	close(stop)
-	raised := int64(<-peak) - int64(before)
-	t.Logf("%d items: memory in use raised by %d KB", largestItems, raised>>10)
-	g.Expect(raised).To(gomega.BeNumerically("<", memoryLimit))
+	growth := int64(<-peak) - int64(before)
+	t.Logf("%d items: live heap grew by %d KB", maxJobItems, growth>>10)
+	g.Expect(growth).To(gomega.BeNumerically("<", maxHeapGrowth))
 	job, err := node.Queries.Job(context.Background(), "t", jobID)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(job.Items).To(gomega.Equal(uint32(largestItems)))
+	g.Expect(job.Items).To(gomega.Equal(uint32(maxJobItems)))
 }
 
-// memoryInUse is what a collection finds in use, without what was allocated since.
-func memoryInUse() uint64 {
+// liveHeap runs a collection and returns the bytes that it found live, without
+// later allocations.
+func liveHeap() uint64 {
 	runtime.GC()
 	live := []metrics.Sample{{Name: "/gc/heap/live:bytes"}}
 	metrics.Read(live)
 	return live[0].Value.Uint64()
 }
 
-// collectAlone has collections stop all else, which can be set as a program starts only:
-// this one replaces itself once.
-func collectAlone() {
-	const alone = "gcstoptheworld=1"
+// restartWithStopTheWorldGC re-executes the test program once with
+// stop-the-world collections, which can be set only at program start.
+func restartWithStopTheWorldGC() {
+	const setting = "gcstoptheworld=1"
 	settings := os.Getenv("GODEBUG")
-	if strings.Contains(settings, alone) {
+	if strings.Contains(settings, setting) {
 		return
 	}
 	program, err := os.Executable()
 	if err == nil {
-		err = os.Setenv("GODEBUG", strings.Trim(settings+","+alone, ","))
+		err = os.Setenv("GODEBUG", strings.Trim(settings+","+setting, ","))
 	}
 	if err == nil {
 		err = syscall.Exec(program, os.Args, os.Environ())
 	}
-	panic(fmt.Errorf("replace the test program: %w", err))
+	panic(fmt.Errorf("re-execute the test program: %w", err))
 }
 
-func TestMetricsTellWhatWaitsAndWhatWasDropped(t *testing.T) {
+// Leased and reported items must not count as waiting, and the result of a
+// lease that is not current must count as dropped.
+func TestMetricsCountWaitingItemsAndDroppedResults(t *testing.T) {
 	g := gomega.NewWithT(t)
-	node := open(t, t.TempDir())
-	accept(t, node, &lines{count: 10, size: 10}, "k")
+	node := openNode(t, t.TempDir())
+	submitInput(t, node, &inputFile{count: 10, size: 10}, "k")
 	leases, err := node.Work.LeaseAt(context.Background(), 0, "d", "m", 4)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	results := resultsOf(leases, []byte("{}"))[:2]
+	results := newResults(leases, []byte("{}"))[:2]
 	g.Expect(node.Work.Report(context.Background(), results)).To(gomega.Succeed())
-	results[0].Epoch++ // another lease's result of the same item
+	results[0].Epoch++ // a result of another lease for the same item
 	g.Expect(node.Work.Report(context.Background(), results[:1])).To(gomega.Succeed())
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(node.Keeper)
@@ -176,37 +171,36 @@
 	g.Expect(values).To(gomega.HaveKeyWithValue("chutelock_jobs_results_dropped_total", 1.0))
 }
 
-// BenchmarkShard leases and reports items through one shard on a disk, a
-// dispatcher's usual number at a time.
+// BenchmarkShard leases and reports items in batches through one shard on disk.
 func BenchmarkShard(b *testing.B) {
-	for _, together := range []int{64, 256} {
-		b.Run(fmt.Sprintf("together=%d", together), func(b *testing.B) {
+	for _, leaseSize := range []int{64, 256} {
+		b.Run(fmt.Sprintf("together=%d", leaseSize), func(b *testing.B) {
 			folder := b.TempDir()
-			runItems(b, open(b, folder), 1, together)
+			benchmarkItems(b, openNode(b, folder), 1, leaseSize)
 			b.ReportMetric(float64(folderSize(b, folder))/float64(b.N), "disk-B/item")
 		})
 	}
 }
 
-// BenchmarkReplicatedShard does the same from a node without data, on three
-// copies on one machine's disk.
+// BenchmarkReplicatedShard leases and reports items from a node without
+// replicas, through a shard with three replicas on one machine's disk.
 func BenchmarkReplicatedShard(b *testing.B) {
 	for _, workers := range []int{1, 4} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
 			cluster := startCluster(b, dataNodes+1, 1)
-			runItems(b, cluster[dataNodes].Service, workers, 128)
+			benchmarkItems(b, cluster[dataNodes].Service, workers, 128)
 		})
 	}
 }
 
 const benchmarkBody = 800 // bytes of an item, and of a result
 
-// runItems accepts b.N items and counts the time to lease and report them.
-func runItems(b *testing.B, node *Service, workers, together int) {
+// benchmarkItems submits b.N items and times leasing and reporting them.
+func benchmarkItems(b *testing.B, node *Service, workers, leaseSize int) {
 	accepting := time.Now()
-	for batch := 0; batch*largestItems < b.N; batch++ {
-		count := min(b.N-batch*largestItems, largestItems)
-		accept(b, node, &lines{count: count, size: benchmarkBody}, fmt.Sprint(batch))
+	for batch := 0; batch*maxJobItems < b.N; batch++ {
+		count := min(b.N-batch*maxJobItems, maxJobItems)
+		submitInput(b, node, &inputFile{count: count, size: benchmarkBody}, fmt.Sprint(batch))
 	}
 	accepted := float64(b.N) / time.Since(accepting).Seconds()
 	body := []byte(`{"x":"` + strings.Repeat("y", benchmarkBody) + `"}`)
@@ -216,12 +210,12 @@
 	for worker := range workers {
 		group.Go(func() {
 			for done.Load() < int64(b.N) {
-				leases, err := node.Work.Lease(context.Background(), fmt.Sprint(worker), "m", together)
+				leases, err := node.Work.Lease(context.Background(), fmt.Sprint(worker), "m", leaseSize)
 				if err != nil {
 					b.Error(err)
 					return
 				}
-				results := resultsOf(leases, body)
+				results := newResults(leases, body)
 				if err := node.Work.Report(context.Background(), results); err != nil {
 					b.Error(err)
 					return
@@ -236,7 +230,7 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "items/s")
 }
 
-func resultsOf(leases []jobs.Lease, body []byte) []jobs.Result {
+func newResults(leases []jobs.Lease, body []byte) []jobs.Result {
 	var results []jobs.Result
 	for _, lease := range leases {
 		for _, item := range lease.Items {
