--- a/internal/jobs/command/doc.go
+++ b/internal/jobs/command/doc.go
@@ -1,4 +1,5 @@
-// Package command changes files and jobs, from any node: Files stores input,
-// Jobs submits and cancels, Work leases items and takes results, and Keeper
-// runs at the leaders of shards to end leases that are no longer renewed.
+// Package command modifies files and jobs from any node: Files stores input
+// files, Jobs submits and cancels jobs, and Work leases items and reports
+// results. Keeper runs at the leaders of shards and expires leases that are no
+// longer renewed.
 package command
--- a/internal/jobs/command/files.go
+++ b/internal/jobs/command/files.go
@@ -30,12 +30,12 @@
 	Purpose   string
 	Retention time.Duration
 	Limits    input.Limits
-	// CheckModel says whether the tenant may use a model.
+	// CheckModel returns an error if the tenant may not use the model.
 	CheckModel func(model string) error
 }
 
-// Store checks and stores a file as it is read. A fault of the input is an
-// *input.Error; nothing is left behind then.
+// Store validates and stores a file while reading it. Invalid input gives an
+// *input.Error. After a failure, the stored chunks are removed.
 func (f *Files) Store(ctx context.Context, upload Upload, from io.Reader) (fileID string, summary input.Summary, err error) {
 	shard, fileID, err := f.begin(ctx, upload)
 	if err != nil {
@@ -49,14 +49,14 @@
 	return fileID, summary, nil
 }
 
-// beginTries is how many shards are tried for a file: any will do.
-const beginTries = 2
+// beginAttempts is the number of random shards tried for a file.
+const beginAttempts = 2
 
 func (f *Files) begin(ctx context.Context, upload Upload) (shard ledger.ShardID, fileID string, err error) {
-	for range beginTries {
+	for range beginAttempts {
 		shard = ledger.ShardID(rand.IntN(f.caller.Shards()))
 		fileID = jobs.NewFileID(shard)
-		err = f.step(ctx, "begin file", shard, &machine.FileBegin{
+		err = f.proposeStep(ctx, "begin file", shard, &machine.FileBegin{
 			FileID: fileID, Tenant: upload.Tenant, Name: upload.Name, Purpose: upload.Purpose, Retention: upload.Retention,
 		})
 		if !errors.Is(err, ledger.ErrUnavailable) {
@@ -66,12 +66,12 @@
 	return 0, "", err
 }
 
-func (f *Files) step(ctx context.Context, step string, shard ledger.ShardID, command machine.Command) error {
+func (f *Files) proposeStep(ctx context.Context, step string, shard ledger.ShardID, command machine.Command) error {
 	answer, err := propose(ctx, f.caller, shard, command)
 	if err != nil {
 		return trace.Wrap(err, step)
 	}
-	return expect(step, answer)
+	return checkAnswer(step, answer)
 }
 
 func (f *Files) storeChunks(ctx context.Context, shard ledger.ShardID, fileID string, upload Upload,
@@ -79,19 +79,19 @@
 	next := uint32(0)
 	summary, err := input.Scan(from, upload.Limits, upload.CheckModel, func(chunk []byte) error {
 		next++
-		return f.step(ctx, "append to file", shard, &machine.FileAppend{FileID: fileID, Chunk: next - 1, Data: chunk})
+		return f.proposeStep(ctx, "append to file", shard, &machine.FileAppend{FileID: fileID, Chunk: next - 1, Data: chunk})
 	})
 	if err != nil {
 		return input.Summary{}, err
 	}
-	return summary, f.step(ctx, "seal file", shard, &machine.FileSeal{
+	return summary, f.proposeStep(ctx, "seal file", shard, &machine.FileSeal{
 		FileID: fileID, Chunks: next, Lines: uint32(summary.Lines), Bytes: uint64(summary.Bytes),
 		Digest: summary.Digest, Model: summary.Model, Endpoint: summary.Endpoint,
 	})
 }
 
-// discardTimeout bounds the clean-up after a failed upload; what it leaves
-// goes when the machine gives the unsealed file up.
+// discardTimeout bounds the cleanup after a failed upload; chunks left behind
+// are removed when the state machine expires the unsealed file.
 const discardTimeout = 5 * time.Second
 
 func (f *Files) discard(ctx context.Context, tenant, fileID string) {
@@ -108,5 +108,5 @@
 	if !ok {
 		return ErrNotFound
 	}
-	return f.step(ctx, "delete file", shard, &machine.FileDelete{FileID: fileID, Tenant: tenant})
+	return f.proposeStep(ctx, "delete file", shard, &machine.FileDelete{FileID: fileID, Tenant: tenant})
 }
--- a/internal/jobs/command/jobs.go
+++ b/internal/jobs/command/jobs.go
@@ -29,50 +29,51 @@
 // NewJobs returns the job commands of a node, which read files from source.
 func NewJobs(caller Caller, source Source) *Jobs { return &Jobs{caller: caller, source: source} }
 
-// Submission asks for a job.
+// Submission describes a job to submit.
 type Submission struct {
 	Tenant   string
-	Key      string // the caller's idempotency key, or a fresh one
+	Key      string // the client's idempotency key, or a generated one
 	File     machine.FileRecord
 	Endpoint string
 	Window   string
 	Metadata []byte // canonical JSON object, or empty
 	Deadline time.Time
-	// DefaultRepeatable is false when the whole job is not repeatable.
+	// DefaultRepeatable is false if no item of the job may be repeated.
 	DefaultRepeatable bool
 	Weight            float64
 	MaxTries          int
 	Retention         time.Duration
 }
 
-// DefaultMaxTries is how often an engine's own error is tried again.
+// DefaultMaxTries is the default of Submission.MaxTries, the limit of tries of
+// an item on engine errors.
 const DefaultMaxTries = 3
 
-// weightUnit is weight 1 in thousandths.
+// weightUnit is the encoding of weight 1; weights are stored in thousandths.
 const weightUnit = 1000
 
-// content is the digest by which a resend is recognised: of the file's
-// content and the parameters, not of the file's name or identifier.
-func (s *Submission) content() machine.Digest {
+// contentDigest identifies a resubmission. It covers the file's content and the
+// parameters, but not the file's name or identifier.
+func (s *Submission) contentDigest() machine.Digest {
 	digest := sha256.New()
 	for _, part := range [][]byte{s.File.Digest[:], []byte(s.Endpoint), []byte(s.Window), s.Metadata} {
-		_ = binary.Write(digest, binary.BigEndian, uint32(len(part))) // a hash never fails
+		_ = binary.Write(digest, binary.BigEndian, uint32(len(part))) // writing to a hash never fails
 		_, _ = digest.Write(part)
 	}
 	_ = binary.Write(digest, binary.BigEndian, s.DefaultRepeatable)
 	return machine.Digest(digest.Sum(nil))
 }
 
-// Submit accepts a job whole, or finds the one that the key names already. It
-// fails with ErrConflict, a *DeadlineError, or the ledger's errors: after
-// ledger.ErrUnknownOutcome the caller sends the same key again.
+// Submit accepts a job completely, or returns the one accepted under the same
+// key. It fails with ErrConflict, a *DeadlineError or the ledger's errors. After
+// ledger.ErrUnknownOutcome, resubmit with the same key.
 func (j *Jobs) Submit(ctx context.Context, submission Submission) (jobID string, err error) {
 	shard := jobs.ShardOfKey(submission.Tenant, submission.Key, j.caller.Shards())
-	answer, err := propose(ctx, j.caller, shard, submission.begin(jobs.NewJobID(shard)))
+	answer, err := propose(ctx, j.caller, shard, submission.beginCommand(jobs.NewJobID(shard)))
 	if err != nil {
 		return "", trace.Wrap(err, "begin batch")
 	}
-	if err := expect("begin batch", answer); err != nil {
+	if err := checkAnswer("begin batch", answer); err != nil {
 		return "", err
 	}
 	if answer.Sealed {
@@ -86,10 +87,10 @@
 	if err != nil {
 		return "", trace.Wrap(err, "seal batch")
 	}
-	return answer.JobID, expect("seal batch", sealed)
+	return answer.JobID, checkAnswer("seal batch", sealed)
 }
 
-func (s *Submission) begin(jobID string) *machine.JobBegin {
+func (s *Submission) beginCommand(jobID string) *machine.JobBegin {
 	weight := uint32(s.Weight * weightUnit)
 	if weight == 0 {
 		weight = weightUnit
@@ -99,16 +100,16 @@
 		tries = DefaultMaxTries
 	}
 	return &machine.JobBegin{
-		JobID: jobID, Tenant: s.Tenant, Key: s.Key, Content: s.content(), FileID: s.File.FileID, FileDigest: s.File.Digest, Model: s.File.Model,
+		JobID: jobID, Tenant: s.Tenant, Key: s.Key, Content: s.contentDigest(), FileID: s.File.FileID, FileDigest: s.File.Digest, Model: s.File.Model,
 		Endpoint: s.Endpoint, Window: s.Window, Metadata: s.Metadata, Items: s.File.Lines, Deadline: s.Deadline,
-		Weight: weight, MaxTries: uint8(min(tries, maxMaxTries)), Retention: s.Retention,
+		Weight: weight, MaxTries: uint8(min(tries, triesLimit)), Retention: s.Retention,
 	}
 }
 
-// maxMaxTries is what the stored counter of tries holds.
-const maxMaxTries = 255
+// triesLimit is the maximum of the stored counter of tries.
+const triesLimit = 255
 
-// copyItems streams the file's lines into the job, a chunk at a time.
+// copyItems copies the file's lines into the job, chunk by chunk.
 func (j *Jobs) copyItems(ctx context.Context, shard ledger.ShardID, jobID string, submission *Submission) error {
 	first := uint32(0)
 	for chunk := range submission.File.Chunks {
@@ -121,13 +122,13 @@
 			return trace.Wrap(err, "chunk %d of the input file", chunk)
 		}
 		if !submission.DefaultRepeatable {
-			forbidRepetition(items)
+			clearRepeatable(items)
 		}
 		answer, err := propose(ctx, j.caller, shard, &machine.JobAppend{JobID: jobID, First: first, Items: items})
 		if err != nil {
 			return trace.Wrap(err, "append to batch")
 		}
-		if err := expect("append to batch", answer); err != nil {
+		if err := checkAnswer("append to batch", answer); err != nil {
 			return err
 		}
 		if answer.Sealed {
@@ -138,14 +139,14 @@
 	return nil
 }
 
-func forbidRepetition(items []jobs.Item) {
+func clearRepeatable(items []jobs.Item) {
 	for i := range items {
 		items[i].Repeatable = false
 	}
 }
 
-// Cancel cancels a tenant's job; a job that is final stays as it is. When
-// Cancel has returned, no result of the job is recorded any more.
+// Cancel cancels a tenant's job; a final job is not changed. After Cancel
+// succeeds, no result of the job is recorded.
 func (j *Jobs) Cancel(ctx context.Context, tenant, jobID string) error {
 	shard, ok := jobs.ShardOfJob(jobID, j.caller.Shards())
 	if !ok {
@@ -155,5 +156,5 @@
 	if err != nil {
 		return trace.Wrap(err, "cancel batch")
 	}
-	return expect("cancel batch", answer)
+	return checkAnswer("cancel batch", answer)
 }
--- a/internal/jobs/command/keeper.go
+++ b/internal/jobs/command/keeper.go
@@ -8,72 +8,72 @@
 )
 
 const (
-	// LeaseTTL is how long a shard's leader waits for a renewal before it ends
+	// LeaseTTL is the time without renewal after which a shard's leader expires
 	// a lease.
 	LeaseTTL = 6 * time.Second
 	// StartValidity is how long a dispatcher may start items after it sent the
-	// last renewal that was answered. A dispatcher that is cut off therefore
-	// stops starting the items of a job within this time of its cancellation.
+	// last successful renewal. A partitioned dispatcher therefore stops starting
+	// items of a job within this time of its cancellation.
 	StartValidity = 2 * time.Second
 	// RenewInterval is the time between renewals.
 	RenewInterval = 600 * time.Millisecond
 )
 
-// leaseKey names the leases that one dispatcher was given by one entry.
+// leaseKey identifies the leases granted to a dispatcher by one log entry.
 type leaseKey struct {
 	dispatcher string
 	epoch      uint64
 }
 
-// keeperState decides at a shard's leader which leases are no longer renewed.
-// It is volatile: a new leader knows no renewal, and gives each lease a whole
-// LeaseTTL from when it first sees it. Time comes in as an argument.
-type keeperState struct {
-	term  uint64
-	heard map[leaseKey]time.Time
+// leaseTracker tracks renewals at a shard's leader. It is not persisted: a new
+// leader gives each lease a full LeaseTTL from when it first sees it.
+type leaseTracker struct {
+	term        uint64
+	lastRenewal map[leaseKey]time.Time
 }
 
-// renewed notes a renewal.
-func (k *keeperState) renewed(now time.Time, dispatcher string, epochs []uint64) {
-	if k.heard == nil {
-		k.heard = map[leaseKey]time.Time{}
+// renewed records a renewal.
+func (k *leaseTracker) renewed(now time.Time, dispatcher string, epochs []uint64) {
+	if k.lastRenewal == nil {
+		k.lastRenewal = map[leaseKey]time.Time{}
 	}
 	for _, epoch := range epochs {
-		k.heard[leaseKey{dispatcher, epoch}] = now
+		k.lastRenewal[leaseKey{dispatcher, epoch}] = now
 	}
 }
 
-// expired returns the leases to end, of all that are held in term.
-func (k *keeperState) expired(now time.Time, term uint64, held []machine.HeldLease) []machine.ExpireLeases {
+// expired returns the commands that expire those of the held leases that were
+// not renewed within LeaseTTL. A new term resets the recorded renewals.
+func (k *leaseTracker) expired(now time.Time, term uint64, held []machine.HeldLease) []machine.ExpireLeases {
 	if k.term != term {
 		k.term = term
-		k.heard = nil
+		k.lastRenewal = nil
 	}
-	remembered := make(map[leaseKey]time.Time, len(held))
-	silent := map[string][]uint64{}
+	renewals := make(map[leaseKey]time.Time, len(held))
+	unrenewed := map[string][]uint64{}
 	for _, lease := range held {
 		key := leaseKey{lease.Dispatcher, lease.Epoch}
-		if _, seen := remembered[key]; seen {
+		if _, seen := renewals[key]; seen {
 			continue
 		}
-		last, known := k.heard[key]
+		last, known := k.lastRenewal[key]
 		if !known {
 			last = now
 		}
-		remembered[key] = last
+		renewals[key] = last
 		if now.Sub(last) >= LeaseTTL {
-			silent[lease.Dispatcher] = append(silent[lease.Dispatcher], lease.Epoch)
+			unrenewed[lease.Dispatcher] = append(unrenewed[lease.Dispatcher], lease.Epoch)
 		}
 	}
-	k.heard = remembered
-	return expiries(silent)
+	k.lastRenewal = renewals
+	return expireCommands(unrenewed)
 }
 
-func expiries(silent map[string][]uint64) []machine.ExpireLeases {
-	ended := make([]machine.ExpireLeases, 0, len(silent))
-	for dispatcher, epochs := range silent {
-		ended = append(ended, machine.ExpireLeases{Dispatcher: dispatcher, Epochs: epochs})
+func expireCommands(unrenewed map[string][]uint64) []machine.ExpireLeases {
+	commands := make([]machine.ExpireLeases, 0, len(unrenewed))
+	for dispatcher, epochs := range unrenewed {
+		commands = append(commands, machine.ExpireLeases{Dispatcher: dispatcher, Epochs: epochs})
 	}
-	sort.Slice(ended, func(a, b int) bool { return ended[a].Dispatcher < ended[b].Dispatcher })
-	return ended
+	sort.Slice(commands, func(a, b int) bool { return commands[a].Dispatcher < commands[b].Dispatcher })
+	return commands
 }
--- a/internal/jobs/command/leader.go
+++ b/internal/jobs/command/leader.go
@@ -14,22 +14,22 @@
 	"chutelock.dev/chutelock/internal/wire"
 )
 
-// Keeper does the work of the shards that this node leads: it answers offers,
-// leases and renewals, ends leases that are no longer renewed, and lets
-// deadlines and retention act.
+// Keeper maintains the shards that this node leads: it handles offers, leases
+// and renewals, expires leases that are no longer renewed, and applies deadlines
+// and retention.
 type Keeper struct {
 	directory ledger.Directory
 	machines  func(ledger.ShardID) *machine.Machine
 
-	// mutex guards states; the machines' own locks are never taken under it.
-	mutex  sync.Mutex
-	states map[ledger.ShardID]*keeperState
+	// mutex guards trackers; no machine's lock is taken while it is held.
+	mutex    sync.Mutex
+	trackers map[ledger.ShardID]*leaseTracker
 }
 
-// NewKeeper returns the keeper of a node; machines gives the machine of each
-// shard that has a replica here.
+// NewKeeper returns the keeper of a node; machines returns the state machine of
+// a shard with a replica on this node.
 func NewKeeper(directory ledger.Directory, machines func(ledger.ShardID) *machine.Machine) *Keeper {
-	return &Keeper{directory: directory, machines: machines, states: map[ledger.ShardID]*keeperState{}}
+	return &Keeper{directory: directory, machines: machines, trackers: map[ledger.ShardID]*leaseTracker{}}
 }
 
 // Register sets the handlers of the lease operations.
@@ -41,12 +41,12 @@
 
 const (
 	keeperInterval = 500 * time.Millisecond
-	// retentionInterval is the time between looks for files and jobs that are
-	// due to be removed.
+	// retentionInterval is the interval of checks for files and jobs that are
+	// due for removal.
 	retentionInterval = 10 * time.Second
 )
 
-// Run works until ctx ends.
+// Run maintains the led shards until ctx ends.
 func (k *Keeper) Run(ctx context.Context) {
 	ticker := time.NewTicker(keeperInterval)
 	defer ticker.Stop()
@@ -65,8 +65,8 @@
 	}
 }
 
-// tickAll works on all shards at once, so that one without a quorum does not
-// hold up the others.
+// tickAll ticks all led shards concurrently, so that one without a quorum does
+// not delay the others.
 func (k *Keeper) tickAll(ctx context.Context, now time.Time, retention bool) {
 	var group sync.WaitGroup
 	defer group.Wait()
@@ -101,14 +101,14 @@
 	for _, ended := range k.expired(id, now, term, held) {
 		eventLeasesExpired.Info("shard", id, "dispatcher", ended.Dispatcher, "leases", len(ended.Epochs))
 		if err := k.propose(ctx, shard, now, &ended); err != nil {
-			return trace.Wrap(err, "end leases of %s", ended.Dispatcher)
+			return trace.Wrap(err, "expire leases of %s", ended.Dispatcher)
 		}
 	}
 	due := k.machines(id).DeadlinePassed(now)
 	if !due && retention {
 		var err error
 		if due, err = retentionDue(ctx, shard, now); err != nil {
-			return trace.Wrap(err, "look for what is due")
+			return trace.Wrap(err, "check for due removals")
 		}
 	}
 	if !due {
@@ -137,30 +137,30 @@
 func (k *Keeper) expired(id ledger.ShardID, now time.Time, term uint64, held []machine.HeldLease) []machine.ExpireLeases {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	return k.state(id).expired(now, term, held)
+	return k.tracker(id).expired(now, term, held)
 }
 
-func (k *Keeper) state(id ledger.ShardID) *keeperState {
-	state, ok := k.states[id]
+func (k *Keeper) tracker(id ledger.ShardID) *leaseTracker {
+	state, ok := k.trackers[id]
 	if !ok {
-		state = &keeperState{}
-		k.states[id] = state
+		state = &leaseTracker{}
+		k.trackers[id] = state
 	}
 	return state
 }
 
-// lease proposes a LeaseItems entry unless nothing waits: an idle fleet that
-// asks must not fill the log.
+// lease proposes a LeaseItems entry if items wait, so that requests of an idle
+// fleet don't fill the log.
 func (k *Keeper) lease(ctx context.Context, id ledger.ShardID, shard ledger.Shard, entry []byte) ([]byte, error) {
 	_, command, err := machine.Decode(entry)
 	if err != nil {
 		return nil, err
 	}
-	wanted, ok := command.(*machine.LeaseItems)
+	request, ok := command.(*machine.LeaseItems)
 	if !ok {
-		return nil, trace.BadParameter("a lease operation carries %T", command)
+		return nil, trace.BadParameter("lease operation with unexpected command %T", command)
 	}
-	if _, waits := k.machines(id).Waiting(time.Now())[wanted.Model]; !waits {
+	if _, waiting := k.machines(id).Waiting(time.Now())[request.Model]; !waiting {
 		return machine.Answer{Code: machine.CodeOK}.Encode()
 	}
 	return remote.Propose(ctx, id, shard, entry)
@@ -168,29 +168,30 @@
 
 const messageVersion = 1
 
-// offerNumbers tells how much waits for a model in a shard.
-type offerNumbers struct {
+// modelOffer summarizes the items of a model that wait in a shard.
+type modelOffer struct {
 	Items uint64
-	Slack int64 // milliseconds; the least of the waiting jobs
+	Slack int64 // milliseconds; the minimum over the waiting jobs
 	// Weight is the sum of the weights of the tenants whose items wait.
 	Weight uint64
 }
 
-// offer lists what waits: fields of model and offerNumbers in turn.
+// offer returns the waiting items by model, as alternating fields of model name
+// and modelOffer.
 func (k *Keeper) offer(_ context.Context, id ledger.ShardID, _ ledger.Shard, _ []byte) ([]byte, error) {
 	var fields [][]byte
 	for model, waiting := range k.machines(id).Waiting(time.Now()) {
-		encoded, err := wire.Marshal(messageVersion, offerNumbers{waiting.Items, waiting.Slack.Milliseconds(), waiting.Weight})
+		encoded, err := wire.Marshal(messageVersion, modelOffer{waiting.Items, waiting.Slack.Milliseconds(), waiting.Weight})
 		if err != nil {
 			return nil, err
 		}
 		fields = append(fields, []byte(model), encoded)
 	}
-	return wire.Marshal(messageVersion, none{}, fields...)
+	return wire.Marshal(messageVersion, emptyHeader{}, fields...)
 }
 
-// none is the fixed part of a message without numbers.
-type none struct{}
+// emptyHeader is the fixed part of a message without numeric fields.
+type emptyHeader struct{}
 
 // renewRequest renews the leases of a dispatcher in one shard.
 type renewRequest struct {
@@ -204,11 +205,11 @@
 	for _, jobID := range r.jobIDs {
 		fields = append(fields, []byte(jobID))
 	}
-	return wire.Marshal(messageVersion, none{}, fields...)
+	return wire.Marshal(messageVersion, emptyHeader{}, fields...)
 }
 
 func decodeRenewRequest(message []byte) (renewRequest, error) {
-	fields, err := wire.Unmarshal(message, messageVersion, &none{}, -1)
+	fields, err := wire.Unmarshal(message, messageVersion, &emptyHeader{}, -1)
 	if err != nil {
 		return renewRequest{}, err
 	}
@@ -216,10 +217,10 @@
 		return renewRequest{}, wire.ErrLength
 	}
 	epochs, err := machine.DecodeEpochs(fields[1])
-	return renewRequest{string(fields[0]), epochs, texts(fields[2:])}, err
+	return renewRequest{string(fields[0]), epochs, toStrings(fields[2:])}, err
 }
 
-func texts(fields [][]byte) []string {
+func toStrings(fields [][]byte) []string {
 	converted := make([]string, 0, len(fields))
 	for _, field := range fields {
 		converted = append(converted, string(field))
@@ -227,9 +228,9 @@
 	return converted
 }
 
-// renew answers with the jobs that are not open any more. Reading through the
-// shard confirms that this replica still leads: a leader that was cut off must
-// not extend the life of leases whose job its successor has cancelled.
+// renew records a renewal and returns the jobs that are no longer open. Reading
+// through the shard confirms leadership: a partitioned leader must not renew
+// leases of a job that its successor has cancelled.
 func (k *Keeper) renew(ctx context.Context, id ledger.ShardID, shard ledger.Shard, payload []byte) ([]byte, error) {
 	request, err := decodeRenewRequest(payload)
 	if err != nil {
@@ -240,11 +241,11 @@
 	}
 	closed := k.machines(id).Closed(request.jobIDs)
 	k.mutex.Lock()
-	k.state(id).renewed(time.Now(), request.dispatcher, request.epochs)
+	k.tracker(id).renewed(time.Now(), request.dispatcher, request.epochs)
 	k.mutex.Unlock()
 	fields := make([][]byte, 0, len(closed))
 	for _, jobID := range closed {
 		fields = append(fields, []byte(jobID))
 	}
-	return wire.Marshal(messageVersion, none{}, fields...)
+	return wire.Marshal(messageVersion, emptyHeader{}, fields...)
 }
--- a/internal/jobs/command/metrics.go
+++ b/internal/jobs/command/metrics.go
@@ -16,7 +16,7 @@
 		"Items that dispatchers hold, at the shards led here.", nil, nil)
 	waitingItemsMetric = prometheus.NewDesc("chutelock_jobs_waiting_items",
 		"Items that wait to be leased, at the shards led here.", []string{"model"}, nil)
-	leastSlackMetric = prometheus.NewDesc("chutelock_jobs_least_slack_seconds",
+	minSlackMetric = prometheus.NewDesc("chutelock_jobs_least_slack_seconds",
 		"Least time to spare of the jobs that wait, at the measured rate.", []string{"model"}, nil)
 	droppedResultsMetric = prometheus.NewDesc("chutelock_jobs_results_dropped_total",
 		"Results that came second or too late, since this replica started to apply.", nil, nil)
@@ -27,7 +27,7 @@
 // Describe implements prometheus.Collector.
 func (k *Keeper) Describe(descriptions chan<- *prometheus.Desc) {
 	for _, described := range []*prometheus.Desc{
-		openJobsMetric, leasedItemsMetric, waitingItemsMetric, leastSlackMetric, droppedResultsMetric,
+		openJobsMetric, leasedItemsMetric, waitingItemsMetric, minSlackMetric, droppedResultsMetric,
 	} {
 		descriptions <- described
 	}
@@ -63,6 +63,6 @@
 	metrics <- prometheus.MustNewConstMetric(droppedResultsMetric, prometheus.CounterValue, float64(dropped))
 	for model, items := range waiting {
 		metrics <- prometheus.MustNewConstMetric(waitingItemsMetric, prometheus.GaugeValue, float64(items), model)
-		metrics <- prometheus.MustNewConstMetric(leastSlackMetric, prometheus.GaugeValue, slack[model].Seconds(), model)
+		metrics <- prometheus.MustNewConstMetric(minSlackMetric, prometheus.GaugeValue, slack[model].Seconds(), model)
 	}
 }
--- a/internal/jobs/command/propose.go
+++ b/internal/jobs/command/propose.go
@@ -17,12 +17,12 @@
 	Call(ctx context.Context, operation remote.Operation, shard ledger.ShardID, payload []byte) ([]byte, error)
 }
 
-// propose commits a command and returns the machine's answer.
+// propose commits a command and returns the state machine's answer.
 func propose(ctx context.Context, caller Caller, shard ledger.ShardID, command machine.Command) (machine.Answer, error) {
-	return perform(ctx, caller, remote.OperationPropose, shard, command)
+	return execute(ctx, caller, remote.OperationPropose, shard, command)
 }
 
-func perform(ctx context.Context, caller Caller, operation remote.Operation, shard ledger.ShardID,
+func execute(ctx context.Context, caller Caller, operation remote.Operation, shard ledger.ShardID,
 	command machine.Command) (machine.Answer, error) {
 	entry, err := machine.Encode(time.Now(), command)
 	if err != nil {
@@ -36,16 +36,16 @@
 	return answer, trace.Wrap(err, "answer of shard %d", shard)
 }
 
-// Errors of commands, beside the ledger's.
+// Errors of commands, in addition to the ledger's.
 var (
-	// ErrNotFound says that the tenant has no such file or job.
+	// ErrNotFound means that the tenant has no such file or job.
 	ErrNotFound = trace.NotFound("no such file or batch")
-	// ErrConflict says that the idempotency key belongs to another content.
+	// ErrConflict means that the idempotency key was used with other content.
 	ErrConflict = trace.AlreadyExists("the Idempotency-Key was used with another body")
 )
 
-// UnexpectedAnswerError says that the machine refused a step that it should
-// have taken: another sender interfered, or the input was removed.
+// UnexpectedAnswerError means that the state machine refused a valid step, since
+// a concurrent client interfered or the input was removed.
 type UnexpectedAnswerError struct {
 	Step string
 	Code machine.Code
@@ -56,7 +56,7 @@
 	return "jobs: " + e.Step + " was refused"
 }
 
-// DeadlineError says that a deadline can't be met.
+// DeadlineError means that a deadline can't be met.
 type DeadlineError struct {
 	Possible time.Time // the earliest deadline that could be met
 }
@@ -66,7 +66,8 @@
 	return "the deadline can't be met; it could be met by " + e.Possible.UTC().Format(time.RFC3339)
 }
 
-func expect(step string, answer machine.Answer) error {
+// checkAnswer converts the code of an answer to an error.
+func checkAnswer(step string, answer machine.Answer) error {
 	switch answer.Code {
 	case machine.CodeOK:
 		return nil
--- a/internal/jobs/command/work.go
+++ b/internal/jobs/command/work.go
@@ -20,19 +20,19 @@
 )
 
 const (
-	// leaseBytes bounds the items of one lease.
-	leaseBytes = 4 << 20
-	// leaseTimeout bounds the wait for one shard's lease: another may have work.
+	// maxLeaseBytes bounds the items of one lease request.
+	maxLeaseBytes = 4 << 20
+	// leaseTimeout bounds a lease request to one shard; others may have items.
 	leaseTimeout = time.Second
 	// offerTimeout bounds the wait for the offers of all shards.
 	offerTimeout = time.Second
-	// The time between looks at all shards' offers grows with their number, so
-	// that the look costs a node the same at any size.
+	// The interval of offer refreshes grows with the number of shards, which
+	// bounds a node's request rate.
 	offerInterval         = 500 * time.Millisecond
 	offerIntervalPerShard = 50 * time.Millisecond
-	// reportBytes and reportResults bound one Report entry.
-	reportBytes   = 4 << 20
-	reportResults = 512
+	// maxReportBytes and maxReportResults bound one Report entry.
+	maxReportBytes   = 4 << 20
+	maxReportResults = 512
 )
 
 // Work implements jobs.Work from any node. Its methods may be called
@@ -40,15 +40,15 @@
 type Work struct {
 	caller Caller
 
-	// mutex guards the fields below; no call is made while it is held.
-	mutex    sync.Mutex
-	offers   map[ledger.ShardID]map[string]offerNumbers
-	offersAt time.Time
-	looking  bool
-	held     map[heldKey]*heldLease
+	// mutex guards the fields below; no I/O is done while it is held.
+	mutex      sync.Mutex
+	offers     map[ledger.ShardID]map[string]modelOffer
+	offersAt   time.Time
+	refreshing bool
+	held       map[heldKey]*heldLease
 }
 
-// heldKey names a lease that this node was given.
+// heldKey identifies a lease held by this node.
 type heldKey struct {
 	jobID string
 	epoch uint64
@@ -62,10 +62,10 @@
 
 var _ jobs.Work = (*Work)(nil)
 
-// NewWork returns the work of a node.
+// NewWork returns a Work that reaches the shards through caller.
 func NewWork(caller Caller) *Work {
 	return &Work{
-		caller: caller, held: map[heldKey]*heldLease{}, offers: map[ledger.ShardID]map[string]offerNumbers{},
+		caller: caller, held: map[heldKey]*heldLease{}, offers: map[ledger.ShardID]map[string]modelOffer{},
 	}
 }
 
@@ -74,11 +74,11 @@
 func (w *Work) Lease(ctx context.Context, dispatcher, model string, count int) ([]jobs.Lease, error) {
 	w.refreshOffers(ctx)
 	var failures []error
-	for _, shard := range w.shardsWith(model) {
+	for _, shard := range w.shardsOffering(model) {
 		leases, err := w.LeaseAt(ctx, shard, dispatcher, model, count)
 		if err != nil {
 			failures = append(failures, err)
-			w.setOffer(shard, model, offerNumbers{})
+			w.setOffer(shard, model, modelOffer{})
 			continue
 		}
 		if len(leases) > 0 {
@@ -93,26 +93,26 @@
 	sent := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
 	defer cancel()
-	answer, err := perform(ctx, w.caller, remote.OperationLease, shard, &machine.LeaseItems{
-		Dispatcher: dispatcher, Model: model, Count: uint32(count), MaxBytes: leaseBytes,
+	answer, err := execute(ctx, w.caller, remote.OperationLease, shard, &machine.LeaseItems{
+		Dispatcher: dispatcher, Model: model, Count: uint32(count), MaxBytes: maxLeaseBytes,
 	})
 	if err != nil {
 		return nil, err
 	}
-	if err := expect("lease items", answer); err != nil {
+	if err := checkAnswer("lease items", answer); err != nil {
 		return nil, err
 	}
 	if len(answer.Leases) == 0 {
-		w.setOffer(shard, model, offerNumbers{})
+		w.setOffer(shard, model, modelOffer{})
 	}
 	for i := range answer.Leases {
 		answer.Leases[i].Expires = sent.Add(StartValidity)
-		w.hold(shard, dispatcher, answer.Leases[i])
+		w.addHeld(shard, dispatcher, answer.Leases[i])
 	}
 	return answer.Leases, nil
 }
 
-func (w *Work) hold(shard ledger.ShardID, dispatcher string, lease jobs.Lease) {
+func (w *Work) addHeld(shard ledger.ShardID, dispatcher string, lease jobs.Lease) {
 	held := &heldLease{dispatcher: dispatcher, shard: shard, remaining: make(map[uint32]struct{}, len(lease.Items))}
 	for _, item := range lease.Items {
 		held.remaining[item.Index] = struct{}{}
@@ -122,18 +122,18 @@
 	w.held[heldKey{lease.JobID, lease.Epoch}] = held
 }
 
-func (w *Work) setOffer(shard ledger.ShardID, model string, offer offerNumbers) {
+func (w *Work) setOffer(shard ledger.ShardID, model string, offer modelOffer) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.offers[shard] == nil {
-		w.offers[shard] = map[string]offerNumbers{}
+		w.offers[shard] = map[string]modelOffer{}
 	}
 	w.offers[shard][model] = offer
 }
 
-// shardsWith lists the shards where items of the model wait, in the order in
-// which to ask them.
-func (w *Work) shardsWith(model string) []ledger.ShardID {
+// shardsOffering returns the shards where items of the model wait, in the order
+// in which to request leases.
+func (w *Work) shardsOffering(model string) []ledger.ShardID {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	var offers []shardOffer
@@ -142,18 +142,18 @@
 			offers = append(offers, shardOffer{shard, offer})
 		}
 	}
-	return askingOrder(offers, rand.Float64)
+	return leaseOrder(offers, rand.Float64)
 }
 
 type shardOffer struct {
 	shard ledger.ShardID
-	offerNumbers
+	modelOffer
 }
 
-// askingOrder puts shards with urgent jobs first, by their slack. The others
-// come in an order drawn by the weights of the tenants that wait there, so that
-// over many leases each tenant gets its share wherever its job lies.
-func askingOrder(offers []shardOffer, random func() float64) []ledger.ShardID {
+// leaseOrder puts shards with urgent jobs first, by slack. The others follow in
+// random order, weighted by the waiting tenants, so that over many leases each
+// tenant gets its share regardless of the shard of its jobs.
+func leaseOrder(offers []shardOffer, random func() float64) []ledger.ShardID {
 	slices.SortFunc(offers, func(a, b shardOffer) int { return cmp.Compare(a.shard, b.shard) })
 	rank := make(map[ledger.ShardID]float64, len(offers))
 	for _, offer := range offers {
@@ -171,18 +171,18 @@
 	return shards
 }
 
-// refreshOffers asks all shards for their offers in the background, unless that
-// was done lately or is being done. Each answer counts as it comes, so that a
-// shard without a leader holds up no other.
+// refreshOffers requests the offers of all shards in the background, unless a
+// refresh is recent or in progress. Each answer is applied on arrival, so that a
+// shard without a leader delays no other.
 func (w *Work) refreshOffers(ctx context.Context) {
-	if !w.beginLook(time.Now()) {
+	if !w.beginRefresh(time.Now()) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), offerTimeout)
 	var group sync.WaitGroup
 	for shard := range ledger.ShardID(w.caller.Shards()) {
 		group.Go(func() {
-			offers := w.offersOf(ctx, shard)
+			offers := w.fetchOffers(ctx, shard)
 			w.mutex.Lock()
 			defer w.mutex.Unlock()
 			w.offers[shard] = offers
@@ -193,34 +193,34 @@
 		cancel()
 		w.mutex.Lock()
 		defer w.mutex.Unlock()
-		w.looking = false
+		w.refreshing = false
 	}()
 }
 
-func (w *Work) beginLook(now time.Time) bool {
+func (w *Work) beginRefresh(now time.Time) bool {
 	interval := max(offerInterval, time.Duration(w.caller.Shards())*offerIntervalPerShard)
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.looking || now.Sub(w.offersAt) < interval {
+	if w.refreshing || now.Sub(w.offersAt) < interval {
 		return false
 	}
-	w.looking = true
+	w.refreshing = true
 	w.offersAt = now
 	return true
 }
 
-func (w *Work) offersOf(ctx context.Context, shard ledger.ShardID) map[string]offerNumbers {
+func (w *Work) fetchOffers(ctx context.Context, shard ledger.ShardID) map[string]modelOffer {
 	answer, err := w.caller.Call(ctx, remote.OperationOffer, shard, nil)
 	if err != nil {
 		return nil
 	}
-	fields, err := wire.Unmarshal(answer, messageVersion, &none{}, -1)
+	fields, err := wire.Unmarshal(answer, messageVersion, &emptyHeader{}, -1)
 	if err != nil {
 		return nil
 	}
-	offers := map[string]offerNumbers{}
+	offers := map[string]modelOffer{}
 	for ; len(fields) >= 2; fields = fields[2:] {
-		var offer offerNumbers
+		var offer modelOffer
 		if _, err := wire.Unmarshal(fields[1], messageVersion, &offer, 0); err == nil {
 			offers[string(fields[0])] = offer
 		}
@@ -228,8 +228,8 @@
 	return offers
 }
 
-// Start implements jobs.Work. An error means that the item must not be sent,
-// and that its start may or may not be recorded: hand it back.
+// Start implements jobs.Work. After an error, the start may or may not be
+// recorded: the item must not be sent and must be handed back.
 func (w *Work) Start(ctx context.Context, lease jobs.Lease, index uint32) (bool, error) {
 	shard, ok := jobs.ShardOfJob(lease.JobID, w.caller.Shards())
 	if !ok {
@@ -242,17 +242,17 @@
 	return answer.Code == machine.CodeOK, nil
 }
 
-// Report implements jobs.Work. When it fails, results for other shards may
-// have been committed; to report those again does no harm.
+// Report implements jobs.Work. After a failure, some results may be committed;
+// reporting them again is idempotent.
 func (w *Work) Report(ctx context.Context, results []jobs.Result) error {
 	var group errgroup.Group
-	for shard, ofShard := range w.byShard(results) {
-		group.Go(func() error { return w.reportTo(ctx, shard, ofShard) })
+	for shard, ofShard := range w.groupByShard(results) {
+		group.Go(func() error { return w.reportShard(ctx, shard, ofShard) })
 	}
 	return group.Wait()
 }
 
-func (w *Work) byShard(results []jobs.Result) map[ledger.ShardID][]jobs.Result {
+func (w *Work) groupByShard(results []jobs.Result) map[ledger.ShardID][]jobs.Result {
 	grouped := map[ledger.ShardID][]jobs.Result{}
 	for _, result := range results {
 		if shard, ok := jobs.ShardOfJob(result.JobID, w.caller.Shards()); ok {
@@ -262,33 +262,33 @@
 	return grouped
 }
 
-func (w *Work) reportTo(ctx context.Context, shard ledger.ShardID, results []jobs.Result) error {
+func (w *Work) reportShard(ctx context.Context, shard ledger.ShardID, results []jobs.Result) error {
 	for len(results) > 0 {
-		count := entrySize(results)
+		count := entryCount(results)
 		if _, err := propose(ctx, w.caller, shard, &machine.Report{Results: results[:count]}); err != nil {
 			return trace.Wrap(err, "report results")
 		}
-		w.reported(results[:count])
+		w.removeReported(results[:count])
 		results = results[count:]
 	}
 	return nil
 }
 
-// entrySize is how many of the results go into one entry.
-func entrySize(results []jobs.Result) int {
+// entryCount returns the number of leading results that fit into one entry.
+func entryCount(results []jobs.Result) int {
 	bytes := 0
 	for i, result := range results {
 		bytes += len(result.Body)
-		if i > 0 && (i == reportResults || bytes > reportBytes) {
+		if i > 0 && (i == maxReportResults || bytes > maxReportBytes) {
 			return i
 		}
 	}
 	return len(results)
 }
 
-// reported forgets items that were reported, and leases without items, so
-// that they are not renewed any more.
-func (w *Work) reported(results []jobs.Result) {
+// removeReported removes reported items and leases without remaining items,
+// which are then no longer renewed.
+func (w *Work) removeReported(results []jobs.Result) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	for _, result := range results {
@@ -304,15 +304,15 @@
 	}
 }
 
-// Renew implements jobs.Work: it renews the dispatcher's leases of the jobs.
-// A job is revoked when it is final. A failure is a *jobs.RenewError.
+// Renew implements jobs.Work. It renews the dispatcher's leases of the jobs and
+// returns those that are final. A failure is a *jobs.RenewError.
 func (w *Work) Renew(ctx context.Context, dispatcher string, jobIDs []string) (revoked []string, err error) {
 	requests := w.renewals(dispatcher, jobIDs)
 	answers := make([][]string, len(requests))
 	failures := make([]error, len(requests))
 	var group sync.WaitGroup
 	for i, request := range requests {
-		group.Go(func() { answers[i], failures[i] = w.renewAt(ctx, request.shard, &request.renewRequest) })
+		group.Go(func() { answers[i], failures[i] = w.renewShard(ctx, request.shard, &request.renewRequest) })
 	}
 	group.Wait()
 	failed := &jobs.RenewError{}
@@ -323,7 +323,7 @@
 			failed.Cause = failures[i]
 		}
 	}
-	w.forget(revoked)
+	w.removeJobs(revoked)
 	if failed.Cause != nil {
 		return revoked, failed
 	}
@@ -350,8 +350,8 @@
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	for key, held := range w.held {
-		renewal, wanted := byShard[held.shard]
-		if wanted && held.dispatcher == dispatcher && slices.Contains(renewal.jobIDs, key.jobID) {
+		renewal, requested := byShard[held.shard]
+		if requested && held.dispatcher == dispatcher && slices.Contains(renewal.jobIDs, key.jobID) {
 			renewal.epochs = append(renewal.epochs, key.epoch)
 		}
 	}
@@ -362,7 +362,7 @@
 	return renewals
 }
 
-func (w *Work) renewAt(ctx context.Context, shard ledger.ShardID, request *renewRequest) ([]string, error) {
+func (w *Work) renewShard(ctx context.Context, shard ledger.ShardID, request *renewRequest) ([]string, error) {
 	payload, err := request.encode()
 	if err != nil {
 		return nil, trace.Wrap(err)
@@ -371,15 +371,15 @@
 	if err != nil {
 		return nil, trace.Wrap(err, "renew leases")
 	}
-	fields, err := wire.Unmarshal(answer, messageVersion, &none{}, -1)
+	fields, err := wire.Unmarshal(answer, messageVersion, &emptyHeader{}, -1)
 	if err != nil {
 		return nil, trace.Wrap(err, "renew leases")
 	}
-	return texts(fields), nil
+	return toStrings(fields), nil
 }
 
-// forget drops the leases of jobs that are final.
-func (w *Work) forget(jobIDs []string) {
+// removeJobs removes the leases of final jobs.
+func (w *Work) removeJobs(jobIDs []string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	for key := range w.held {
