--- a/internal/jobs/query/codec.go
+++ b/internal/jobs/query/codec.go
@@ -8,7 +8,7 @@
 	"chutelock.dev/chutelock/internal/wire"
 )
 
-// kind names a question.
+// kind is the kind of a request.
 type kind uint8
 
 const (
@@ -22,28 +22,28 @@
 
 const version = 1
 
-// question is what a node asks a shard's leader.
-type question struct {
+// requestHeader is the fixed part of a request to a shard's leader.
+type requestHeader struct {
 	Kind   kind
 	Number uint32 // the chunk, or the first index
 	Limit  uint32
 	Errors bool
-	After  int64 // creation time of the job behind which a listing starts
+	After  int64 // creation time of the job after which a listing starts, in milliseconds
 }
 
 type request struct {
-	question
+	requestHeader
 	identifier string
 	tenant     string
 }
 
 func (r request) encode() ([]byte, error) {
-	return wire.Marshal(version, r.question, []byte(r.identifier), []byte(r.tenant))
+	return wire.Marshal(version, r.requestHeader, []byte(r.identifier), []byte(r.tenant))
 }
 
 func decodeRequest(message []byte) (request, error) {
 	var decoded request
-	fields, err := wire.Unmarshal(message, version, &decoded.question, 2)
+	fields, err := wire.Unmarshal(message, version, &decoded.requestHeader, 2)
 	if err != nil {
 		return request{}, err
 	}
@@ -51,31 +51,32 @@
 	return decoded, nil
 }
 
-// found is the fixed part of an answer.
-type found struct {
+// responseHeader is the fixed part of an answer.
+type responseHeader struct {
 	Found bool
-	// Next is the index to go on from, when More.
+	// Next is the first index of the next page, if More.
 	Next uint32
 	More bool
 }
 
-// Job is a job and what it has done so far.
+// Job is a job with the counters of its progress.
 type Job struct {
 	machine.JobRecord
 	machine.Counters
 }
 
-// Remaining counts the items without a result.
+// Remaining returns the number of items without a result.
 func (j *Job) Remaining() uint32 { return j.Items - j.Counters.Final() }
 
-// InputFile is what the job remembers of its input file, which may be gone.
+// InputFile returns the job's copy of its input file's record, which outlives
+// the file.
 func (j *Job) InputFile() machine.FileRecord {
 	return machine.FileRecord{
 		FileID: j.FileID, Tenant: j.Tenant, Lines: j.Items, Digest: j.FileDigest, Model: j.Model, Endpoint: j.Endpoint,
 	}
 }
 
-type resultNumbers struct {
+type resultHeader struct {
 	Index      uint32
 	Status     jobs.ItemStatus
 	HTTPStatus uint16
@@ -84,12 +85,12 @@
 }
 
 func encodeResult(result machine.ResultRecord) ([]byte, error) {
-	fixed := resultNumbers{result.Index, result.Status, result.HTTPStatus, result.Tokens, result.At.UnixMilli()}
+	fixed := resultHeader{result.Index, result.Status, result.HTTPStatus, result.Tokens, result.At.UnixMilli()}
 	return wire.Marshal(version, fixed, []byte(result.CustomID), result.Body)
 }
 
 func decodeResult(message []byte) (machine.ResultRecord, error) {
-	var fixed resultNumbers
+	var fixed resultHeader
 	fields, err := wire.Unmarshal(message, version, &fixed, 2)
 	if err != nil {
 		return machine.ResultRecord{}, err
--- a/internal/jobs/query/doc.go
+++ b/internal/jobs/query/doc.go
@@ -1,3 +1,3 @@
-// Package query reads files, jobs and results at the leaders of their shards,
-// from any node.
+// Package query reads files, jobs and results from any node, through the leaders
+// of their shards.
 package query
--- a/internal/jobs/query/handler.go
+++ b/internal/jobs/query/handler.go
@@ -14,80 +14,80 @@
 )
 
 const (
-	// pageItems and pageBytes bound one page of results.
-	pageItems = 1024
-	pageBytes = 1 << 20
-	// maxListed bounds one page of jobs.
-	maxListed = 101
+	// maxPageItems and maxPageBytes bound one page of results.
+	maxPageItems = 1024
+	maxPageBytes = 1 << 20
+	// maxPageJobs bounds one page of jobs.
+	maxPageJobs = 101
 )
 
-// Handle answers a question at the shard's leader; it is the handler of
+// Handle answers a request at the shard's leader. It is the handler of
 // remote.OperationQuery.
 func Handle(ctx context.Context, _ ledger.ShardID, shard ledger.Shard, payload []byte) (answer []byte, err error) {
-	asked, err := decodeRequest(payload)
+	req, err := decodeRequest(payload)
 	if err != nil {
 		return nil, err
 	}
 	err = shard.Read(ctx, func(reader ledger.Reader) error {
-		answer, err = answerFrom(reader, asked)
+		answer, err = dispatchRequest(reader, req)
 		return err
 	})
 	return answer, err
 }
 
-func answerFrom(reader ledger.Reader, asked request) ([]byte, error) {
-	switch asked.Kind {
+func dispatchRequest(reader ledger.Reader, req request) ([]byte, error) {
+	switch req.Kind {
 	case kindFile:
-		return answerFile(reader, asked)
+		return answerFile(reader, req)
 	case kindChunk:
-		chunk, ok, err := machine.GetChunk(reader, asked.identifier, asked.Number)
-		return marshal(found{Found: ok}, [][]byte{chunk}, err)
+		chunk, ok, err := machine.GetChunk(reader, req.identifier, req.Number)
+		return marshal(responseHeader{Found: ok}, [][]byte{chunk}, err)
 	case kindJob:
-		record, ok, err := machine.GetJob(reader, asked.identifier)
-		return answerJob(reader, asked, record, ok, err)
+		record, ok, err := machine.GetJob(reader, req.identifier)
+		return answerJob(reader, req, record, ok, err)
 	case kindJobByKey:
-		record, ok, err := machine.GetJobByKey(reader, asked.tenant, asked.identifier)
-		return answerJob(reader, asked, record, ok, err)
+		record, ok, err := machine.GetJobByKey(reader, req.tenant, req.identifier)
+		return answerJob(reader, req, record, ok, err)
 	case kindJobs:
-		return answerJobs(reader, asked)
+		return answerJobs(reader, req)
 	case kindResults:
-		return answerResults(reader, asked)
+		return answerResults(reader, req)
 	default:
-		return nil, trace.BadParameter("query: unknown question %d", asked.Kind)
+		return nil, trace.BadParameter("query: unknown request kind %d", req.Kind)
 	}
 }
 
-func marshal(fixed found, fields [][]byte, err error) ([]byte, error) {
+func marshal(fixed responseHeader, fields [][]byte, err error) ([]byte, error) {
 	if err != nil {
 		return nil, err
 	}
 	return wire.Marshal(version, fixed, fields...)
 }
 
-func answerFile(reader ledger.Reader, asked request) ([]byte, error) {
-	record, ok, err := machine.GetFile(reader, asked.identifier)
+func answerFile(reader ledger.Reader, req request) ([]byte, error) {
+	record, ok, err := machine.GetFile(reader, req.identifier)
 	if err != nil {
 		return nil, err
 	}
-	if !ok || !record.Sealed || record.Tenant != asked.tenant {
-		return marshal(found{}, nil, nil)
+	if !ok || !record.Sealed || record.Tenant != req.tenant {
+		return marshal(responseHeader{}, nil, nil)
 	}
 	encoded, err := record.Encode()
-	return marshal(found{Found: true}, [][]byte{encoded}, err)
+	return marshal(responseHeader{Found: true}, [][]byte{encoded}, err)
 }
 
-func answerJob(reader ledger.Reader, asked request, record machine.JobRecord, ok bool, err error) ([]byte, error) {
+func answerJob(reader ledger.Reader, req request, record machine.JobRecord, ok bool, err error) ([]byte, error) {
 	if err != nil {
 		return nil, err
 	}
-	if !ok || record.Tenant != asked.tenant || record.State == machine.StateReceiving {
-		return marshal(found{}, nil, nil)
+	if !ok || record.Tenant != req.tenant || record.State == machine.StateReceiving {
+		return marshal(responseHeader{}, nil, nil)
 	}
 	fields, err := encodeJob(reader, record)
-	return marshal(found{Found: true}, fields, err)
+	return marshal(responseHeader{Found: true}, fields, err)
 }
 
-// encodeJob encodes a job as two fields.
+// encodeJob encodes a job as two fields: its record and its counters.
 func encodeJob(reader ledger.Reader, record machine.JobRecord) ([][]byte, error) {
 	counters, err := machine.GetCounters(reader, record.JobID)
 	if err != nil {
@@ -101,30 +101,30 @@
 	return [][]byte{first, second}, err
 }
 
-func answerJobs(reader ledger.Reader, asked request) ([]byte, error) {
+func answerJobs(reader ledger.Reader, req request) ([]byte, error) {
 	after := machine.JobRecord{}
-	if asked.identifier != "" {
-		after = machine.JobRecord{JobID: asked.identifier, Created: time.UnixMilli(asked.After)}
+	if req.identifier != "" {
+		after = machine.JobRecord{JobID: req.identifier, Created: time.UnixMilli(req.After)}
 	}
 	var fields [][]byte
-	limit := min(int(asked.Limit), maxListed)
-	err := machine.ScanTenantJobs(reader, asked.tenant, after, func(record machine.JobRecord) (bool, error) {
+	limit := min(int(req.Limit), maxPageJobs)
+	err := machine.ScanTenantJobs(reader, req.tenant, after, func(record machine.JobRecord) (bool, error) {
 		job, err := encodeJob(reader, record)
 		fields = append(fields, job...)
 		return len(fields) < 2*limit, err
 	})
-	return marshal(found{Found: true}, fields, err)
+	return marshal(responseHeader{Found: true}, fields, err)
 }
 
-func answerResults(reader ledger.Reader, asked request) ([]byte, error) {
-	record, ok, err := machine.GetJob(reader, asked.identifier)
+func answerResults(reader ledger.Reader, req request) ([]byte, error) {
+	record, ok, err := machine.GetJob(reader, req.identifier)
 	if err != nil {
 		return nil, err
 	}
-	if !ok || record.Tenant != asked.tenant || record.State == machine.StateReceiving {
-		return marshal(found{}, nil, nil)
+	if !ok || record.Tenant != req.tenant || record.State == machine.StateReceiving {
+		return marshal(responseHeader{}, nil, nil)
 	}
-	page, err := collectResults(reader, record, asked)
+	page, err := collectResults(reader, record, req)
 	if err != nil {
 		return nil, err
 	}
@@ -136,7 +136,7 @@
 		}
 		fields = append(fields, encoded)
 	}
-	return marshal(found{Found: true, Next: page.next, More: page.next < record.Items}, fields, nil)
+	return marshal(responseHeader{Found: true, Next: page.next, More: page.next < record.Items}, fields, nil)
 }
 
 type resultPage struct {
@@ -144,19 +144,19 @@
 	next    uint32
 }
 
-// collectResults reads one page: results that are (or are not) good and, for
-// the error file of a job that ended early, the items without one.
-func collectResults(reader ledger.Reader, record machine.JobRecord, asked request) (resultPage, error) {
-	page := resultPage{next: min(asked.Number+pageItems, record.Items)}
+// collectResults reads one page of the successful results or of the others. For
+// errors of a cancelled or expired job, it includes the items without a result.
+func collectResults(reader ledger.Reader, record machine.JobRecord, req request) (resultPage, error) {
+	page := resultPage{next: min(req.Number+maxPageItems, record.Items)}
 	size := 0
-	err := machine.ScanResults(reader, record.JobID, asked.Number, func(result machine.ResultRecord) (bool, error) {
+	err := machine.ScanResults(reader, record.JobID, req.Number, func(result machine.ResultRecord) (bool, error) {
 		if result.Index >= page.next {
 			return false, nil
 		}
-		if (result.Status != jobs.ItemSucceeded) != asked.Errors {
+		if (result.Status != jobs.ItemSucceeded) != req.Errors {
 			return true, nil
 		}
-		if size > 0 && size+len(result.Body) > pageBytes {
+		if size > 0 && size+len(result.Body) > maxPageBytes {
 			page.next = result.Index
 			return false, nil
 		}
@@ -165,17 +165,17 @@
 		page.results = append(page.results, result)
 		return true, nil
 	})
-	if err != nil || !asked.Errors || !endedEarly(record.State) {
+	if err != nil || !req.Errors || !endedEarly(record.State) {
 		return page, err
 	}
-	return page, addUnfinished(reader, record, asked.Number, &page)
+	return page, addUnfinished(reader, record, req.Number, &page)
 }
 
 func endedEarly(state machine.State) bool {
 	return state == machine.StateCancelled || state == machine.StateExpired
 }
 
-// addUnfinished adds what became of the items without a result.
+// addUnfinished adds results for the items that have none.
 func addUnfinished(reader ledger.Reader, record machine.JobRecord, first uint32, page *resultPage) error {
 	status := jobs.ItemCancelled
 	if record.State == machine.StateExpired {
--- a/internal/jobs/query/query.go
+++ b/internal/jobs/query/query.go
@@ -14,7 +14,7 @@
 	"chutelock.dev/chutelock/internal/wire"
 )
 
-// ErrNotFound says that the tenant has no such file or job.
+// ErrNotFound means that the tenant has no such file or job.
 var ErrNotFound = trace.NotFound("no such file or batch")
 
 // Caller reaches the leaders of shards.
@@ -23,31 +23,32 @@
 	Call(ctx context.Context, operation remote.Operation, shard ledger.ShardID, payload []byte) ([]byte, error)
 }
 
-// Queries reads from any node. Its methods may be called concurrently.
+// Queries reads files, jobs and results from any node. Its methods may be called
+// concurrently.
 type Queries struct {
 	caller Caller
 }
 
-// New returns the queries of a node.
+// New returns Queries that reach the shards through caller.
 func New(caller Caller) *Queries { return &Queries{caller: caller} }
 
-// ask asks one shard. It fails with ErrNotFound when nothing was found.
-func (q *Queries) ask(ctx context.Context, shard ledger.ShardID, asked request) (found, [][]byte, error) {
-	payload, err := asked.encode()
+// send sends a request to one shard. It returns ErrNotFound if nothing matches.
+func (q *Queries) send(ctx context.Context, shard ledger.ShardID, req request) (responseHeader, [][]byte, error) {
+	payload, err := req.encode()
 	if err != nil {
-		return found{}, nil, trace.Wrap(err)
+		return responseHeader{}, nil, trace.Wrap(err)
 	}
 	answer, err := q.caller.Call(ctx, remote.OperationQuery, shard, payload)
 	if err != nil {
-		return found{}, nil, trace.Wrap(err, "query shard %d", shard)
+		return responseHeader{}, nil, trace.Wrap(err, "query shard %d", shard)
 	}
-	var fixed found
+	var fixed responseHeader
 	fields, err := wire.Unmarshal(answer, version, &fixed, -1)
 	if err != nil {
-		return found{}, nil, trace.Wrap(err, "answer of shard %d", shard)
+		return responseHeader{}, nil, trace.Wrap(err, "answer of shard %d", shard)
 	}
 	if !fixed.Found {
-		return found{}, nil, ErrNotFound
+		return responseHeader{}, nil, ErrNotFound
 	}
 	return fixed, fields, nil
 }
@@ -58,8 +59,8 @@
 	if !ok {
 		return machine.FileRecord{}, ErrNotFound
 	}
-	asked := request{question: question{Kind: kindFile}, identifier: fileID, tenant: tenant}
-	_, fields, err := q.ask(ctx, shard, asked)
+	req := request{requestHeader: requestHeader{Kind: kindFile}, identifier: fileID, tenant: tenant}
+	_, fields, err := q.send(ctx, shard, req)
 	if err != nil {
 		return machine.FileRecord{}, err
 	}
@@ -69,14 +70,15 @@
 	return machine.DecodeFile(fields[0])
 }
 
-// Chunk reads a chunk of a file that File has found.
+// Chunk reads a chunk of a file that was returned by File; the tenant is not
+// checked.
 func (q *Queries) Chunk(ctx context.Context, fileID string, chunk uint32) ([]byte, error) {
 	shard, ok := jobs.ShardOfFile(fileID, q.caller.Shards())
 	if !ok {
 		return nil, ErrNotFound
 	}
-	asked := request{question: question{Kind: kindChunk, Number: chunk}, identifier: fileID}
-	_, fields, err := q.ask(ctx, shard, asked)
+	req := request{requestHeader: requestHeader{Kind: kindChunk, Number: chunk}, identifier: fileID}
+	_, fields, err := q.send(ctx, shard, req)
 	if err != nil {
 		return nil, err
 	}
@@ -92,19 +94,19 @@
 	if !ok {
 		return Job{}, ErrNotFound
 	}
-	return q.oneJob(ctx, shard, request{question: question{Kind: kindJob}, identifier: jobID, tenant: tenant})
+	return q.fetchJob(ctx, shard, request{requestHeader: requestHeader{Kind: kindJob}, identifier: jobID, tenant: tenant})
 }
 
 // JobByKey reads a tenant's accepted job by its idempotency key.
 func (q *Queries) JobByKey(ctx context.Context, tenant, idempotencyKey string) (Job, error) {
 	shard := jobs.ShardOfKey(tenant, idempotencyKey, q.caller.Shards())
-	return q.oneJob(ctx, shard, request{
-		question: question{Kind: kindJobByKey}, identifier: idempotencyKey, tenant: tenant,
+	return q.fetchJob(ctx, shard, request{
+		requestHeader: requestHeader{Kind: kindJobByKey}, identifier: idempotencyKey, tenant: tenant,
 	})
 }
 
-func (q *Queries) oneJob(ctx context.Context, shard ledger.ShardID, asked request) (Job, error) {
-	_, fields, err := q.ask(ctx, shard, asked)
+func (q *Queries) fetchJob(ctx context.Context, shard ledger.ShardID, req request) (Job, error) {
+	_, fields, err := q.send(ctx, shard, req)
 	if err != nil {
 		return Job{}, err
 	}
@@ -131,14 +133,14 @@
 	return decoded, nil
 }
 
-// Jobs lists a tenant's accepted jobs at all shards, the newest first, from
-// the one behind after when that is not empty.
+// Jobs lists a tenant's accepted jobs of all shards, newest first. If after is
+// not empty, the list starts after that job.
 func (q *Queries) Jobs(ctx context.Context, tenant, after string, limit int) ([]Job, error) {
-	limit = max(1, min(limit, maxListed))
-	var behind Job
+	limit = max(1, min(limit, maxPageJobs))
+	var cursor Job
 	if after != "" {
 		var err error
-		if behind, err = q.Job(ctx, tenant, after); err != nil {
+		if cursor, err = q.Job(ctx, tenant, after); err != nil {
 			return nil, err
 		}
 	}
@@ -146,17 +148,17 @@
 	group, ctx := errgroup.WithContext(ctx)
 	for shard := range pages {
 		group.Go(func() (err error) {
-			pages[shard], err = q.jobsOf(ctx, ledger.ShardID(shard), tenant, behind, limit)
+			pages[shard], err = q.shardJobs(ctx, ledger.ShardID(shard), tenant, cursor, limit)
 			return err
 		})
 	}
 	if err := group.Wait(); err != nil {
 		return nil, err
 	}
-	return newest(pages, limit), nil
+	return mergeNewest(pages, limit), nil
 }
 
-func newest(pages [][]Job, limit int) []Job {
+func mergeNewest(pages [][]Job, limit int) []Job {
 	var merged []Job
 	for _, page := range pages {
 		merged = append(merged, page...)
@@ -170,32 +172,32 @@
 	return merged[:min(limit, len(merged))]
 }
 
-// jobsOf lists one shard's jobs of the tenant that come behind a job.
-func (q *Queries) jobsOf(ctx context.Context, shard ledger.ShardID, tenant string, behind Job, limit int) ([]Job, error) {
-	asked := request{question: question{Kind: kindJobs, Limit: uint32(limit)}, tenant: tenant}
-	if behind.JobID != "" {
-		asked.identifier = behind.JobID
-		asked.After = behind.Created.UnixMilli()
+// shardJobs lists one shard's jobs of the tenant that follow cursor.
+func (q *Queries) shardJobs(ctx context.Context, shard ledger.ShardID, tenant string, cursor Job, limit int) ([]Job, error) {
+	req := request{requestHeader: requestHeader{Kind: kindJobs, Limit: uint32(limit)}, tenant: tenant}
+	if cursor.JobID != "" {
+		req.identifier = cursor.JobID
+		req.After = cursor.Created.UnixMilli()
 	}
-	_, fields, err := q.ask(ctx, shard, asked)
+	_, fields, err := q.send(ctx, shard, req)
 	if err != nil {
 		return nil, err
 	}
 	return decodeJobs(fields)
 }
 
-// Results visits a tenant's job's results in the order of its items: the good
-// ones, or with errors the others. Of a job that is not final it visits what
-// is there so far.
+// Results visits the results of a tenant's job in item order: the successful
+// ones or, if errors is set, the others. For a job that is not final, it visits
+// the results recorded so far.
 func (q *Queries) Results(ctx context.Context, tenant, jobID string, errors bool,
 	visit func(machine.ResultRecord) error) error {
 	shard, ok := jobs.ShardOfJob(jobID, q.caller.Shards())
 	if !ok {
 		return ErrNotFound
 	}
-	asked := request{question: question{Kind: kindResults, Errors: errors}, identifier: jobID, tenant: tenant}
+	req := request{requestHeader: requestHeader{Kind: kindResults, Errors: errors}, identifier: jobID, tenant: tenant}
 	for {
-		page, fields, err := q.ask(ctx, shard, asked)
+		page, fields, err := q.send(ctx, shard, req)
 		if err != nil {
 			return err
 		}
@@ -211,6 +213,6 @@
 		if !page.More {
 			return nil
 		}
-		asked.Number = page.Next
+		req.Number = page.Next
 	}
 }
--- a/internal/jobs/query/query_test.go
+++ b/internal/jobs/query/query_test.go
@@ -13,7 +13,7 @@
 )
 
 func FuzzDecodeRequest(f *testing.F) {
-	good, _ := request{question{kindResults, 1, 2, true, 3}, "j", "t"}.encode()
+	good, _ := request{requestHeader{kindResults, 1, 2, true, 3}, "j", "t"}.encode()
 	f.Add(good)
 	f.Fuzz(func(t *testing.T, message []byte) { _, _ = decodeRequest(message) })
 }
@@ -24,17 +24,18 @@
 	f.Fuzz(func(t *testing.T, message []byte) { _, _ = decodeResult(message) })
 }
 
-type noCaller struct{}
+type unreachableCaller struct{}
 
-func (noCaller) Shards() int { return 2 }
+func (unreachableCaller) Shards() int { return 2 }
 
-func (noCaller) Call(context.Context, remote.Operation, ledger.ShardID, []byte) ([]byte, error) {
-	panic("an identifier that names no shard must not be asked for")
+func (unreachableCaller) Call(context.Context, remote.Operation, ledger.ShardID, []byte) ([]byte, error) {
+	panic("request for an identifier without a valid shard")
 }
 
-func TestForeignIdentifiersAreNotFound(t *testing.T) {
+// Invalid identifiers must be reported as not found without a request.
+func TestQueriesRejectInvalidIdentifiers(t *testing.T) {
 	g := gomega.NewWithT(t)
-	queries := New(noCaller{})
+	queries := New(unreachableCaller{})
 	for _, id := range []string{"", "batch_", "batch_00", jobs.NewJobID(2), jobs.NewFileID(0) + "\x00", "batch_zzzz" + jobs.NewJobID(0)[10:]} {
 		_, err := queries.Job(context.Background(), "t", id)
 		g.Expect(err).To(gomega.MatchError(ErrNotFound), id)
