--- a/internal/jobs/remote/caller.go
+++ b/internal/jobs/remote/caller.go
@@ -14,15 +14,14 @@
 )
 
 const (
-	// attemptTimeout bounds one attempt, so that a peer that went silent does
-	// not use up the caller's whole time.
+	// attemptTimeout bounds one attempt, so that an unresponsive peer leaves time
+	// for others within callTimeout.
 	attemptTimeout = 2 * time.Second
-	// callTimeout bounds all attempts of a call: long enough for a change of
-	// leader, and no longer, for the caller is told when to come back.
+	// callTimeout bounds all attempts of a call; it permits a leader election.
 	callTimeout = 4 * time.Second
-	// The wait between attempts grows between these.
-	firstRetryWait   = 10 * time.Millisecond
-	longestRetryWait = 500 * time.Millisecond
+	// Bounds of the exponential backoff between attempts.
+	initialRetryWait = 10 * time.Millisecond
+	maxRetryWait     = 500 * time.Millisecond
 )
 
 // Caller runs operations at the leader of any shard. Its methods may be called
@@ -34,14 +33,14 @@
 	server    *Server
 }
 
-// suspecter is a directory that wants to be told when the leader it named could
-// not be reached or did not lead.
-type suspecter interface {
+// leaderSuspecter is implemented by directories that accept reports of leaders
+// that were unreachable or did not lead.
+type leaderSuspecter interface {
 	Suspect(shard ledger.ShardID, leader transport.Address)
 }
 
-// NewCaller returns a caller on the node at self, whose own shards the server
-// answers for.
+// NewCaller returns a caller on the node at self. Operations on shards led by
+// this node run at server directly.
 func NewCaller(self transport.Address, directory ledger.Directory, sender transport.Sender, server *Server) *Caller {
 	return &Caller{self: self, directory: directory, sender: sender, server: server}
 }
@@ -49,36 +48,36 @@
 // Shards returns the number of shards.
 func (c *Caller) Shards() int { return c.directory.Shards() }
 
-// Call runs an operation at the shard's leader and repeats it until it is
-// answered, ctx ends or callTimeout is over.
+// Call runs an operation at the shard's leader. It retries until the operation
+// is answered or fails permanently, ctx ends or callTimeout passes.
 func (c *Caller) Call(ctx context.Context, operation Operation, shard ledger.ShardID, payload []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	call := &call{caller: c, operation: operation, shard: shard, payload: payload}
 	waits := backoff.NewExponentialBackOff()
-	waits.InitialInterval = firstRetryWait
-	waits.MaxInterval = longestRetryWait
+	waits.InitialInterval = initialRetryWait
+	waits.MaxInterval = maxRetryWait
 	answer, err := backoff.Retry(ctx, func() ([]byte, error) { return call.attempt(ctx) },
 		backoff.WithBackOff(waits), backoff.WithMaxElapsedTime(0))
 	if err != nil {
-		return nil, call.verdict(err)
+		return nil, call.finalError(err)
 	}
 	return answer, nil
 }
 
-// call is the state of one Call over its attempts.
+// call is the state of one Call across its attempts.
 type call struct {
 	caller    *Caller
 	operation Operation
 	shard     ledger.ShardID
 	payload   []byte
-	request   []byte // what is sent to a peer; nil until one is called
-	// hint is the leader that a peer pointed to.
+	request   []byte // encoded for peers; nil until first needed
+	// hint is the leader named by a peer that does not lead.
 	hint transport.Address
-	// uncertain says that an attempt may have taken effect.
+	// uncertain is set once an attempt may have taken effect.
 	uncertain bool
 	peer      transport.Address
-	last      error
+	lastErr   error
 }
 
 func (c *call) attempt(ctx context.Context) ([]byte, error) {
@@ -87,20 +86,20 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	answer, err := c.once(ctx)
+	answer, err := c.tryLeader(ctx)
 	if err == nil {
 		return answer, nil
 	}
-	c.last = err
+	c.lastErr = err
 	return nil, c.classify(err)
 }
 
-// once tries this node's replica if it leads, else the leader as far as known.
-func (c *call) once(ctx context.Context) ([]byte, error) {
+// tryLeader tries this node's replica if it leads, or else the known leader.
+func (c *call) tryLeader(ctx context.Context) ([]byte, error) {
 	if shard, ok := c.caller.directory.Local(c.shard); ok {
 		if leading, _ := shard.Leading(); leading {
 			c.peer = c.caller.self
-			return c.caller.server.do(ctx, c.operation, c.shard, c.payload)
+			return c.caller.server.execute(ctx, c.operation, c.shard, c.payload)
 		}
 	}
 	leader := c.hint
@@ -117,13 +116,13 @@
 	}
 	answer, err := c.caller.sender.Call(ctx, leader, c.operation.messageKind(), c.request)
 	err = decodeError(c.shard, err)
-	if told, ok := c.caller.directory.(suspecter); ok && isSuspicious(err) {
-		told.Suspect(c.shard, leader)
+	if suspecter, ok := c.caller.directory.(leaderSuspecter); ok && isLeaderFailure(err) {
+		suspecter.Suspect(c.shard, leader)
 	}
 	return answer, err
 }
 
-// encode makes the request, once and only if a peer is called.
+// encode encodes the request unless that was done by an earlier attempt.
 func (c *call) encode() (err error) {
 	if c.request == nil {
 		c.request, err = wire.Marshal(requestVersion, requestHeader{uint32(c.shard)}, c.payload)
@@ -131,15 +130,15 @@
 	return err
 }
 
-// isSuspicious says that a peer was not reached or does not lead; an error of
-// its handler is no reason to look for another leader.
-func isSuspicious(err error) bool {
+// isLeaderFailure reports whether the peer was unreachable or does not lead. An
+// error of its handler is not a reason to look for another leader.
+func isLeaderFailure(err error) bool {
 	var remote *transport.RemoteError
 	return err != nil && !errors.As(err, &remote) && !errors.Is(err, ledger.ErrUnknownOutcome)
 }
 
-// classify notes whether the attempt may have taken effect, and makes the
-// errors that no repetition mends permanent.
+// classify records whether the attempt may have taken effect and marks errors
+// that a retry can't resolve as permanent.
 func (c *call) classify(err error) error {
 	var notLeader *ledger.NotLeaderError
 	var remote *transport.RemoteError
@@ -168,9 +167,8 @@
 	return errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded)
 }
 
-// CallError is a call that failed for good. It unwraps to
-// ledger.ErrUnavailable when no attempt can have taken effect, and to
-// ledger.ErrUnknownOutcome otherwise.
+// CallError is the error of a failed call. It unwraps to ledger.ErrUnavailable
+// if no attempt can have taken effect, and to ledger.ErrUnknownOutcome otherwise.
 type CallError struct {
 	Shard   ledger.ShardID
 	Peer    transport.Address
@@ -183,9 +181,9 @@
 	return e.Outcome.Error() + ": last peer " + string(e.Peer) + ": " + e.Cause.Error()
 }
 
-// Unwrap returns the outcome, and the cause where it is a peer's own error.
-// The ledger's error of the last attempt alone is not reachable: it says
-// nothing about the attempts before.
+// Unwrap returns the outcome, and the cause if it is a peer's own error. It
+// hides the ledger's error of the last attempt, which tells nothing about
+// earlier attempts.
 func (e *CallError) Unwrap() []error {
 	var remote *transport.RemoteError
 	if errors.As(e.Cause, &remote) {
@@ -194,9 +192,9 @@
 	return []error{e.Outcome}
 }
 
-func (c *call) verdict(err error) error {
-	if c.last != nil {
-		err = c.last
+func (c *call) finalError(err error) error {
+	if c.lastErr != nil {
+		err = c.lastErr
 	}
 	outcome := ledger.ErrUnavailable
 	if c.uncertain {
--- a/internal/jobs/remote/remote_test.go
+++ b/internal/jobs/remote/remote_test.go
@@ -14,65 +14,64 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// cluster is a shard with replicas at several nodes and links that lose
-// requests and answers.
-type cluster struct {
+// testCluster is a shard with replicas on several nodes and faulty links.
+type testCluster struct {
 	mutex   sync.Mutex
 	random  *rand.Rand
-	nodes   map[transport.Address]*node
+	nodes   map[transport.Address]*testNode
 	leader  transport.Address
 	applied map[string]int
-	// trouble is how many of the next calls go wrong.
-	trouble int
+	// faults is the number of faults left to inject.
+	faults int
 }
 
-type node struct {
-	cluster *cluster
+type testNode struct {
+	cluster *testCluster
 	address transport.Address
-	// known is the leader as this node believes.
+	// known is the leader known to this node.
 	known  transport.Address
 	server *Server
 }
 
-func newCluster(seed uint64, names ...transport.Address) *cluster {
-	c := &cluster{
-		random: rand.New(rand.NewPCG(seed, seed)), nodes: map[transport.Address]*node{}, leader: names[0],
+func newTestCluster(seed uint64, names ...transport.Address) *testCluster {
+	c := &testCluster{
+		random: rand.New(rand.NewPCG(seed, seed)), nodes: map[transport.Address]*testNode{}, leader: names[0],
 		applied: map[string]int{},
 	}
 	for _, name := range names {
-		member := &node{cluster: c, address: name, known: names[0]}
+		member := &testNode{cluster: c, address: name, known: names[0]}
 		member.server = NewServer(member)
 		c.nodes[name] = member
 	}
 	return c
 }
 
-func (n *node) Shards() int { return 1 }
+func (n *testNode) Shards() int { return 1 }
 
-func (n *node) Leader(ledger.ShardID) (transport.Address, bool) { return n.known, n.known != "" }
+func (n *testNode) Leader(ledger.ShardID) (transport.Address, bool) { return n.known, n.known != "" }
 
-// Local gives a replica to all nodes but the last, "c".
-func (n *node) Local(ledger.ShardID) (ledger.Shard, bool) { return n, n.address != "c" }
+// Local returns a replica on every node except "c".
+func (n *testNode) Local(ledger.ShardID) (ledger.Shard, bool) { return n, n.address != "c" }
 
 // FollowerRead implements ledger.Shard.
-func (n *node) FollowerRead(ctx context.Context, query func(ledger.Reader) error) error {
+func (n *testNode) FollowerRead(ctx context.Context, query func(ledger.Reader) error) error {
 	return n.Read(ctx, query)
 }
 
-func (n *node) Leading() (bool, uint64) { return n.cluster.leader == n.address, 1 }
+func (n *testNode) Leading() (bool, uint64) { return n.cluster.leader == n.address, 1 }
 
-func (n *node) Read(context.Context, func(ledger.Reader) error) error { return nil }
+func (n *testNode) Read(context.Context, func(ledger.Reader) error) error { return nil }
 
-// Propose applies the entry, fails before, or fails after.
-func (n *node) Propose(_ context.Context, entry []byte) ([]byte, error) {
+// Propose applies the entry, or fails before or after applying it.
+func (n *testNode) Propose(_ context.Context, entry []byte) ([]byte, error) {
 	c := n.cluster
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.leader != n.address {
 		return nil, &ledger.NotLeaderError{Leader: c.leader}
 	}
-	if c.trouble > 0 {
-		c.trouble--
+	if c.faults > 0 {
+		c.faults--
 		switch c.random.IntN(4) {
 		case 0:
 			return nil, ledger.ErrUnavailable
@@ -91,7 +90,7 @@
 	return append([]byte("did "), entry...), nil
 }
 
-func (n *node) Call(ctx context.Context, to transport.Address, kind transport.Kind, payload []byte) ([]byte, error) {
+func (n *testNode) Call(ctx context.Context, to transport.Address, kind transport.Kind, payload []byte) ([]byte, error) {
 	peer, ok := n.cluster.nodes[to]
 	if !ok {
 		return nil, errors.New("connection refused")
@@ -99,8 +98,8 @@
 	answer, err := peer.server.answer(ctx, Operation(kind-transport.KindJobs), payload)
 	n.cluster.mutex.Lock()
 	defer n.cluster.mutex.Unlock()
-	if n.cluster.trouble > 0 && n.cluster.random.IntN(3) == 0 {
-		n.cluster.trouble--
+	if n.cluster.faults > 0 && n.cluster.random.IntN(3) == 0 {
+		n.cluster.faults--
 		return nil, errors.New("connection reset")
 	}
 	var coded transport.CodedError
@@ -113,18 +112,19 @@
 	return answer, nil
 }
 
-func (n *node) Send(transport.Address, transport.Kind, []byte) {}
+func (n *testNode) Send(transport.Address, transport.Kind, []byte) {}
 
-func (n *node) Datagram(transport.Address, transport.Kind, []byte) error { return nil }
+func (n *testNode) Datagram(transport.Address, transport.Kind, []byte) error { return nil }
 
-func (n *node) caller() *Caller { return NewCaller(n.address, n, n, n.server) }
+func (n *testNode) caller() *Caller { return NewCaller(n.address, n, n, n.server) }
 
-func TestCallReachesTheLeaderOverTrouble(t *testing.T) {
+// Faults and leader changes must not make a call fail or lose its entry.
+func TestCallReachesLeaderDespiteFaults(t *testing.T) {
 	for seed := range uint64(40) {
 		g := gomega.NewWithT(t)
-		c := newCluster(seed, "a", "b", "c")
+		c := newTestCluster(seed, "a", "b", "c")
 		for _, name := range []transport.Address{"a", "b", "c"} {
-			c.trouble = 3
+			c.faults = 3
 			entry := fmt.Sprintf("entry of %s", name)
 			answer, err := c.nodes[name].caller().Call(context.Background(), OperationPropose, 0, []byte(entry))
 			g.Expect(err).NotTo(gomega.HaveOccurred(), "seed %d at %s", seed, name)
@@ -134,21 +134,22 @@
 	}
 }
 
-func TestFailureSaysWhetherItMayHaveTakenEffect(t *testing.T) {
+// Reporting ErrUnavailable for an entry that may be applied would mislead callers.
+func TestCallErrorReportsPossibleEffect(t *testing.T) {
 	for name, test := range map[string]struct {
-		sabotage func(*cluster)
+		sabotage func(*testCluster)
 		outcome  error
-		not      error
+		not      error // an outcome that must not match
 	}{
-		"no leader known":    {func(c *cluster) { c.leader, c.nodes["c"].known = "", "" }, ledger.ErrUnavailable, ledger.ErrUnknownOutcome},
-		"leader unreachable": {func(c *cluster) { c.leader, c.nodes["a"].known = "b", "nobody" }, ledger.ErrUnknownOutcome, ledger.ErrUnavailable},
-		"handler failed":     {func(c *cluster) { c.nodes["a"].server.Handle(OperationPropose, failing) }, ledger.ErrUnknownOutcome, ledger.ErrUnavailable},
+		"no leader known":    {func(c *testCluster) { c.leader, c.nodes["c"].known = "", "" }, ledger.ErrUnavailable, ledger.ErrUnknownOutcome},
+		"leader unreachable": {func(c *testCluster) { c.leader, c.nodes["a"].known = "b", "nobody" }, ledger.ErrUnknownOutcome, ledger.ErrUnavailable},
+		"handler failed":     {func(c *testCluster) { c.nodes["a"].server.Handle(OperationPropose, failingHandler) }, ledger.ErrUnknownOutcome, ledger.ErrUnavailable},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			c := newCluster(1, "a", "b", "c")
+			c := newTestCluster(1, "a", "b", "c")
 			test.sabotage(c)
-			ctx, cancel := context.WithTimeout(context.Background(), firstRetryWait*10)
+			ctx, cancel := context.WithTimeout(context.Background(), initialRetryWait*10)
 			defer cancel()
 			_, err := c.nodes["c"].caller().Call(ctx, OperationPropose, 0, []byte("x"))
 			g.Expect(errors.Is(err, test.outcome)).To(gomega.BeTrue(), "%v", err)
@@ -159,13 +160,13 @@
 	}
 }
 
-func failing(context.Context, ledger.ShardID, ledger.Shard, []byte) ([]byte, error) {
+func failingHandler(context.Context, ledger.ShardID, ledger.Shard, []byte) ([]byte, error) {
 	return nil, errors.New("disk failed")
 }
 
 func FuzzAnswer(f *testing.F) {
 	f.Add([]byte{1, 0, 0, 0, 0, 0, 0, 0, 1, 'x'})
 	f.Fuzz(func(t *testing.T, payload []byte) {
-		_, _ = newCluster(1, "a", "b", "c").nodes["a"].server.answer(context.Background(), OperationPropose, payload)
+		_, _ = newTestCluster(1, "a", "b", "c").nodes["a"].server.answer(context.Background(), OperationPropose, payload)
 	})
 }
--- a/internal/jobs/remote/server.go
+++ b/internal/jobs/remote/server.go
@@ -11,15 +11,15 @@
 	"chutelock.dev/chutelock/internal/wire"
 )
 
-// Operation names what a shard's leader is asked to do.
+// Operation identifies an operation at a shard's leader.
 type Operation uint8
 
 // Operations.
 const (
 	OperationPropose Operation = iota + 1 // commit an entry
 	OperationQuery                        // read
-	OperationLease                        // lease items, if any wait
-	OperationOffer                        // tell what waits to be leased
+	OperationLease                        // lease waiting items, if any
+	OperationOffer                        // summarize the waiting items
 	OperationRenew                        // renew leases
 )
 
@@ -27,10 +27,10 @@
 	return transport.KindJobs + transport.Kind(o)
 }
 
-// Handler does one operation at a replica of the shard on this node.
+// Handler runs one operation at this node's replica of the shard.
 type Handler func(ctx context.Context, id ledger.ShardID, shard ledger.Shard, payload []byte) ([]byte, error)
 
-// Codes of errors that cross the wire.
+// Error codes on the wire.
 const (
 	codeNotLeader      = 1
 	codeUnavailable    = 2
@@ -40,7 +40,7 @@
 // shardError carries one of the ledger's errors to the caller.
 type shardError struct {
 	code uint16
-	// text is the leader's address with codeNotLeader.
+	// text is the leader's address if code is codeNotLeader.
 	text string
 }
 
@@ -66,7 +66,7 @@
 	}
 }
 
-// decodeError gives a peer's answer its type back.
+// decodeError converts a peer's coded error to the ledger's error.
 func decodeError(shard ledger.ShardID, err error) error {
 	var remote *transport.RemoteError
 	if !errors.As(err, &remote) {
@@ -90,21 +90,21 @@
 	Shard uint32
 }
 
-// Server answers operations for the shards on this node.
+// Server runs operations on the shards of this node.
 type Server struct {
 	directory ledger.Directory
 	handlers  map[Operation]Handler
 }
 
-// NewServer returns a server; OperationPropose has its handler already.
+// NewServer returns a server that handles OperationPropose.
 func NewServer(directory ledger.Directory) *Server {
 	s := &Server{directory: directory, handlers: map[Operation]Handler{}}
 	s.Handle(OperationPropose, Propose)
 	return s
 }
 
-// Propose proposes an entry with the leader's time, so that the clocks of
-// other nodes can't move deadlines.
+// Propose proposes an entry stamped with the leader's time, so that clock skew
+// of other nodes does not affect deadlines.
 func Propose(ctx context.Context, _ ledger.ShardID, shard ledger.Shard, entry []byte) ([]byte, error) {
 	return shard.Propose(ctx, machine.Stamp(entry, time.Now()))
 }
@@ -127,12 +127,12 @@
 	if err != nil {
 		return nil, err
 	}
-	answer, err := s.do(ctx, operation, ledger.ShardID(header.Shard), fields[0])
+	answer, err := s.execute(ctx, operation, ledger.ShardID(header.Shard), fields[0])
 	return answer, encodeError(err)
 }
 
-// do runs an operation at this node's replica.
-func (s *Server) do(ctx context.Context, operation Operation, id ledger.ShardID, payload []byte) ([]byte, error) {
+// execute runs an operation at this node's replica, which must lead.
+func (s *Server) execute(ctx context.Context, operation Operation, id ledger.ShardID, payload []byte) ([]byte, error) {
 	shard, ok := s.directory.Local(id)
 	if !ok {
 		leader, _ := s.directory.Leader(id)
