--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet is the data layer of routing: what this node knows of the
-// engines, from the platform's lagging list, load digests of the engines'
-// home nodes, and its own traffic. Decisions read immutable snapshots.
+// Package fleet defines what this node knows of the engines, merged from the
+// platform's machine list, load digests of the engines' homes and the node's
+// own traffic. Routing decisions read immutable snapshots.
 package fleet
 
 import (
@@ -9,42 +9,42 @@
 	"chutelock.dev/chutelock/internal/engine"
 )
 
-// Endpoint is one engine as this node sees it. Endpoints of a snapshot are
-// immutable.
+// Endpoint is an engine as this node sees it. It is immutable once published
+// in a snapshot.
 type Endpoint struct {
 	Name    string
 	Address string // "ip:port" of the engine's HTTP API
 	Zone    string
 	Region  string
-	// Home is the name of the member that admits batch work to this engine.
+	// Home names the cluster member that polls this engine and admits batch
+	// work to it.
 	Home string
-	// Leaving is set as soon as any source says so: the machine list, the
-	// engine's own report, or its home node.
+	// Leaving is set when any source reports it: the machine list, the
+	// engine's own report, or its home.
 	Leaving bool
-	// Load is the newest report known; Load.At says how old it is, and is
-	// zero while there is none.
+	// Load is the newest known report; Load.At is zero until one has arrived.
 	Load engine.Load
 }
 
-// Snapshot is all engines at one moment, ordered by name.
+// Snapshot holds the known engines at one moment, ordered by name.
 type Snapshot struct {
 	Taken     time.Time
 	Endpoints []*Endpoint
 }
 
-// Source gives the newest snapshot without blocking; never nil.
+// Source returns the newest snapshot, never nil, without blocking.
 type Source interface {
 	Snapshot() *Snapshot
 }
 
-// Clients gives the client of an endpoint, shared by all its users.
+// Clients returns the client of an endpoint, shared by all callers.
 type Clients interface {
 	Client(endpoint *Endpoint) engine.Client
 }
 
-// OnlineObserver is told of online requests before they go to an engine and
-// after they ended, so that the engine's home can take back batch slack at
-// once. It never blocks.
+// OnlineObserver is notified before an online request is sent to an engine and
+// after it ended, so that the engine's home can reclaim batch capacity at
+// once. Its methods never block.
 type OnlineObserver interface {
 	OnlineStarted(endpoint *Endpoint, requestID string, promptTokens int)
 	OnlineFinished(endpoint *Endpoint, requestID string)
