--- a/internal/fleet/announce/announce.go
+++ b/internal/fleet/announce/announce.go
@@ -1,11 +1,12 @@
-// Package announce tells the homes of engines of online requests, as a pure
-// queue: requests and time go in, datagrams come out.
+// Package announce queues notifications of online requests for the homes of
+// their engines. The queue does no I/O: it takes requests and the time, and
+// returns datagrams to send.
 //
-// A start is sent at once while the rate allows it, so that the home takes
-// back batch slack before the request arrives. Ends, and starts beyond the
-// rate, wait for the next datagram to that home; a start and its end that both
-// wait cancel each other out. So the bytes a second are bounded however many
-// requests there are, and at a low rate every request is announced.
+// A start is sent at once while the rate limit allows, so that the home
+// reclaims batch capacity before the request arrives. Ends, and starts beyond
+// the limit, wait for the next datagram to that home; a pending start and its
+// end cancel each other out. This bounds the datagrams per second at any
+// request rate.
 package announce
 
 import (
@@ -24,15 +25,17 @@
 const messageVersion = 1
 
 const (
-	// highRate and lowRate bound the datagrams a second of a node alone in its
-	// zone and of one with many peers, whose other messages cost more.
-	highRate  = 100
-	lowRate   = 10
+	// maxRate and minRate bound the datagrams per second: maxRate for a node
+	// alone in its zone, minRate for one with manyPeers or more, whose other
+	// messages cost more.
+	maxRate   = 100
+	minRate   = 10
 	manyPeers = 32
-	// burst is the number of starts that are announced at once beyond the rate.
+	// burst is the number of starts that may exceed the rate at once.
 	burst = 100
-	// maxWaiting bounds what waits for one home; it fits one datagram.
-	maxWaiting = 56
+	// maxPending bounds the records pending for one home, so that they fit one
+	// datagram.
+	maxPending = 56
 )
 
 // Record is the start or the end of an online request at an engine.
@@ -47,7 +50,7 @@
 	Count uint16
 }
 
-// Encode packs records into a datagram.
+// Encode encodes records as a datagram payload.
 func Encode(records []Record) []byte {
 	body, err := binary.Append(nil, binary.BigEndian, records)
 	if err == nil {
@@ -59,7 +62,7 @@
 	return body
 }
 
-// Decode unpacks a datagram.
+// Decode decodes a datagram payload.
 func Decode(payload []byte) ([]Record, error) {
 	var head header
 	fields, err := wire.Unmarshal(payload, messageVersion, &head, 1)
@@ -76,69 +79,70 @@
 	return records, nil
 }
 
-// RequestID is a request's id on the wire.
+// RequestID returns a request's id on the wire.
 func RequestID(request string) uint64 { return xxhash.Sum64String(request) }
 
-// Datagram is an announcement to send.
+// Datagram is an encoded announcement and its receiver.
 type Datagram struct {
 	Home    transport.Address
 	Payload []byte
 }
 
-// Queue holds what waits. Its methods must not be called at once with each other.
+// Queue holds the pending records by home. It is not safe for concurrent use.
 type Queue struct {
 	limiter *rate.Limiter
-	waiting map[transport.Address][]Record
-	// Dropped counts records that found no place.
+	pending map[transport.Address][]Record
+	// Dropped counts records discarded because maxPending was reached.
 	Dropped uint64
 }
 
 // NewQueue returns an empty queue.
 func NewQueue() *Queue {
 	return &Queue{
-		limiter: rate.NewLimiter(highRate, burst),
-		waiting: map[transport.Address][]Record{},
+		limiter: rate.NewLimiter(maxRate, burst),
+		pending: map[transport.Address][]Record{},
 	}
 }
 
-// SetPeers sets the rate by the number of live peers in the zone.
+// SetPeers sets the rate limit from the number of live peers in the zone.
 func (q *Queue) SetPeers(now time.Time, peers int) {
 	share := float64(min(peers, manyPeers)) / manyPeers
-	q.limiter.SetLimitAt(now, rate.Limit(highRate-share*(highRate-lowRate)))
+	q.limiter.SetLimitAt(now, rate.Limit(maxRate-share*(maxRate-minRate)))
 }
 
-// Started announces a request, at once if the rate allows it.
+// Started queues a request's start, and returns a datagram if the rate allows
+// sending it now.
 func (q *Queue) Started(now time.Time, home transport.Address, record Record) []Datagram {
 	record.Started = true
-	q.wait(home, record)
+	q.enqueue(home, record)
 	if !q.limiter.AllowN(now, 1) {
 		return nil
 	}
-	return []Datagram{q.send(home)}
+	return []Datagram{q.flush(home)}
 }
 
-// Finished notes a request's end for the next datagram to its home.
+// Finished queues a request's end for the next datagram to its home.
 func (q *Queue) Finished(home transport.Address, record Record) {
 	record.Started = false
-	waiting := q.waiting[home]
+	waiting := q.pending[home]
 	for i := range waiting {
 		if waiting[i].Request == record.Request && waiting[i].Engine == record.Engine && waiting[i].Started {
-			q.waiting[home] = append(waiting[:i], waiting[i+1:]...)
+			q.pending[home] = append(waiting[:i], waiting[i+1:]...)
 			return
 		}
 	}
-	q.wait(home, record)
+	q.enqueue(home, record)
 }
 
-// Tick sends what waits, as far as the rate allows, the fullest first. Call
-// it every 100 ms or so.
+// Tick returns datagrams with the pending records, as far as the rate allows,
+// starting with the home that has most. It is to be called about every 100 ms.
 func (q *Queue) Tick(now time.Time) []Datagram {
-	homes := make([]transport.Address, 0, len(q.waiting))
-	for home := range q.waiting {
+	homes := make([]transport.Address, 0, len(q.pending))
+	for home := range q.pending {
 		homes = append(homes, home)
 	}
 	sort.Slice(homes, func(i, j int) bool {
-		left, right := len(q.waiting[homes[i]]), len(q.waiting[homes[j]])
+		left, right := len(q.pending[homes[i]]), len(q.pending[homes[j]])
 		if left != right {
 			return left > right
 		}
@@ -149,22 +153,22 @@
 		if !q.limiter.AllowN(now, 1) {
 			break
 		}
-		datagrams = append(datagrams, q.send(home))
+		datagrams = append(datagrams, q.flush(home))
 	}
 	return datagrams
 }
 
-func (q *Queue) wait(home transport.Address, record Record) {
-	waiting := q.waiting[home]
-	if len(waiting) >= maxWaiting {
+func (q *Queue) enqueue(home transport.Address, record Record) {
+	waiting := q.pending[home]
+	if len(waiting) >= maxPending {
 		waiting = waiting[1:]
 		q.Dropped++
 	}
-	q.waiting[home] = append(waiting, record)
+	q.pending[home] = append(waiting, record)
 }
 
-func (q *Queue) send(home transport.Address) Datagram {
-	datagram := Datagram{Home: home, Payload: Encode(q.waiting[home])}
-	delete(q.waiting, home)
+func (q *Queue) flush(home transport.Address) Datagram {
+	datagram := Datagram{Home: home, Payload: Encode(q.pending[home])}
+	delete(q.pending, home)
 	return datagram
 }
--- a/internal/fleet/announce/announce_test.go
+++ b/internal/fleet/announce/announce_test.go
@@ -21,7 +21,7 @@
 	return all
 }
 
-func TestStartsGoAtOnceAndEndsWithTheNext(t *testing.T) {
+func TestQueueSendsStartsAtOnceAndEndsWithNextDatagram(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1000, 0)
 	queue := NewQueue()
@@ -32,9 +32,8 @@
 	g.Expect(queue.Tick(now)).To(gomega.BeEmpty())
 }
 
-// TestRateIsBounded: beyond the rate starts wait, and a start and its end that
-// both wait cost nothing.
-func TestRateIsBounded(t *testing.T) {
+// Guards against a datagram rate that grows with the request rate.
+func TestQueueBoundsDatagramRate(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1000, 0)
 	queue := NewQueue()
@@ -50,8 +49,8 @@
 		}
 		queue.Finished(home, request)
 	}
-	g.Expect(sent).To(gomega.BeNumerically("<=", seconds*lowRate+burst+1))
-	g.Expect(len(queue.waiting[home])).To(gomega.BeNumerically("<=", maxWaiting))
+	g.Expect(sent).To(gomega.BeNumerically("<=", seconds*minRate+burst+1))
+	g.Expect(len(queue.pending[home])).To(gomega.BeNumerically("<=", maxPending))
 }
 
 func FuzzDecode(f *testing.F) {
