--- a/internal/fleet/query/query.go
+++ b/internal/fleet/query/query.go
@@ -1,6 +1,6 @@
-// Package query answers operators' questions about the fleet: which nodes and
-// engines there are, who is whose home, what leaves and which source says so,
-// and what this node decided lately.
+// Package query serves operators' queries about the fleet: nodes, engines and
+// their homes, engines that are leaving and why, and this node's recent
+// events.
 package query
 
 import (
@@ -31,7 +31,7 @@
 	Incarnation uint64   `json:"incarnation"`
 	HasData     bool     `json:"has_data"`
 	Roles       []string `json:"roles,omitempty"`
-	Engines     int      `json:"engines"` // of which it is home, as far as known here
+	Engines     int      `json:"engines"` // whose home it is, as far as known here
 }
 
 // Engine is an engine as this node sees it.
@@ -41,7 +41,7 @@
 	Zone    string `json:"zone"`
 	Home    string `json:"home"`
 	Leaving bool   `json:"leaving"`
-	// Sources say why it is leaving.
+	// Sources lists what reports the engine as leaving.
 	Sources      []string  `json:"sources,omitempty"`
 	Models       []string  `json:"models"`
 	Running      int       `json:"running"`
@@ -50,11 +50,11 @@
 	KVUse        float64   `json:"kv_use"`
 	Measured     time.Time `json:"measured"`
 	FencingToken uint64    `json:"fencing_token"`
-	// Sampled engines are of other zones, from their summaries.
+	// Sampled is set for engines of other zones, known from their summaries.
 	Sampled bool `json:"sampled"`
 }
 
-// Fleet is the answer of PathFleet.
+// Fleet is the response body of PathFleet.
 type Fleet struct {
 	Node         string                  `json:"node"`
 	Ready        bool                    `json:"ready"`
@@ -64,12 +64,12 @@
 	Zones        []registry.ZoneCapacity `json:"zones"`
 }
 
-// Inspector gives access to the registry of engines.
+// Inspector runs a query on the registry of engines.
 type Inspector interface {
 	Inspect(query func(now time.Time, registry *registry.Registry))
 }
 
-// Describe collects what this node knows.
+// Describe returns the nodes, engines and zones that this node knows.
 func Describe(members membership.Source, engines Inspector) Fleet {
 	answer := Fleet{Node: members.Self().Name}
 	engines.Inspect(func(now time.Time, known *registry.Registry) {
@@ -81,8 +81,8 @@
 		}
 	})
 	homes := map[string]int{}
-	for _, one := range answer.Engines {
-		homes[one.Home]++
+	for _, listed := range answer.Engines {
+		homes[listed.Home]++
 	}
 	view := members.View()
 	roles := rolesOf(view)
@@ -108,8 +108,8 @@
 	}
 }
 
-// rolesOf computes the elected roles of all members from the view alone, as
-// the members themselves do.
+// rolesOf returns the elected roles by member name. Elections depend on the
+// view alone, so this matches what the members compute.
 func rolesOf(view *membership.View) map[string][]string {
 	roles := map[string][]string{}
 	add := func(role string, elected []membership.Member) {
@@ -137,7 +137,7 @@
 	mux.HandleFunc("GET "+PathEvents, serveEvents)
 }
 
-// serveEvents lists this process's newest events, oldest first; the query
+// serveEvents returns this process's newest events, oldest first; the query
 // parameters from and to bound the event numbers, and limit the count.
 func serveEvents(writer http.ResponseWriter, request *http.Request) {
 	bounds := map[string]int{"from": 0, "to": 1 << 30, "limit": 200}
@@ -164,5 +164,5 @@
 
 func answer(writer http.ResponseWriter, body any) {
 	writer.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(writer).Encode(body) // the caller may be gone
+	_ = json.NewEncoder(writer).Encode(body) // the client may have disconnected
 }
--- a/internal/fleet/query/query_test.go
+++ b/internal/fleet/query/query_test.go
@@ -30,7 +30,7 @@
 	query(time.Now(), f.registry)
 }
 
-func TestOperatorsSeeWhoDecidedWhat(t *testing.T) {
+func TestHandlersReportFleetAndEvents(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Now()
 	known := registry.New(registry.Config{Self: self}, now)
