--- a/internal/fleet/registry/list.go
+++ b/internal/fleet/registry/list.go
@@ -11,10 +11,10 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// Readers is the number of nodes of a region that read the store.
+// Readers is the number of nodes per region that read the store.
 const Readers = 2
 
-// ReaderRole names the role for which a region's readers of the store are elected.
+// ReaderRole returns the election role of a region's store readers.
 func ReaderRole(region string) string { return "reader/" + region }
 
 // zoneList is the list of a zone's engines at one revision of the store.
@@ -40,17 +40,17 @@
 	}
 }
 
-// HandleStore takes all engines of the store at a revision, at a reader. It
-// keeps those of its region. A revision lower than one seen is refused: the
-// store then holds an old copy.
+// HandleStore adopts, on a reader, its region's engines at a revision of the
+// store. A lower revision than one seen is refused: the store then serves an
+// old copy.
 func (r *Registry) HandleStore(now time.Time, revision uint64, specs []fleet.Spec) Output {
 	if revision < r.revision || revision < r.version.Revision {
 		r.decide(Decision{Kind: DecidedListRefused, Zone: r.self.Zone, Revision: revision})
-		return r.take()
+		return r.takeOutput()
 	}
 	r.revision = revision
 	byZone := map[string][]fleet.Spec{r.self.Zone: nil}
-	for zone := range r.reader {
+	for zone := range r.readerLists {
 		byZone[zone] = nil
 	}
 	for _, spec := range specs {
@@ -58,20 +58,20 @@
 			byZone[spec.Zone] = append(byZone[spec.Zone], spec)
 		}
 	}
-	r.reader = make(map[string]zoneList, len(byZone))
+	r.readerLists = make(map[string]zoneList, len(byZone))
 	for zone, list := range byZone {
-		r.reader[zone] = newZoneList(zone, revision, list)
+		r.readerLists[zone] = newZoneList(zone, revision, list)
 	}
 	r.nextList = now
-	r.adoptList(now, r.reader[r.self.Zone], r.self.Name)
+	r.adoptList(now, r.readerLists[r.self.Zone], r.self.Name)
 	if !r.ready {
 		r.pullState(now)
 	}
-	return r.take()
+	return r.takeOutput()
 }
 
-// StopReading forgets the region's lists when this node is no longer a reader.
-func (r *Registry) StopReading() { r.reader = nil }
+// StopReading drops the region's lists when this node is no longer a reader.
+func (r *Registry) StopReading() { r.readerLists = nil }
 
 func (r *Registry) becomeReady() {
 	if !r.ready {
@@ -81,7 +81,7 @@
 	}
 }
 
-// adoptList puts a newer list of the own zone's engines in use.
+// adoptList replaces the list of the own zone's engines by a newer one.
 func (r *Registry) adoptList(now time.Time, list zoneList, peer string) {
 	if list.version.Revision < r.version.Revision {
 		return
@@ -106,14 +106,14 @@
 			r.engines[id] = state
 		}
 		state.spec = spec
-		r.touch(state)
+		r.invalidate(state)
 	}
 	for id, state := range r.engines {
 		if listed[id] {
 			continue
 		}
 		if r.isHome(state) {
-			r.lose(state)
+			r.loseHome(state)
 		}
 		delete(r.engines, id)
 	}
@@ -122,11 +122,10 @@
 	r.assignHomes(now)
 }
 
-// announceLists tells the delegates of the region's zones which lists this
-// reader of the store has.
+// announceLists sends this reader's list versions to the region's other zones.
 func (r *Registry) announceLists() {
 	for _, zone := range r.readerZones() {
-		list := r.reader[zone]
+		list := r.readerLists[zone]
 		if zone == r.self.Zone {
 			continue
 		}
@@ -136,17 +135,17 @@
 	}
 }
 
-// readerZones lists the zones of whose lists this reader of the store has, in order.
+// readerZones returns the zones whose lists this reader holds, in order.
 func (r *Registry) readerZones() []string {
-	zones := make([]string, 0, len(r.reader))
-	for zone := range r.reader {
+	zones := make([]string, 0, len(r.readerLists))
+	for zone := range r.readerLists {
 		zones = append(zones, zone)
 	}
 	sort.Strings(zones)
 	return zones
 }
 
-// compareList pulls the list from a peer that has a newer one.
+// compareList pulls the list from a peer that has a newer revision.
 func (r *Registry) compareList(now time.Time, from transport.Address, theirs listVersion) {
 	if theirs.Zone != r.version.Zone || theirs.Revision <= r.version.Revision {
 		return
@@ -155,27 +154,27 @@
 		r.version.Revision = theirs.Revision
 		return
 	}
-	if !due(now, &r.pulls.list) {
+	if !reservePull(now, &r.pulls.list) {
 		return
 	}
 	r.output.Pulls = append(r.output.Pulls, Pull{To: from, Payload: encodePull(r.version.Zone, nil)})
 }
 
-// delegatesOf lists the members that speak for a zone.
+// delegatesOf returns a zone's delegates.
 func (r *Registry) delegatesOf(zone string) []membership.Member {
 	return Delegates(zone, r.view.LiveInZone(zone))
 }
 
-// Delegates elects, among a zone's live members, those that send its summaries.
+// Delegates elects the live members that exchange a zone's summaries.
 func Delegates(zone string, live []membership.Member) []membership.Member {
 	return membership.Elect("fleet/"+zone, live, delegates)
 }
 
-// delegates is the number of members that speak for a zone.
+// delegates is the number of delegates per zone.
 const delegates = 2
 
-// SetMachinesLeaving takes from the platform's machine list, at a reader, the
-// names or addresses of engines that leave. It is repeated to their zones.
+// SetMachinesLeaving takes, on a reader, the names or addresses of engines
+// that the machine list has as leaving, and sends them to the engines' zones.
 func (r *Registry) SetMachinesLeaving(now time.Time, machines []string) Output {
 	leaving := make(map[string]bool, len(machines))
 	for _, machine := range machines {
@@ -183,7 +182,7 @@
 	}
 	for _, zone := range r.readerZones() {
 		var ids []uint64
-		for _, spec := range r.reader[zone].specs {
+		for _, spec := range r.readerLists[zone].specs {
 			if leaving[spec.Name] || leaving[spec.Address] {
 				ids = append(ids, EngineID(spec.Name))
 			}
@@ -193,7 +192,7 @@
 		}
 		r.sendListLeaving(zone, ids)
 	}
-	return r.take()
+	return r.takeOutput()
 }
 
 // maxIDsPerDatagram keeps a list of ids within one datagram.
@@ -218,9 +217,9 @@
 		if !known {
 			continue
 		}
-		state.listMark = now
+		state.listedAt = now
 		if r.setSources(state, state.sources|SourceList, peer) && r.isHome(state) {
-			r.addMark(now, state)
+			r.startUpdate(now, state)
 		}
 	}
 }
--- a/internal/fleet/registry/load.go
+++ b/internal/fleet/registry/load.go
@@ -12,8 +12,8 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// pollDue asks for the polls that are due at this node's engines.
-func (r *Registry) pollDue(now time.Time) {
+// requestDuePolls requests the due polls of this home's engines.
+func (r *Registry) requestDuePolls(now time.Time) {
 	for _, name := range r.names {
 		state := r.engines[EngineID(name)]
 		if !r.isHome(state) || state.polling || now.Before(state.nextPoll) {
@@ -24,7 +24,7 @@
 	}
 }
 
-// pollInterval keeps all polls of this home within their rate.
+// pollInterval returns the interval that honors PollsPerSecond.
 func (r *Registry) pollInterval() time.Duration {
 	own := 0
 	for _, state := range r.engines {
@@ -33,95 +33,95 @@
 		}
 	}
 	paced := time.Duration(float64(own) / r.config.PollsPerSecond * float64(time.Second))
-	return max(r.config.PollInterval, min(paced, MostPollInterval))
+	return max(r.config.PollInterval, min(paced, MaxPollInterval))
 }
 
-// HandleLoad takes the result of a poll.
+// HandleLoad processes the result of a poll.
 func (r *Registry) HandleLoad(now time.Time, name string, load engine.Load, err error) Output {
 	state, known := r.engines[EngineID(name)]
 	if !known {
-		return r.take()
+		return r.takeOutput()
 	}
 	state.polling = false
 	if !r.isHome(state) {
-		return r.take()
+		return r.takeOutput()
 	}
 	if err != nil {
 		r.pollFailed(now, state, err)
 	} else {
 		r.pollAnswered(now, state, load)
 	}
-	return r.take()
+	return r.takeOutput()
 }
 
 func (r *Registry) pollAnswered(now time.Time, state *engineState, load engine.Load) {
 	interval := r.pollInterval()
 	state.nextPoll = now.Add(interval*9/10 + r.jitter(interval/5))
 	state.failures = 0
-	state.doubted = false
-	if state.asked {
-		state.asked = false
+	state.localFault = false
+	if state.verifying {
+		state.verifying = false
 		r.decide(Decision{Kind: DecidedNotConfirmed, Engine: state.spec.Name, Zone: state.spec.Zone})
 	}
 	if load.At.IsZero() {
 		load.At = now
 	}
 	state.load = load
-	state.facts = factsHash(&load)
+	state.metadata = metadataHash(&load)
 	state.heard = now
-	r.touch(state)
+	r.invalidate(state)
 	sources := state.sources &^ (SourceFailure | SourceReport)
 	if load.Draining {
 		sources |= SourceReport
 	}
 	if r.setSources(state, sources, r.self.Name) {
-		r.addMark(now, state)
+		r.startUpdate(now, state)
 	}
-	r.tellHome(fleet.HomeEvent{Kind: fleet.HomeLoad, Load: load}, state)
+	r.emitHomeEvent(fleet.HomeEvent{Kind: fleet.HomeLoad, Load: load}, state)
 }
 
-// pollFailed marks an engine that failed twice in a row. While all engines
-// time out at once, this node doubts itself and tells nobody, unless a gateway
-// saw the engine fail too.
+// pollFailed marks an engine after failureThreshold failures in a row. While
+// all engines time out at once, this node suspects its own network and marks
+// none, unless a gateway reported the engine too.
 func (r *Registry) pollFailed(now time.Time, state *engineState, err error) {
 	state.failures++
-	state.nextPoll = now.Add(retryPoll)
+	state.nextPoll = now.Add(pollRetryDelay)
 	refused := isRefused(err)
-	if state.failures < failuresToMark {
+	if state.failures < failureThreshold {
 		if !refused {
-			r.pollAll(now)
+			r.pollAllNow(now)
 		}
 		return
 	}
 	state.nextPoll = now.Add(r.pollInterval())
-	if !refused && !state.asked && r.doubtsItself() {
-		if !state.doubted {
-			state.doubted = true
-			r.decide(Decision{Kind: DecidedSelfDoubt, Engine: state.spec.Name, Zone: state.spec.Zone})
+	if !refused && !state.verifying && r.suspectsLocalFault() {
+		if !state.localFault {
+			state.localFault = true
+			r.decide(Decision{Kind: DecidedLocalFault, Engine: state.spec.Name, Zone: state.spec.Zone})
 		}
 		return
 	}
-	state.asked = false
+	state.verifying = false
 	if r.setSources(state, state.sources|SourceFailure, r.self.Name) {
-		r.addMark(now, state)
+		r.startUpdate(now, state)
 	}
 }
 
-// pollAll looks at all of this home's engines at once, so that it can tell the
-// silence of one from its own.
-func (r *Registry) pollAll(now time.Time) {
+// pollAllNow polls all of this home's healthy engines, to tell the failure of
+// one engine from a local network fault.
+func (r *Registry) pollAllNow(now time.Time) {
 	for _, state := range r.engines {
 		if r.isHome(state) && state.failures == 0 {
 			state.nextPoll = now
 		}
 	}
-	r.pollDue(now)
+	r.requestDuePolls(now)
 }
 
-// isRefused says that the engine's machine answered that nothing listens.
+// isRefused reports whether the engine's host refused the connection.
 func isRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-func (r *Registry) doubtsItself() bool {
+func (r *Registry) suspectsLocalFault() bool {
 	own, silent := 0, 0
 	for _, state := range r.engines {
 		if !r.isHome(state) {
@@ -132,38 +132,38 @@
 			silent++
 		}
 	}
-	return own >= selfDoubtEngines && silent == own
+	return own >= minLocalFaultEngines && silent == own
 }
 
-// EngineFailed notes that this node's own traffic saw an engine fail: its
-// home is asked to look at once.
+// EngineFailed asks the home of an engine that failed in this node's own
+// traffic to poll it at once.
 func (r *Registry) EngineFailed(now time.Time, name string) Output {
 	state, known := r.engines[EngineID(name)]
 	if !known || state.sources&SourceFailure != 0 {
-		return r.take()
+		return r.takeOutput()
 	}
 	if r.isHome(state) {
 		r.verify(now, state)
-		return r.take()
+		return r.takeOutput()
 	}
 	if home, ok := r.view.Member(state.home); ok {
 		r.datagram(home.Address, datagramHeader{Type: typeVerify, Zone: r.version.Zone}, encodeIDs([]uint64{state.id}))
 	}
-	return r.take()
+	return r.takeOutput()
 }
 
 func (r *Registry) verify(now time.Time, state *engineState) {
-	if !state.asked {
-		state.asked = true
+	if !state.verifying {
+		state.verifying = true
 		state.nextPoll = now
 	}
 }
 
 func (r *Registry) recordOf(now time.Time, state *engineState) loadRecord {
-	return encodeLoad(now, state.id, &state.load, state.facts, state.sources)
+	return encodeLoad(now, state.id, &state.load, state.metadata, state.sources)
 }
 
-// digestInterval keeps the digests' bytes a second within their budget.
+// digestInterval returns the interval that keeps digests within DigestBudget.
 func (r *Registry) digestInterval() time.Duration {
 	own := 0
 	for _, state := range r.engines {
@@ -176,7 +176,7 @@
 	return max(r.config.DigestInterval, paced)
 }
 
-// sendDigests tells the zone the loads of this node's engines.
+// sendDigests sends the loads of this home's engines to the zone.
 func (r *Registry) sendDigests(now time.Time) {
 	var own []uint64
 	for _, name := range r.names {
@@ -202,52 +202,53 @@
 	return datagramHeader{Type: kind, Zone: r.version.Zone, Revision: r.version.Revision, ListHash: r.version.Hash}
 }
 
-// addMark shares at once that an engine leaves, or is back, and repeats it.
-func (r *Registry) addMark(now time.Time, state *engineState) {
-	r.marks = slices.DeleteFunc(r.marks, func(one mark) bool { return one.engine == state.id })
-	r.marks = append(r.marks, mark{engine: state.id, left: markRepeats, due: now, wait: markDelay})
-	r.repeatMarks(now)
+// startUpdate sends a leaving update at once and schedules its repeats.
+func (r *Registry) startUpdate(now time.Time, state *engineState) {
+	r.updates = slices.DeleteFunc(r.updates, func(update leavingUpdate) bool { return update.engine == state.id })
+	r.updates = append(r.updates, leavingUpdate{engine: state.id, remaining: updateRepeats, due: now, wait: updateDelay})
+	r.sendDueUpdates(now)
 }
 
-func (r *Registry) repeatMarks(now time.Time) {
-	kept := r.marks[:0]
-	for _, one := range r.marks {
-		state, known := r.engines[one.engine]
+func (r *Registry) sendDueUpdates(now time.Time) {
+	kept := r.updates[:0]
+	for _, update := range r.updates {
+		state, known := r.engines[update.engine]
 		if !known || !r.isHome(state) {
 			continue
 		}
-		if !now.Before(one.due) {
-			r.sendMark(now, state)
-			one.left--
-			one.due = now.Add(one.wait)
-			one.wait *= 2
+		if !now.Before(update.due) {
+			r.sendUpdate(now, state)
+			update.remaining--
+			update.due = now.Add(update.wait)
+			update.wait *= 2
 		}
-		if one.left > 0 {
-			kept = append(kept, one)
+		if update.remaining > 0 {
+			kept = append(kept, update)
 		}
 	}
-	r.marks = kept
+	r.updates = kept
 }
 
-// sendMark tells the zone, and one delegate of each other zone to pass it on.
-func (r *Registry) sendMark(now time.Time, state *engineState) {
+// sendUpdate sends an engine's record to the zone, and to one delegate of each
+// other zone for forwarding.
+func (r *Registry) sendUpdate(now time.Time, state *engineState) {
 	record := r.recordOf(now, state)
 	body := appendLoad(nil, &record)
 	for _, peer := range r.peers {
-		r.datagram(peer.Address, r.header(typeMark), body)
+		r.datagram(peer.Address, r.header(typeUpdate), body)
 	}
-	head := datagramHeader{Type: typeMark, Flags: flagForward, Zone: r.version.Zone}
+	head := datagramHeader{Type: typeUpdate, Flags: flagForward, Zone: r.version.Zone}
 	for _, zone := range r.view.Zones() {
 		if zone == r.self.Zone {
 			continue
 		}
-		if speakers := r.delegatesOf(zone); len(speakers) > 0 {
-			r.datagram(speakers[r.random.IntN(len(speakers))].Address, head, body)
+		if receivers := r.delegatesOf(zone); len(receivers) > 0 {
+			r.datagram(receivers[r.random.IntN(len(receivers))].Address, head, body)
 		}
 	}
 }
 
-// HandleDatagram takes a peer's datagram. A malformed one is an error and
+// HandleDatagram processes a peer's datagram. A malformed one is an error and
 // changes nothing.
 func (r *Registry) HandleDatagram(now time.Time, from transport.Address, payload []byte) (Output, error) {
 	head, body, err := decodeDatagram(payload)
@@ -255,7 +256,7 @@
 		return Output{}, err
 	}
 	switch head.Type {
-	case typeDigest, typeMark:
+	case typeDigest, typeUpdate:
 		err = r.handleLoads(now, from, head, body)
 	case typeSummary:
 		err = r.handleSummary(now, head, body)
@@ -266,7 +267,7 @@
 	case typeListLeaving:
 		err = r.handleListLeaving(now, from, body)
 	}
-	return r.take(), err
+	return r.takeOutput(), err
 }
 
 func (r *Registry) handleLoads(now time.Time, from transport.Address, head datagramHeader, body []byte) error {
@@ -275,27 +276,28 @@
 		return err
 	}
 	if head.Zone != r.version.Zone {
-		r.handleRemoteMark(now, head, records, body)
+		r.handleRemoteUpdate(now, head, records, body)
 		return nil
 	}
 	sender := r.nameAt(from)
 	var stale []uint64
 	for i := range records {
-		if r.takeRecord(now, sender, &records[i]) {
+		if r.mergeRecord(now, sender, &records[i]) {
 			stale = append(stale, records[i].Engine)
 		}
 	}
 	r.compareList(now, from, listVersion{Zone: head.Zone, Revision: head.Revision, Hash: head.ListHash})
-	if len(stale) > 0 && due(now, &r.pulls.facts) {
+	if len(stale) > 0 && reservePull(now, &r.pulls.metadata) {
 		r.output.Pulls = append(r.output.Pulls, Pull{To: from, Payload: encodePull(head.Zone, stale)})
 	}
 	return nil
 }
 
-// takeRecord takes in a home's record and reports whether the facts behind it
-// are not known here. Its own engines a home knows best; from others the
-// present home's word counts, or a newer one's.
-func (r *Registry) takeRecord(now time.Time, sender string, record *loadRecord) (factsStale bool) {
+// mergeRecord merges a load record from a peer and reports whether the
+// engine's metadata must be pulled. Records of engines whose home is this node
+// are ignored; records from a node that is not the engine's home count only if
+// their report is newer.
+func (r *Registry) mergeRecord(now time.Time, sender string, record *loadRecord) (metadataStale bool) {
 	state, known := r.engines[record.Engine]
 	if !known || r.isHome(state) {
 		return false
@@ -307,11 +309,11 @@
 	state.load = load
 	state.heard = now
 	if record.Sources&SourceList != 0 {
-		state.listMark = now
+		state.listedAt = now
 	}
 	r.setSources(state, record.Sources, sender)
-	r.touch(state)
-	return record.Measured && record.Facts != state.facts
+	r.invalidate(state)
+	return record.Measured && record.Metadata != state.metadata
 }
 
 func (r *Registry) nameAt(address transport.Address) string {
@@ -338,7 +340,7 @@
 			r.verify(now, state)
 		}
 	}
-	r.pollDue(now)
+	r.requestDuePolls(now)
 	return err
 }
 
@@ -348,7 +350,7 @@
 	return err
 }
 
-// Status is what an operator sees of one engine.
+// Status is an engine's state as shown to operators.
 type Status struct {
 	Endpoint *fleet.Endpoint
 	Sources  Sources
@@ -356,7 +358,7 @@
 	Sampled  bool // known from another zone's summary
 }
 
-// Statuses lists all engines known, by name, whether the view is whole or not.
+// Statuses returns all known engines by name, even if the view is incomplete.
 func (r *Registry) Statuses() []Status {
 	var statuses []Status
 	for _, state := range r.engines {
--- a/internal/fleet/registry/main_test.go
+++ b/internal/fleet/registry/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// campaignVariable turns the short fixed check of CI into a long one.
+// campaignVariable sets the number of checks, with a random seed.
 const campaignVariable = "CHUTELOCK_CAMPAIGN"
 
 func TestMain(m *testing.M) {
--- a/internal/fleet/registry/message.go
+++ b/internal/fleet/registry/message.go
@@ -18,20 +18,20 @@
 type messageType uint8
 
 const (
-	typeDigest       messageType = iota + 1 // loads of the sender's engines, and its list's version
-	typeMark                                // urgent loads and marks; Flags may ask to pass them on
+	typeDigest       messageType = iota + 1 // loads of the sender's engines and its list's version
+	typeUpdate                              // an engine is leaving or back; may carry flagForward
 	typeSummary                             // a zone's capacity and a sample of its engines
-	typeListAnnounce                        // versions of zones' lists at a reader of the store
-	typeVerify                              // a gateway asks the home to look at engines
-	typeListLeaving                         // the machine list says that engines leave
+	typeListAnnounce                        // versions of the lists that a store reader holds
+	typeVerify                              // a gateway asks the home to poll engines
+	typeListLeaving                         // engines that the machine list reports as leaving
 )
 
-// flagForward asks a delegate to pass a mark on inside its zone.
+// flagForward asks a delegate to forward an update inside its zone.
 const flagForward = 1
 
 var errRecord = errors.New("registry: malformed record")
 
-// datagramHeader is the fixed part of every datagram. The body follows.
+// datagramHeader is the fixed part of every datagram; the body follows.
 type datagramHeader struct {
 	Type     messageType
 	Flags    uint8
@@ -39,7 +39,7 @@
 	Revision uint64 // of the zone's list at the sender
 	ListHash uint64
 	Sequence uint32 // of a summary
-	Position uint16 // of the receiver in a summary's tree
+	Position uint16 // of the receiver in the summary's forwarding tree
 }
 
 func encodeDatagram(head datagramHeader, body []byte) []byte {
@@ -62,17 +62,17 @@
 	return head, fields[0], nil
 }
 
-// Sources is the set of sources that say that an engine leaves.
+// Sources is the set of sources that report an engine as leaving.
 type Sources uint8
 
-// Sources of an engine's leaving; any one suffices.
+// Sources of a leaving report; any one suffices.
 const (
 	SourceList    Sources = 1 << iota // the platform's machine list
 	SourceReport                      // the engine's own report
 	SourceFailure                     // the engine does not answer
 )
 
-// Names lists the sources for operators.
+// Names returns the names of the sources as shown to operators.
 func (s Sources) Names() []string {
 	var names []string
 	for bit, name := range map[Sources]string{SourceList: "machine list", SourceReport: "engine report", SourceFailure: "no answer"} {
@@ -90,11 +90,11 @@
 	Waiting      uint16
 	RunningBatch uint16
 	WaitingBatch uint16
-	AgeMS        uint16 // since the engine measured, when the record was sent
+	AgeMS        uint16 // age of the engine's report when the record was sent
 	StepTenths   uint16 // step time in tenths of a millisecond
-	Tokens       uint16 // tokens a step, in sixteenths
-	Facts        uint16 // hash of what changes seldom: models, adapters, token
-	KVUse        uint8  // in 255ths
+	Tokens       uint16 // tokens per step, in sixteenths
+	Metadata     uint16 // hash of models, adapters and fencing token, which change rarely
+	KVUse        uint8  // in units of 1/255
 	Sources      Sources
 	Measured     bool // false while the home has no report yet
 }
@@ -142,8 +142,8 @@
 	stepUnit    = 100 * time.Microsecond
 )
 
-// encodeLoad packs a load as of now.
-func encodeLoad(now time.Time, id uint64, load *engine.Load, facts uint16, sources Sources) loadRecord {
+// encodeLoad encodes a load with its age at now.
+func encodeLoad(now time.Time, id uint64, load *engine.Load, metadata uint16, sources Sources) loadRecord {
 	return loadRecord{
 		Engine:       id,
 		Running:      clamp16(load.Running),
@@ -153,16 +153,16 @@
 		AgeMS:        clamp16(int(now.Sub(load.At).Milliseconds())),
 		StepTenths:   clamp16(int(load.StepTime / stepUnit)),
 		Tokens:       clamp16(int(load.TokensPerStep * tokensScale)),
-		Facts:        facts,
+		Metadata:     metadata,
 		KVUse:        uint8(min(max(load.KVUse, 0), 1) * kvScale),
 		Sources:      sources,
 		Measured:     !load.At.IsZero(),
 	}
 }
 
-// decodeLoad unpacks a record into what it says, over the facts known before.
-func decodeLoad(now time.Time, record *loadRecord, facts engine.Load) engine.Load {
-	load := facts
+// decodeLoad decodes a record; other fields are copied from previous.
+func decodeLoad(now time.Time, record *loadRecord, previous engine.Load) engine.Load {
+	load := previous
 	load.At = time.Time{}
 	if record.Measured {
 		load.At = now.Add(-time.Duration(record.AgeMS) * time.Millisecond)
@@ -178,8 +178,8 @@
 	return load
 }
 
-// factsHash hashes what a load record does not carry.
-func factsHash(load *engine.Load) uint16 {
+// metadataHash hashes what a load record does not carry.
+func metadataHash(load *engine.Load) uint16 {
 	var digest xxhash.Digest
 	digest.Reset()
 	for _, list := range [][]string{load.Models, load.Adapters} {
@@ -195,61 +195,61 @@
 	return uint16(digest.Sum64())
 }
 
-// entry is an engine with all that is known of it, on the wire.
+// entry is an engine's specification, load and metadata on the wire.
 type entry struct {
 	spec     fleet.Spec
 	record   loadRecord
-	models   []string // the engine's own report of what is loaded
+	models   []string // the models that the engine reports as loaded
 	adapters []string
 	token    uint64
 }
 
-func appendEntry(out []byte, one *entry) []byte {
-	out = appendLoad(out, &one.record)
-	out = binary.BigEndian.AppendUint64(out, one.token)
-	for _, text := range []string{one.spec.Name, one.spec.Address, one.spec.Zone, one.spec.Region} {
+func appendEntry(out []byte, e *entry) []byte {
+	out = appendLoad(out, &e.record)
+	out = binary.BigEndian.AppendUint64(out, e.token)
+	for _, text := range []string{e.spec.Name, e.spec.Address, e.spec.Zone, e.spec.Region} {
 		out = appendString(out, text)
 	}
-	for _, list := range [][]string{one.spec.Models, one.models, one.adapters} {
+	for _, list := range [][]string{e.spec.Models, e.models, e.adapters} {
 		out = appendStrings(out, list)
 	}
 	return out
 }
 
 func cutEntry(in []byte) (entry, []byte, error) {
-	var one entry
+	var e entry
 	var err error
-	if one.record, in, err = cutLoad(in); err != nil {
-		return one, nil, err
+	if e.record, in, err = cutLoad(in); err != nil {
+		return e, nil, err
 	}
 	if len(in) < 8 {
-		return one, nil, fmt.Errorf("%w: short entry", errRecord)
+		return e, nil, fmt.Errorf("%w: short entry", errRecord)
 	}
-	one.token, in = binary.BigEndian.Uint64(in), in[8:]
-	for _, text := range []*string{&one.spec.Name, &one.spec.Address, &one.spec.Zone, &one.spec.Region} {
+	e.token, in = binary.BigEndian.Uint64(in), in[8:]
+	for _, text := range []*string{&e.spec.Name, &e.spec.Address, &e.spec.Zone, &e.spec.Region} {
 		if *text, in, err = cutString(in); err != nil {
-			return one, nil, err
+			return e, nil, err
 		}
 	}
-	for _, list := range []*[]string{&one.spec.Models, &one.models, &one.adapters} {
+	for _, list := range []*[]string{&e.spec.Models, &e.models, &e.adapters} {
 		if *list, in, err = cutStrings(in); err != nil {
-			return one, nil, err
+			return e, nil, err
 		}
 	}
-	if one.spec.Name == "" || one.record.Engine != EngineID(one.spec.Name) {
-		return one, nil, fmt.Errorf("%w: entry's name and id differ", errRecord)
+	if e.spec.Name == "" || e.record.Engine != EngineID(e.spec.Name) {
+		return e, nil, fmt.Errorf("%w: entry's name and id differ", errRecord)
 	}
-	return one, in, nil
+	return e, in, nil
 }
 
 func decodeEntries(in []byte) ([]entry, error) {
 	var entries []entry
 	for len(in) > 0 {
-		one, rest, err := cutEntry(in)
+		e, rest, err := cutEntry(in)
 		if err != nil {
 			return nil, err
 		}
-		entries = append(entries, one)
+		entries = append(entries, e)
 		in = rest
 	}
 	return entries, nil
@@ -296,12 +296,12 @@
 	return list, in, nil
 }
 
-// EngineID is an engine's name on the wire.
+// EngineID returns an engine's id on the wire.
 func EngineID(name string) uint64 { return xxhash.Sum64String(name) }
 
 func zoneID(zone string) uint64 { return xxhash.Sum64String(zone) }
 
-// listVersion says which list of a zone's engines a node has.
+// listVersion identifies a version of a zone's list of engines.
 type listVersion struct {
 	Zone     uint64
 	Revision uint64
@@ -348,26 +348,26 @@
 	return ids, nil
 }
 
-// pullRequest asks for a zone's list, or for some of its engines only.
+// pullRequest asks for a zone's list, or only for the engines that follow.
 type pullRequest struct {
 	Zone uint64
 }
 
-// pullAnswer gives the list's version; entries, and the raw summaries of the
-// other zones (with a whole view), follow.
+// pullAnswer carries the list's version. Entries follow, and with contentView
+// the raw summaries of the other zones.
 type pullAnswer struct {
 	Revision uint64
 	ListHash uint64
 	Content  pullContent
 }
 
-// pullContent says what the entries of an answer are.
+// pullContent is the kind of entries in an answer.
 type pullContent uint8
 
 const (
-	contentSome  pullContent = iota + 1 // the engines asked for
-	contentList                         // a zone's list as the store has it, without loads and marks
-	contentWhole                        // the whole view of a member of the zone
+	contentSelected pullContent = iota + 1 // the requested engines
+	contentList                            // a zone's list from the store, without loads and leaving reports
+	contentView                            // the complete view of a member of the zone
 )
 
 func encodePull(zone uint64, ids []uint64) []byte {
--- a/internal/fleet/registry/message_test.go
+++ b/internal/fleet/registry/message_test.go
@@ -18,16 +18,16 @@
 	models: []string{"a"}, adapters: []string{"x"}, token: 9,
 }
 
-func TestMessagesKeepTheirContent(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	g := gomega.NewWithT(t)
 	entries, err := decodeEntries(appendEntry(appendEntry(nil, &sampleEntry), &sampleEntry))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(entries).To(gomega.Equal([]entry{sampleEntry, sampleEntry}))
 
-	one := summary{zone: "zone", models: []ModelCapacity{{Model: "a", Engines: 2, Running: 3, Waiting: 4}}, sample: []entry{sampleEntry}}
-	decoded, err := decodeSummary(encodeSummary(&one))
+	sent := summary{zone: "zone", models: []ModelCapacity{{Model: "a", Engines: 2, Running: 3, Waiting: 4}}, sample: []entry{sampleEntry}}
+	decoded, err := decodeSummary(encodeSummary(&sent))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(decoded).To(gomega.Equal(one))
+	g.Expect(decoded).To(gomega.Equal(sent))
 
 	now := time.Unix(1000, 0)
 	load := engine.Load{
@@ -39,14 +39,14 @@
 	g.Expect(decodeLoad(now, &record, engine.Load{})).To(gomega.Equal(load))
 }
 
-// FuzzDecoders: no message may crash a node.
+// Guards against panics on malformed messages.
 func FuzzDecoders(f *testing.F) {
 	record := sampleEntry.record
 	f.Add(encodeDatagram(datagramHeader{Type: typeDigest, Zone: zoneID("zone")}, appendLoad(nil, &record)))
 	f.Add(encodeDatagram(datagramHeader{Type: typeSummary, Zone: zoneID("far")}, encodeSummary(&summary{zone: "far", sample: []entry{sampleEntry}})))
 	f.Add(encodeDatagram(datagramHeader{Type: typeListAnnounce}, encodeVersions([]listVersion{{1, 2, 3}})))
 	f.Add(encodePull(zoneID("zone"), []uint64{1}))
-	answer, _ := wire.Marshal(messageVersion, pullAnswer{Revision: 1, Content: contentWhole}, appendEntry(nil, &sampleEntry))
+	answer, _ := wire.Marshal(messageVersion, pullAnswer{Revision: 1, Content: contentView}, appendEntry(nil, &sampleEntry))
 	f.Add(answer)
 	f.Fuzz(func(_ *testing.T, payload []byte) {
 		now := time.Unix(1000, 0)
--- a/internal/fleet/registry/online.go
+++ b/internal/fleet/registry/online.go
@@ -8,17 +8,16 @@
 	"chutelock.dev/chutelock/internal/fleet/announce"
 )
 
-// onlineExpiry is the age at which an online request of which no end was
-// heard is taken as ended.
+// onlineExpiry is the age at which an online request counts as ended.
 const onlineExpiry = 2 * time.Minute
 
-// onlineRequest is an online request that a gateway announced.
+// onlineRequest is an announced online request.
 type onlineRequest struct {
 	engine  uint64
 	started time.Time
 }
 
-// HandleAnnouncements takes gateways' announcements of online requests.
+// HandleAnnouncements processes announcements of online requests.
 func (r *Registry) HandleAnnouncements(now time.Time, records []announce.Record) Output {
 	for _, record := range records {
 		state, known := r.engines[record.Engine]
@@ -30,15 +29,15 @@
 		switch {
 		case record.Started && !running:
 			r.online[request] = onlineRequest{engine: record.Engine, started: now}
-			r.tellHome(fleet.HomeEvent{
+			r.emitHomeEvent(fleet.HomeEvent{
 				Kind: fleet.HomeOnlineStarted, Request: request, PromptTokens: int(record.PromptTokens),
 			}, state)
 		case !record.Started && running:
 			delete(r.online, request)
-			r.tellHome(fleet.HomeEvent{Kind: fleet.HomeOnlineFinished, Request: request}, state)
+			r.emitHomeEvent(fleet.HomeEvent{Kind: fleet.HomeOnlineFinished, Request: request}, state)
 		}
 	}
-	return r.take()
+	return r.takeOutput()
 }
 
 func (r *Registry) expireOnline(now time.Time) {
@@ -48,12 +47,12 @@
 		}
 		delete(r.online, request)
 		if state, known := r.engines[running.engine]; known && r.isHome(state) {
-			r.tellHome(fleet.HomeEvent{Kind: fleet.HomeOnlineFinished, Request: request}, state)
+			r.emitHomeEvent(fleet.HomeEvent{Kind: fleet.HomeOnlineFinished, Request: request}, state)
 		}
 	}
 }
 
-func (r *Registry) forgetOnline(engine uint64) {
+func (r *Registry) dropOnline(engine uint64) {
 	for request, running := range r.online {
 		if running.engine == engine {
 			delete(r.online, request)
--- a/internal/fleet/registry/pull.go
+++ b/internal/fleet/registry/pull.go
@@ -12,11 +12,10 @@
 	"chutelock.dev/chutelock/internal/wire"
 )
 
-// ErrNotWhole says that a peer has no whole view to give yet.
-var ErrNotWhole = errors.New("registry: this node's view is not whole")
+// ErrIncompleteView is returned by a peer that has no complete view yet.
+var ErrIncompleteView = errors.New("registry: this node's view is incomplete")
 
-// HandlePull answers a peer's pull: the zone's engines with all that is known
-// of them, or some of them only.
+// HandlePull answers with the zone's engines, or with the requested ones only.
 func (r *Registry) HandlePull(now time.Time, payload []byte) ([]byte, error) {
 	zone, ids, err := decodePull(payload)
 	if err != nil {
@@ -26,33 +25,33 @@
 		return r.answerFromStore(zone)
 	}
 	if len(ids) > 0 {
-		return r.answerSome(now, ids)
+		return r.answerSelected(now, ids)
 	}
 	if !r.ready {
-		return nil, trace.Wrap(ErrNotWhole)
+		return nil, trace.Wrap(ErrIncompleteView)
 	}
 	var entries []byte
 	for _, name := range r.names {
-		one := r.entryOf(now, r.engines[EngineID(name)])
-		entries = appendEntry(entries, &one)
+		e := r.entryOf(now, r.engines[EngineID(name)])
+		entries = appendEntry(entries, &e)
 	}
 	fields := [][]byte{entries}
 	for _, id := range r.sampleIDs() {
 		fields = append(fields, r.summaryOf(now, r.samples[id]))
 	}
-	answer := pullAnswer{Revision: r.version.Revision, ListHash: r.version.Hash, Content: contentWhole}
+	answer := pullAnswer{Revision: r.version.Revision, ListHash: r.version.Hash, Content: contentView}
 	return wire.Marshal(messageVersion, answer, fields...)
 }
 
-// summaryOf makes a summary of what is known of another zone now, with the
-// marks that came after its own.
+// summaryOf encodes what is known of another zone now, including updates newer
+// than its last summary.
 func (r *Registry) summaryOf(now time.Time, sample *zoneSample) []byte {
-	one := summary{zone: sample.zone, models: sample.models}
+	s := summary{zone: sample.zone, models: sample.models}
 	for _, state := range sample.engines {
-		one.sample = append(one.sample, r.entryOf(now, state))
+		s.sample = append(s.sample, r.entryOf(now, state))
 	}
-	sort.Slice(one.sample, func(i, j int) bool { return one.sample[i].spec.Name < one.sample[j].spec.Name })
-	return encodeSummary(&one)
+	sort.Slice(s.sample, func(i, j int) bool { return s.sample[i].spec.Name < s.sample[j].spec.Name })
+	return encodeSummary(&s)
 }
 
 func (r *Registry) sampleIDs() []uint64 {
@@ -64,43 +63,43 @@
 	return ids
 }
 
-// answerFromStore gives another zone of the region its list, at a reader.
+// answerFromStore answers with another zone's list, on a reader.
 func (r *Registry) answerFromStore(zone uint64) ([]byte, error) {
-	for _, list := range r.reader {
+	for _, list := range r.readerLists {
 		if list.version.Zone != zone {
 			continue
 		}
 		var entries []byte
 		for _, spec := range list.specs {
-			one := entry{spec: spec, record: loadRecord{Engine: EngineID(spec.Name)}}
-			entries = appendEntry(entries, &one)
+			e := entry{spec: spec, record: loadRecord{Engine: EngineID(spec.Name)}}
+			entries = appendEntry(entries, &e)
 		}
 		answer := pullAnswer{Revision: list.version.Revision, ListHash: list.version.Hash, Content: contentList}
 		return wire.Marshal(messageVersion, answer, entries)
 	}
-	return nil, trace.Wrap(ErrNotWhole)
+	return nil, trace.Wrap(ErrIncompleteView)
 }
 
-func (r *Registry) answerSome(now time.Time, ids []uint64) ([]byte, error) {
+func (r *Registry) answerSelected(now time.Time, ids []uint64) ([]byte, error) {
 	var entries []byte
 	for _, id := range ids {
 		if state, known := r.engines[id]; known {
-			one := r.entryOf(now, state)
-			entries = appendEntry(entries, &one)
+			e := r.entryOf(now, state)
+			entries = appendEntry(entries, &e)
 		}
 	}
-	answer := pullAnswer{Revision: r.version.Revision, ListHash: r.version.Hash, Content: contentSome}
+	answer := pullAnswer{Revision: r.version.Revision, ListHash: r.version.Hash, Content: contentSelected}
 	return wire.Marshal(messageVersion, answer, entries)
 }
 
-// HandlePullAnswer takes a peer's answer to a pull.
+// HandlePullAnswer processes a peer's answer to a pull.
 func (r *Registry) HandlePullAnswer(now time.Time, from transport.Address, payload []byte) (Output, error) {
 	var answer pullAnswer
 	fields, err := wire.Unmarshal(payload, messageVersion, &answer, -1)
 	if err != nil {
 		return Output{}, err
 	}
-	if len(fields) == 0 || answer.Content < contentSome || answer.Content > contentWhole {
+	if len(fields) == 0 || answer.Content < contentSelected || answer.Content > contentView {
 		return Output{}, trace.Wrap(errRecord)
 	}
 	entries, err := decodeEntries(fields[0])
@@ -108,7 +107,7 @@
 		return Output{}, err
 	}
 	peer := r.nameAt(from)
-	if answer.Content != contentSome {
+	if answer.Content != contentSelected {
 		specs := make([]fleet.Spec, 0, len(entries))
 		for i := range entries {
 			specs = append(specs, entries[i].spec)
@@ -120,52 +119,53 @@
 		r.adoptList(now, list, peer)
 	}
 	for i := range entries {
-		r.takeEntry(now, &entries[i], peer)
+		r.mergeEntry(now, &entries[i], peer)
 	}
 	for _, raw := range fields[1:] {
-		r.takePulledSummary(now, raw)
+		r.mergePulledSummary(now, raw)
 	}
-	if answer.Content == contentWhole {
+	if answer.Content == contentView {
 		r.becomeReady()
 	}
-	return r.take(), nil
+	return r.takeOutput(), nil
 }
 
-// clockTolerance is the difference in age that two ways of one report may
-// show by their delays.
+// clockTolerance is the age difference of two copies of one report that delays
+// may cause.
 const clockTolerance = time.Second
 
-// takeEntry takes in what a peer knows of an engine, unless it is known better.
-func (r *Registry) takeEntry(now time.Time, one *entry, peer string) {
-	state, known := r.engines[one.record.Engine]
-	if !known || !one.record.Measured && one.record.Sources == 0 {
+// mergeEntry merges a peer's entry, unless this node has a newer report or is
+// the engine's home and has polled it.
+func (r *Registry) mergeEntry(now time.Time, e *entry, peer string) {
+	state, known := r.engines[e.record.Engine]
+	if !known || !e.record.Measured && e.record.Sources == 0 {
 		return
 	}
-	facts := stateOf(now, one)
-	if facts.load.At.Before(state.load.At.Add(-clockTolerance)) {
+	received := stateOf(now, e)
+	if received.load.At.Before(state.load.At.Add(-clockTolerance)) {
 		return
 	}
 	if r.isHome(state) && !state.heard.IsZero() {
 		return
 	}
-	state.load = facts.load
-	state.facts = factsHash(&facts.load)
-	if one.record.Sources&SourceList != 0 {
-		state.listMark = now
+	state.load = received.load
+	state.metadata = metadataHash(&received.load)
+	if e.record.Sources&SourceList != 0 {
+		state.listedAt = now
 	}
-	r.setSources(state, one.record.Sources, peer)
-	r.touch(state)
+	r.setSources(state, e.record.Sources, peer)
+	r.invalidate(state)
 }
 
-// takePulledSummary keeps another zone's summary that a peer had.
-func (r *Registry) takePulledSummary(now time.Time, raw []byte) {
-	one, err := decodeSummary(raw)
+// mergePulledSummary adopts a peer's summary of a zone that has none here yet.
+func (r *Registry) mergePulledSummary(now time.Time, raw []byte) {
+	received, err := decodeSummary(raw)
 	if err != nil {
 		return
 	}
-	id := zoneID(one.zone)
+	id := zoneID(received.zone)
 	if _, exists := r.samples[id]; exists || id == r.version.Zone {
 		return
 	}
-	r.newSample(now, &one)
+	r.newSample(now, &received)
 }
--- a/internal/fleet/registry/registry.go
+++ b/internal/fleet/registry/registry.go
@@ -12,20 +12,20 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// Config sets a registry up. Zero fields take the defaults.
+// Config configures a registry. Zero fields take the defaults.
 type Config struct {
 	Self membership.Member
-	// PollInterval is the least time between two polls of an engine by its
-	// home. PollsPerSecond stretches it where a home has many engines, but not
-	// beyond MostPollInterval, on which it depends how soon an engine's own
-	// word that it leaves is heard.
+	// PollInterval is the minimum interval between polls of an engine by its
+	// home. PollsPerSecond stretches it for a home with many engines, up to
+	// MaxPollInterval, which bounds how late an engine's own leaving report is
+	// seen.
 	PollInterval   time.Duration
 	PollsPerSecond float64
-	// DigestInterval is the least time between two digests, and DigestBudget
-	// bounds the bytes a second that digests cost their sender.
+	// DigestInterval is the minimum interval between digests, and DigestBudget
+	// bounds the sender's digest traffic in bytes per second.
 	DigestInterval time.Duration
 	DigestBudget   float64
-	// SummaryInterval is the time between two summaries of a zone.
+	// SummaryInterval is the minimum interval between summaries of a zone.
 	SummaryInterval time.Duration
 	Seed            uint64
 }
@@ -37,42 +37,43 @@
 	defaultDigestBudget    = 2560
 	defaultSummaryInterval = 2 * time.Second
 
-	// MostPollInterval is the longest time between two polls of an engine.
-	MostPollInterval = 2 * time.Second
+	// MaxPollInterval is the maximum interval between polls of an engine.
+	MaxPollInterval = 2 * time.Second
 
-	// datagramOverhead estimates what a datagram costs beside its records:
+	// datagramOverhead estimates the bytes of a datagram besides its records:
 	// IP, UDP, the transport's frame and MAC, and this package's header.
 	datagramOverhead = 28 + 48 + 36
-	// markRepeats and markDelay: an urgent mark is sent so often, and the
-	// wait doubles each time.
-	markRepeats = 3
-	markDelay   = 150 * time.Millisecond
-	// retryPoll is the wait after a failed poll.
-	retryPoll = 100 * time.Millisecond
-	// failuresToMark is the number of polls in a row that must fail.
-	failuresToMark = 2
-	// summaryShare is the time that each zone adds to the interval between
-	// summaries, so that all zones' summaries together cost a constant rate.
-	summaryShare = 300 * time.Millisecond
-	// summaryExpiry is the age, in intervals, at which a zone's sample is dropped.
+	// updateRepeats is how often a leaving update is sent; the wait between
+	// sends starts at updateDelay and doubles.
+	updateRepeats = 3
+	updateDelay   = 150 * time.Millisecond
+	// pollRetryDelay is the wait after a failed poll.
+	pollRetryDelay = 100 * time.Millisecond
+	// failureThreshold is the number of polls in a row that must fail.
+	failureThreshold = 2
+	// summaryIntervalPerZone is added to the summary interval for each zone,
+	// so that the summaries of all zones together have a constant rate.
+	summaryIntervalPerZone = 300 * time.Millisecond
+	// summaryExpiry is the age, in summary intervals, at which a zone's sample
+	// is dropped.
 	summaryExpiry = 5
-	// remoteMarkExpiry is how long a mark of another zone's engine overrides
-	// summaries, which may have been made before it.
-	remoteMarkExpiry = 5 * time.Second
-	// listMarkExpiry is how long the machine list's word holds unless repeated.
-	listMarkExpiry = 10 * time.Minute
-	// pullInterval is the least time between two pulls of one kind.
+	// remoteUpdateExpiry is how long an update of another zone's engine
+	// overrides summaries, which may be older.
+	remoteUpdateExpiry = 5 * time.Second
+	// machineListExpiry is the lifetime of a report of the machine list.
+	machineListExpiry = 10 * time.Minute
+	// pullInterval is the minimum interval between pulls of one kind.
 	pullInterval = 500 * time.Millisecond
 	// maxRecordsPerDigest keeps a digest within one datagram.
 	maxRecordsPerDigest = 40
-	// selfDoubtEngines: a home with at least so many engines, all of which
-	// time out at once, doubts its own network first.
-	selfDoubtEngines = 4
-	// pauseGap is the gap between ticks after which what is known is stale.
+	// minLocalFaultEngines is the number of engines from which a home whose
+	// engines all time out at once suspects its own network.
+	minLocalFaultEngines = 4
+	// pauseGap is the gap between ticks after which the view counts as stale.
 	pauseGap = 3 * time.Second
-	// wholeLimit is how long a node that has the list, or that was paused,
-	// waits for a peer that has a whole view.
-	wholeLimit = 2 * time.Second
+	// peerViewTimeout is how long a node that has the list, or was paused,
+	// waits for a peer with a complete view.
+	peerViewTimeout = 2 * time.Second
 )
 
 func (c Config) withDefaults() Config {
@@ -94,53 +95,53 @@
 	return c
 }
 
-// Datagram is a message to send.
+// Datagram is an encoded message and its receiver.
 type Datagram struct {
 	To      transport.Address
 	Payload []byte
 }
 
-// Pull is a call to make, whose answer goes to HandlePullAnswer.
+// Pull is a call to make; its answer goes to HandlePullAnswer.
 type Pull struct {
 	To      transport.Address
 	Payload []byte
 }
 
-// Poll asks the caller to read an engine's load and to hand it to HandleLoad.
+// Poll asks the caller to read an engine's load and pass it to HandleLoad.
 type Poll struct {
 	Endpoint *fleet.Endpoint
 }
 
-// Decision is something that this node decided or learned, for the log.
+// Decision is a state change or observation to be logged.
 type Decision struct {
 	Kind    DecisionKind
 	Engine  string
 	Zone    string
 	Sources Sources
-	// Peer is the member that said so, or the new home.
+	// Peer is the member that reported it, or the new home.
 	Peer     string
 	Revision uint64
 }
 
-// DecisionKind says what a Decision is about.
+// DecisionKind is the kind of a Decision.
 type DecisionKind uint8
 
 // Kinds of decisions.
 const (
 	DecidedHome         DecisionKind = iota + 1 // this node became an engine's home
-	DecidedLostHome                             // another node did
-	DecidedLeaving                              // an engine gets no new work
-	DecidedBack                                 // it gets work again
+	DecidedLostHome                             // another node became the home, or the engine left the list
+	DecidedLeaving                              // an engine is leaving and gets no new work
+	DecidedBack                                 // an engine gets new work again
 	DecidedList                                 // a newer list of engines is in use
 	DecidedListRefused                          // a list older than the one in use was refused
-	DecidedReady                                // the node's view is whole
-	DecidedStale                                // the node was paused; its view is pulled again
-	DecidedSelfDoubt                            // most engines fell silent at once; not shared
-	DecidedZoneExpired                          // nothing was heard of another zone for long
+	DecidedReady                                // the node's view is complete
+	DecidedStale                                // the node was paused and must pull its view again
+	DecidedLocalFault                           // all engines of this home time out at once; not shared
+	DecidedZoneExpired                          // another zone's summaries stopped
 	DecidedNotConfirmed                         // a gateway's report of failure was not confirmed
 )
 
-// Output is what the caller must do after a method returned it.
+// Output is the work that a method leaves to its caller.
 type Output struct {
 	Datagrams  []Datagram
 	Pulls      []Pull
@@ -149,72 +150,72 @@
 	Decisions  []Decision
 }
 
-// engineState is what is known of one engine.
+// engineState is the state of one engine.
 type engineState struct {
 	id       uint64
 	spec     fleet.Spec
 	home     string
 	load     engine.Load
-	facts    uint16
+	metadata uint16
 	sources  Sources
-	heard    time.Time // when the newest record was taken in
-	listMark time.Time // when the machine list last said that it leaves
+	heard    time.Time // when the newest record was received
+	listedAt time.Time // when the machine list last reported it as leaving
 	endpoint *fleet.Endpoint
 
 	// The fields below are used by the engine's home only.
-	nextPoll time.Time
-	polling  bool
-	failures int
-	doubted  bool
-	asked    bool // a gateway saw it fail
+	nextPoll   time.Time
+	polling    bool
+	failures   int
+	localFault bool
+	verifying  bool // a gateway's failure report awaits the next poll
 }
 
-// zoneSample is what another zone said last.
+// zoneSample is another zone's last summary.
 type zoneSample struct {
 	zone     string
 	sequence uint32
-	position uint16 // in the tree, from which the summary was passed on last
+	position uint16 // position in the forwarding tree from which it was last forwarded
 	heard    time.Time
 	models   []ModelCapacity
 	engines  map[uint64]*engineState
 }
 
-// mark is an urgent record that is being repeated.
-type mark struct {
-	engine uint64
-	left   int
-	due    time.Time
-	wait   time.Duration
+// leavingUpdate schedules the repeats of an engine's leaving update.
+type leavingUpdate struct {
+	engine    uint64
+	remaining int
+	due       time.Time
+	wait      time.Duration
 }
 
-// remoteMark is what a home in another zone said of an engine's leaving.
-type remoteMark struct {
+// remoteUpdate is a leaving update of another zone's engine.
+type remoteUpdate struct {
 	sources Sources
 	until   time.Time
 }
 
-// Registry is a node's knowledge of engines. Its methods must not be called
-// at once with each other.
+// Registry is the state machine of a node's view of the engines. It is not
+// safe for concurrent use.
 type Registry struct {
 	config Config
 	random *rand.Rand
 	self   membership.Member
 	view   *membership.View
 	zone   []membership.Member // live members of the own zone
-	peers  []membership.Member // the same but this node
-
-	engines  map[uint64]*engineState // of the own zone
-	names    []string                // of the own zone's engines, in order
-	version  listVersion
-	samples  map[uint64]*zoneSample // by zone id
-	reader   map[string]zoneList    // all lists of the region, at a reader of the store
-	revision uint64                 // the store's, at a reader
-	marks    []mark
-	remote   map[uint64]remoteMark
-	online   map[string]onlineRequest
+	peers  []membership.Member // zone without this node
+
+	engines       map[uint64]*engineState // of the own zone
+	names         []string                // of the own zone's engines, in order
+	version       listVersion
+	samples       map[uint64]*zoneSample // by zone id
+	readerLists   map[string]zoneList    // lists of the region's zones by name, on a store reader
+	revision      uint64                 // of the store, on a reader
+	updates       []leavingUpdate
+	remoteUpdates map[uint64]remoteUpdate
+	online        map[string]onlineRequest
 
 	ready       bool
-	staleSince  time.Time // when a pause was noticed; zero on a fresh node
+	staleSince  time.Time // when a pause was detected; zero on a new node
 	lastTick    time.Time
 	nextDigest  time.Time
 	nextSummary time.Time
@@ -226,21 +227,21 @@
 	output      Output
 }
 
-// New returns a registry that knows no engine.
+// New returns a registry without engines.
 func New(config Config, now time.Time) *Registry {
 	config = config.withDefaults()
 	registry := &Registry{
-		config:   config,
-		random:   rand.New(rand.NewPCG(config.Seed, EngineID(config.Self.Name))),
-		self:     config.Self,
-		view:     &membership.View{},
-		engines:  map[uint64]*engineState{},
-		version:  listVersion{Zone: zoneID(config.Self.Zone)},
-		samples:  map[uint64]*zoneSample{},
-		remote:   map[uint64]remoteMark{},
-		online:   map[string]onlineRequest{},
-		lastTick: now,
-		dirty:    true,
+		config:        config,
+		random:        rand.New(rand.NewPCG(config.Seed, EngineID(config.Self.Name))),
+		self:          config.Self,
+		view:          &membership.View{},
+		engines:       map[uint64]*engineState{},
+		version:       listVersion{Zone: zoneID(config.Self.Zone)},
+		samples:       map[uint64]*zoneSample{},
+		remoteUpdates: map[uint64]remoteUpdate{},
+		online:        map[string]onlineRequest{},
+		lastTick:      now,
+		dirty:         true,
 	}
 	registry.nextDigest = now.Add(registry.jitter(config.DigestInterval))
 	registry.nextSummary = now.Add(registry.jitter(config.SummaryInterval))
@@ -252,14 +253,14 @@
 	return time.Duration(r.random.Int64N(int64(interval) + 1))
 }
 
-// Ready says whether the view is whole; a node routes on no other.
+// Ready reports whether the view is complete; snapshots are empty until then.
 func (r *Registry) Ready() bool { return r.ready }
 
-// ListRevision is the store's revision of the list of engines in use.
+// ListRevision returns the store revision of the list of engines in use.
 func (r *Registry) ListRevision() uint64 { return r.version.Revision }
 
-// take returns and clears what the caller must do.
-func (r *Registry) take() Output {
+// takeOutput returns and clears the pending output.
+func (r *Registry) takeOutput() Output {
 	output := r.output
 	r.output = Output{}
 	return output
@@ -273,7 +274,7 @@
 	r.output.Datagrams = append(r.output.Datagrams, Datagram{To: to, Payload: encodeDatagram(head, body)})
 }
 
-// SetView takes the members in: homes move with them.
+// SetView adopts a new view of the members and reassigns homes.
 func (r *Registry) SetView(now time.Time, view *membership.View) Output {
 	r.view = view
 	if self, ok := view.Member(r.self.Name); ok {
@@ -281,7 +282,7 @@
 	}
 	live := view.LiveInZone(r.self.Zone)
 	if slices.EqualFunc(live, r.zone, func(a, b membership.Member) bool { return a.Name == b.Name && a.Address == b.Address }) {
-		return r.take()
+		return r.takeOutput()
 	}
 	r.zone = live
 	r.peers = r.peers[:0]
@@ -291,10 +292,10 @@
 		}
 	}
 	r.assignHomes(now)
-	return r.take()
+	return r.takeOutput()
 }
 
-// assignHomes gives each engine of the zone its home.
+// assignHomes computes the home of each engine of the zone.
 func (r *Registry) assignHomes(now time.Time) {
 	for _, name := range r.names {
 		state := r.engines[EngineID(name)]
@@ -307,39 +308,39 @@
 		}
 		previous := state.home
 		state.home = home
-		r.touch(state)
+		r.invalidate(state)
 		switch r.self.Name {
 		case home:
-			r.gain(now, state)
+			r.gainHome(now, state)
 		case previous:
-			r.lose(state)
+			r.loseHome(state)
 		}
 	}
 }
 
-func (r *Registry) gain(now time.Time, state *engineState) {
+func (r *Registry) gainHome(now time.Time, state *engineState) {
 	state.nextPoll = now
 	state.polling = false
 	state.failures = 0
 	r.decide(Decision{Kind: DecidedHome, Engine: state.spec.Name, Zone: state.spec.Zone})
-	r.tellHome(fleet.HomeEvent{Kind: fleet.HomeGained}, state)
+	r.emitHomeEvent(fleet.HomeEvent{Kind: fleet.HomeGained}, state)
 }
 
-func (r *Registry) lose(state *engineState) {
+func (r *Registry) loseHome(state *engineState) {
 	r.decide(Decision{Kind: DecidedLostHome, Engine: state.spec.Name, Zone: state.spec.Zone, Peer: state.home})
-	r.tellHome(fleet.HomeEvent{Kind: fleet.HomeLost}, state)
-	r.forgetOnline(state.id)
+	r.emitHomeEvent(fleet.HomeEvent{Kind: fleet.HomeLost}, state)
+	r.dropOnline(state.id)
 }
 
 func (r *Registry) isHome(state *engineState) bool { return state.home == r.self.Name }
 
-func (r *Registry) tellHome(event fleet.HomeEvent, state *engineState) {
+func (r *Registry) emitHomeEvent(event fleet.HomeEvent, state *engineState) {
 	event.Endpoint = r.endpointOf(state)
 	r.output.HomeEvents = append(r.output.HomeEvents, event)
 }
 
-// touch drops the cached endpoint of an engine that changed.
-func (r *Registry) touch(state *engineState) {
+// invalidate drops the cached endpoint of a changed engine.
+func (r *Registry) invalidate(state *engineState) {
 	state.endpoint = nil
 	r.dirty = true
 }
@@ -358,8 +359,8 @@
 	return state.endpoint
 }
 
-// Snapshot returns the engines known, or nil when nothing changed since the
-// last call. It is empty until the view is whole.
+// Snapshot returns the known engines, or nil if nothing changed since the last
+// call. It is empty until the view is complete.
 func (r *Registry) Snapshot(now time.Time) *fleet.Snapshot {
 	if !r.dirty {
 		return nil
@@ -383,15 +384,15 @@
 	return snapshot
 }
 
-// setSources changes the sources that say that an engine leaves, and reports
-// whether that changed whether it leaves.
+// setSources sets the sources that report an engine as leaving, and reports
+// whether the engine started or stopped leaving.
 func (r *Registry) setSources(state *engineState, sources Sources, peer string) bool {
 	if state.sources == sources {
 		return false
 	}
 	before := state.sources
 	state.sources = sources
-	r.touch(state)
+	r.invalidate(state)
 	if (before != 0) == (sources != 0) {
 		return false
 	}
@@ -401,12 +402,12 @@
 	}
 	r.decide(Decision{Kind: kind, Engine: state.spec.Name, Zone: state.spec.Zone, Sources: sources, Peer: peer})
 	if r.isHome(state) {
-		r.tellHome(fleet.HomeEvent{Kind: event}, state)
+		r.emitHomeEvent(fleet.HomeEvent{Kind: event}, state)
 	}
 	return true
 }
 
-// Tick does what is due.
+// Tick runs all timers that are due.
 func (r *Registry) Tick(now time.Time) Output {
 	if now.Sub(r.lastTick) > pauseGap && r.ready && len(r.peers) > 0 {
 		r.ready = false
@@ -416,8 +417,8 @@
 		r.decide(Decision{Kind: DecidedStale})
 	}
 	r.lastTick = now
-	r.pollDue(now)
-	r.repeatMarks(now)
+	r.requestDuePolls(now)
+	r.sendDueUpdates(now)
 	r.expire(now)
 	if !now.Before(r.nextDigest) {
 		r.nextDigest = now.Add(r.digestInterval()*3/4 + r.jitter(r.digestInterval()/2))
@@ -434,36 +435,36 @@
 	if !r.ready {
 		r.pullState(now)
 	}
-	return r.take()
+	return r.takeOutput()
 }
 
-// pullState asks a live peer of the zone for all it knows. Where no peer has a
-// whole view, because all started or were paused together, the list alone
-// serves after a while; the homes have polled their engines meanwhile.
+// pullState pulls the view of a random live peer of the zone. If no peer has a
+// complete view, because all started or were paused together, the list alone
+// suffices after peerViewTimeout; the homes have polled their engines by then.
 func (r *Registry) pullState(now time.Time) {
 	alone := len(r.peers) == 0
 	since := r.listSince
 	if r.staleSince.After(since) {
 		since = r.staleSince
 	}
-	if !r.listSince.IsZero() && (alone || now.Sub(since) > wholeLimit) {
+	if !r.listSince.IsZero() && (alone || now.Sub(since) > peerViewTimeout) {
 		r.becomeReady()
 		return
 	}
-	if alone || !due(now, &r.pulls.state) {
+	if alone || !reservePull(now, &r.pulls.state) {
 		return
 	}
 	peer := r.peers[r.random.IntN(len(r.peers))]
 	r.output.Pulls = append(r.output.Pulls, Pull{To: peer.Address, Payload: encodePull(r.version.Zone, nil)})
 }
 
-// pullTimes are the times from which the next pull of each kind may be made.
+// pullTimes holds the earliest time of the next pull of each kind.
 type pullTimes struct {
-	state, list, facts time.Time
+	state, list, metadata time.Time
 }
 
-// due says whether a pull may be made, and puts the next one off.
-func due(now time.Time, next *time.Time) bool {
+// reservePull reports whether a pull may be made, and defers the next.
+func reservePull(now time.Time, next *time.Time) bool {
 	if now.Before(*next) {
 		return false
 	}
@@ -471,7 +472,7 @@
 	return true
 }
 
-// expire drops what nobody repeated.
+// expire drops what was not renewed.
 func (r *Registry) expire(now time.Time) {
 	for id, sample := range r.samples {
 		if now.Sub(sample.heard) > summaryExpiry*r.summaryInterval() {
@@ -481,13 +482,13 @@
 		}
 	}
 	for _, state := range r.engines {
-		if state.sources&SourceList != 0 && now.Sub(state.listMark) > listMarkExpiry && r.isHome(state) {
+		if state.sources&SourceList != 0 && now.Sub(state.listedAt) > machineListExpiry && r.isHome(state) {
 			r.setSources(state, state.sources&^SourceList, r.self.Name)
 		}
 	}
-	for id, one := range r.remote {
-		if now.After(one.until) {
-			delete(r.remote, id)
+	for id, update := range r.remoteUpdates {
+		if now.After(update.until) {
+			delete(r.remoteUpdates, id)
 		}
 	}
 	r.expireOnline(now)
--- a/internal/fleet/registry/registry_test.go
+++ b/internal/fleet/registry/registry_test.go
@@ -13,14 +13,12 @@
 	"chutelock.dev/chutelock/internal/membership"
 )
 
-// leavingLimit is how soon after an engine's leaving showed no node may send
-// new work to it.
+// leavingLimit bounds the time until no node uses a leaving engine.
 const leavingLimit = 3 * time.Second
 
-// TestViewsFollowTheTruth brings about any order of engines that leave, fail,
-// fall silent and come back, changes of the list, dead, restarted and paused
-// nodes, loss, cuts and a store that is down.
-func TestViewsFollowTheTruth(t *testing.T) {
+// Guards against views that do not converge after any order of engine, node,
+// network and store faults and list changes.
+func TestViewsConvergeAfterFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(rapid.Uint64().Draw(t, "seed"),
 			rapid.IntRange(1, 3).Draw(t, "zones"), rapid.IntRange(1, 4).Draw(t, "nodes"), rapid.IntRange(1, 6).Draw(t, "engines"))
@@ -42,16 +40,16 @@
 			"engine falls silent": func(t *rapid.T) { pickEngine.Draw(t, "which").silent = true },
 			"engine drains":       func(t *rapid.T) { pickEngine.Draw(t, "which").draining = true },
 			"engine is listed as leaving": func(t *rapid.T) {
-				one := pickEngine.Draw(t, "which")
-				one.leaving, one.listedAt = true, s.clock.Now()
+				target := pickEngine.Draw(t, "which")
+				target.leaving, target.listedAt = true, s.clock.Now()
 			},
 			"engine comes back": func(t *rapid.T) {
-				one := pickEngine.Draw(t, "which")
-				one.up, one.silent, one.draining = true, false, false
+				target := pickEngine.Draw(t, "which")
+				target.up, target.silent, target.draining = true, false, false
 			},
 			"engine moves": func(t *rapid.T) {
-				one := pickEngine.Draw(t, "which")
-				one.spec.Address += "1"
+				target := pickEngine.Draw(t, "which")
+				target.spec.Address += "1"
 				s.revision++
 			},
 			"node dies": func(t *rapid.T) { s.stop(s.hosts[pickHost.Draw(t, "host")]) },
@@ -66,43 +64,42 @@
 			"store": func(t *rapid.T) { s.storeDown = rapid.Bool().Draw(t, "down") },
 			"loss":  func(t *rapid.T) { s.loss = rapid.SampledFrom([]float64{0, 0.01, 0.2, 0.8}).Draw(t, "loss") },
 			"cut": func(t *rapid.T) {
-				mute := s.hosts[pickHost.Draw(t, "host")]
-				s.cut = func(a, b *host) bool { return a == mute || b == mute }
+				isolated := s.hosts[pickHost.Draw(t, "host")]
+				s.partitioned = func(a, b *host) bool { return a == isolated || b == isolated }
 			},
-			"heal": func(*rapid.T) { s.cut = nil },
+			"heal": func(*rapid.T) { s.partitioned = nil },
 		})
-		s.cut, s.loss, s.storeDown = nil, 0.01, false
+		s.partitioned, s.loss, s.storeDown = nil, 0.01, false
 		s.run(10 * time.Second)
 		s.membersChanged()
 		s.run(10 * time.Second)
-		s.meetFailures()
+		s.reportFailures()
 		s.run(20 * time.Second)
-		if err := s.disagreement(); err != nil {
+		if err := s.checkViews(); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// TestLeavingEngineGetsNoNewWork measures, for each source, the time until no
-// node would send new work to a leaving engine, at 5% loss, with a node that
-// starts meanwhile.
+// Guards against new work sent to an engine leavingLimit after it starts
+// leaving, for each source, at 5% loss and with a node restarting meanwhile.
 func TestLeavingEngineGetsNoNewWork(t *testing.T) {
-	sources := map[string]func(s *simulation, one *fakeEngine) time.Time{
-		"the engine's own report": func(s *simulation, one *fakeEngine) time.Time {
-			one.draining = true
+	sources := map[string]func(s *simulation, target *fakeEngine) time.Time{
+		"the engine's own report": func(s *simulation, target *fakeEngine) time.Time {
+			target.draining = true
 			return s.clock.Now()
 		},
-		"the engine's machine refuses": func(s *simulation, one *fakeEngine) time.Time {
-			one.up = false
+		"the engine's machine refuses": func(s *simulation, target *fakeEngine) time.Time {
+			target.up = false
 			return s.clock.Now()
 		},
-		"the engine accepts and never answers": func(s *simulation, one *fakeEngine) time.Time {
-			one.silent = true
+		"the engine accepts and never answers": func(s *simulation, target *fakeEngine) time.Time {
+			target.silent = true
 			return s.clock.Now()
 		},
-		// The list lags; the time counts from its reading.
-		"the machine list": func(s *simulation, one *fakeEngine) time.Time {
-			one.leaving, one.listedAt = true, s.clock.Now().Add(-s.listLag)
+		// The list lags; the time counts from when a reader sees it.
+		"the machine list": func(s *simulation, target *fakeEngine) time.Time {
+			target.leaving, target.listedAt = true, s.clock.Now().Add(-s.listLag)
 			s.run(2 * time.Second)
 			return s.clock.Now()
 		},
@@ -115,19 +112,19 @@
 			s.run(15 * time.Second)
 			var worst time.Duration
 			for index := range 10 {
-				one := s.engines[sortedEngines(s)[index*3]]
-				began := leave(s, one)
+				target := s.engines[sortedEngines(s)[index*3]]
+				start := leave(s, target)
 				starting := s.hosts[s.names[index]]
 				s.stop(starting)
-				s.run(s.between(0, time.Second))
+				s.run(s.randomDuration(0, time.Second))
 				s.boot(starting)
-				for s.usedAnywhere(one.spec.Name) && s.clock.Now().Sub(began) < 10*leavingLimit {
+				for s.usableAnywhere(target.spec.Name) && s.clock.Now().Sub(start) < 10*leavingLimit {
 					s.run(10 * time.Millisecond)
 				}
-				worst = max(worst, s.clock.Now().Sub(began))
-				for range 300 { // and nobody takes it up again
+				worst = max(worst, s.clock.Now().Sub(start))
+				for range 300 { // no node may send it new work later
 					s.run(50 * time.Millisecond)
-					g.Expect(s.usedAnywhere(one.spec.Name)).To(gomega.BeFalse())
+					g.Expect(s.usableAnywhere(target.spec.Name)).To(gomega.BeFalse())
 				}
 			}
 			t.Logf("worst of 10: %v", worst)
@@ -145,7 +142,7 @@
 	return names
 }
 
-func (s *simulation) usedAnywhere(engine string) bool {
+func (s *simulation) usableAnywhere(engine string) bool {
 	for _, h := range s.hosts {
 		if h.up && h.usable(engine) {
 			return true
@@ -154,9 +151,9 @@
 	return false
 }
 
-// TestStartedNodeRoutesOnNoEmptyView: a node is not ready before it pulled a
-// peer's view, marks included, even with the store down.
-func TestStartedNodeRoutesOnNoEmptyView(t *testing.T) {
+// Guards against a node that routes before it has pulled a peer's view,
+// including leaving engines, while the store is down.
+func TestStartedNodeIsNotReadyBeforePull(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := newSimulation(2, 2, 4, 6)
 	s.run(10 * time.Second)
@@ -174,12 +171,11 @@
 	g.Expect(h.snapshot.Endpoints).To(gomega.HaveLen(12))
 }
 
-// TestPausedNodeRoutesOnNoStaleView: right after a pause the snapshot is empty
-// until a peer's view came in.
-func TestPausedNodeRoutesOnNoStaleView(t *testing.T) {
+// Guards against routing on a stale view after a pause.
+func TestPausedNodeDropsStaleView(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := newSimulation(4, 1, 4, 6)
-	s.forgetful = true
+	s.dropWhilePaused = true
 	s.run(10 * time.Second)
 	h := s.hosts["node-00-001"]
 	h.pausedUntil = s.clock.Now().Add(20 * time.Second)
@@ -195,8 +191,8 @@
 	g.Expect(h.registry.Ready()).To(gomega.BeTrue())
 }
 
-// TestOldStoreIsRefused: a list of a lower revision changes nothing.
-func TestOldStoreIsRefused(t *testing.T) {
+// Guards against adopting an old copy of the store.
+func TestHandleStoreRefusesLowerRevision(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := newSimulation(5, 1, 1, 2)
 	now := s.clock.Now()
@@ -207,47 +203,46 @@
 	g.Expect(registry.Snapshot(now).Endpoints).To(gomega.HaveLen(2))
 }
 
-// TestHomeDoubtsItselfFirst: a home of which all engines time out at once
-// marks none; a gateway's word that one of them failed counts.
-func TestHomeDoubtsItselfFirst(t *testing.T) {
+// Guards against marking all engines as failed when the home's own network
+// fails; a gateway's failure report still counts.
+func TestHomeSuspectsLocalFaultWhenAllPollsTimeOut(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := newSimulation(6, 1, 1, 8)
 	s.run(10 * time.Second)
-	for _, one := range s.engines {
-		one.silent = true
+	for _, e := range s.engines {
+		e.silent = true
 	}
 	s.run(4 * time.Second)
 	h := s.hosts[s.names[0]]
 	g.Expect(h.usable("engine-00-002")).To(gomega.BeTrue())
-	s.carry(h, h.registry.EngineFailed(s.clock.Now(), "engine-00-002"))
+	s.execute(h, h.registry.EngineFailed(s.clock.Now(), "engine-00-002"))
 	s.run(2 * time.Second)
 	g.Expect(h.usable("engine-00-002")).To(gomega.BeFalse())
 }
 
-// TestOnlineRequestsReachTheHome: starts and ends are paired at the home, a
-// lost end is made up for, and a request of an engine that moved is forgotten.
-func TestOnlineRequestsReachTheHome(t *testing.T) {
+// Guards against counting duplicate announcements and requests with a lost
+// end.
+func TestHandleAnnouncementsPairsStartsAndEnds(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := newSimulation(7, 1, 1, 1)
 	s.run(10 * time.Second)
 	h := s.hosts[s.names[0]]
-	tell := func(request uint64, started bool) {
+	send := func(request uint64, started bool) {
 		record := announce.Record{Engine: EngineID("engine-00-000"), Request: request, Started: started}
-		s.carry(h, h.registry.HandleAnnouncements(s.clock.Now(), []announce.Record{record}))
+		s.execute(h, h.registry.HandleAnnouncements(s.clock.Now(), []announce.Record{record}))
 	}
-	tell(1, true)
-	tell(1, true)
-	tell(2, true)
+	send(1, true)
+	send(1, true)
+	send(2, true)
 	g.Expect(h.online).To(gomega.Equal(2))
-	tell(1, false)
-	tell(1, false)
+	send(1, false)
+	send(1, false)
 	g.Expect(h.online).To(gomega.Equal(1))
 	s.run(onlineExpiry + time.Second)
 	g.Expect(h.online).To(gomega.BeZero())
 }
 
-// TestControlBytesStayWithinBudget measures what the fleet's own messages
-// cost a node: in a zone of the target size, and with as many zones.
+// Guards against control traffic over budget in large zones or many zones.
 func TestControlBytesStayWithinBudget(t *testing.T) {
 	const (
 		measured = 20 * time.Second
@@ -257,7 +252,7 @@
 		g := gomega.NewWithT(t)
 		s := newSimulation(8, c.zones, c.nodes, c.engines)
 		s.run(20 * time.Second)
-		g.Expect(s.disagreement()).To(gomega.Succeed())
+		g.Expect(s.checkViews()).To(gomega.Succeed())
 		clear(s.sent)
 		clear(s.received)
 		s.run(measured)
@@ -273,9 +268,8 @@
 	}
 }
 
-// TestMarkOverridesOlderSummary: a summary that was made before another zone's
-// engine was marked must not bring the engine back.
-func TestMarkOverridesOlderSummary(t *testing.T) {
+// Guards against an older summary reverting another zone's leaving update.
+func TestLeavingUpdateOverridesOlderSummary(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := newSimulation(3, 2, 2, 3)
 	s.run(15 * time.Second)
@@ -287,20 +281,20 @@
 	record.Sources = SourceReport
 	zone := zoneID("zone-01")
 	for _, payload := range [][]byte{
-		encodeDatagram(datagramHeader{Type: typeMark, Zone: zone}, appendLoad(nil, &record)),
+		encodeDatagram(datagramHeader{Type: typeUpdate, Zone: zone}, appendLoad(nil, &record)),
 		encodeDatagram(datagramHeader{Type: typeSummary, Zone: zone, Sequence: 1 << 31}, older),
 	} {
 		output, err := here.registry.HandleDatagram(now, "10.1.0.1:7000", payload)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		s.carry(here, output)
+		s.execute(here, output)
 	}
 	g.Expect(here.registry.samples[zone].engines).To(gomega.HaveLen(1))
 	g.Expect(here.usable("engine-01-001")).To(gomega.BeFalse())
 }
 
-// TestHomesMoveOnlyWithTheirNode: the loss of a node moves its engines only,
-// and spreads them.
-func TestHomesMoveOnlyWithTheirNode(t *testing.T) {
+// Guards against a node's loss moving the homes of other nodes' engines, and
+// against moving all of its engines to one node.
+func TestNodeLossMovesOnlyItsEngines(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := newSimulation(9, 1, 10, 200)
 	s.run(10 * time.Second)
@@ -318,12 +312,12 @@
 		}
 	}
 	g.Expect(counts).To(gomega.HaveLen(9))
-	g.Expect(s.disagreement()).To(gomega.Succeed())
+	g.Expect(s.checkViews()).To(gomega.Succeed())
 	_, ok := membership.Owner("engine/x", nil)
 	g.Expect(ok).To(gomega.BeFalse())
 }
 
-// TestSummaryTreeReachesEveryPositionOnce for zones of any size.
+// Guards against members that a summary reaches twice or never.
 func TestSummaryTreeReachesEveryPositionOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for size := range 50 {
--- a/internal/fleet/registry/simulation_test.go
+++ b/internal/fleet/registry/simulation_test.go
@@ -15,8 +15,8 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// simulation runs many registries in virtual time. Its members are known by
-// an oracle that lags as package swim does.
+// simulation runs many registries in virtual time. Membership views come from
+// the true state, after a delay like that of package swim.
 type simulation struct {
 	clock   *virtualtime.Clock
 	random  *rand.Rand
@@ -25,30 +25,30 @@
 	engines map[string]*fakeEngine
 	names   []string // of hosts, in order
 
-	revision  uint64
-	storeDown bool
-	loss      float64
-	cut       func(a, b *host) bool
-	// forgetful: a paused host loses what is sent to it.
-	forgetful bool
-	viewLag   time.Duration
-	// listLag is the age of the machine list that readers get.
+	revision    uint64
+	storeDown   bool
+	loss        float64
+	partitioned func(a, b *host) bool
+	// dropWhilePaused makes a paused host lose what is sent to it.
+	dropWhilePaused bool
+	viewLag         time.Duration
+	// listLag is the age of the machine list that readers receive.
 	listLag time.Duration
 
-	sent, received map[string]float64 // bytes on the wire, by host
+	sent, received map[string]float64 // bytes on the wire by host
 }
 
 type host struct {
-	member      membership.Member
-	registry    *Registry
-	up          bool
-	life        int
-	pausedUntil time.Time
-	started     time.Time
-	snapshot    *fleet.Snapshot
-	homes       map[string]bool // as home events say
-	online      int             // online requests as home events say
-	read        uint64
+	member       membership.Member
+	registry     *Registry
+	up           bool
+	incarnation  int
+	pausedUntil  time.Time
+	started      time.Time
+	snapshot     *fleet.Snapshot
+	homes        map[string]bool // according to home events
+	online       int             // online requests according to home events
+	readRevision uint64
 }
 
 type fakeEngine struct {
@@ -56,7 +56,7 @@
 	up       bool
 	silent   bool
 	draining bool
-	leaving  bool // on the machine list, from leavingAt on
+	leaving  bool // on the machine list; listedAt is the time it was put there
 	listedAt time.Time
 	running  int
 }
@@ -108,16 +108,16 @@
 }
 
 func (s *simulation) boot(h *host) {
-	h.life++
-	h.up, h.pausedUntil, h.started, h.read = true, time.Time{}, s.clock.Now(), 0
+	h.incarnation++
+	h.up, h.pausedUntil, h.started, h.readRevision = true, time.Time{}, s.clock.Now(), 0
 	h.homes, h.online = map[string]bool{}, 0
 	h.registry = New(Config{Self: h.member, Seed: s.random.Uint64()}, s.clock.Now())
 	h.snapshot = &fleet.Snapshot{}
 	s.membersChanged()
-	s.clock.After(joinLag, func() { // it learns the members from a seed at once
-		s.carry(h, h.registry.SetView(s.clock.Now(), s.view()))
+	s.clock.After(joinLag, func() { // as if learned from a seed node
+		s.execute(h, h.registry.SetView(s.clock.Now(), s.view()))
 	})
-	s.tickLater(h, h.life, s.between(0, 50*time.Millisecond))
+	s.tickLater(h, h.incarnation, s.randomDuration(0, 50*time.Millisecond))
 }
 
 func (s *simulation) stop(h *host) {
@@ -125,13 +125,13 @@
 	s.membersChanged()
 }
 
-// membersChanged shows all nodes the present members, a while later.
+// membersChanged delivers the current view to all nodes after viewLag.
 func (s *simulation) membersChanged() {
 	s.clock.After(s.viewLag, func() {
 		view := s.view()
 		for _, name := range s.names {
 			if h := s.hosts[name]; h.up {
-				s.carry(h, h.registry.SetView(s.clock.Now(), view))
+				s.execute(h, h.registry.SetView(s.clock.Now(), view))
 			}
 		}
 	})
@@ -149,26 +149,26 @@
 	return view
 }
 
-func (s *simulation) between(low, high time.Duration) time.Duration {
+func (s *simulation) randomDuration(low, high time.Duration) time.Duration {
 	return low + time.Duration(s.random.Int64N(int64(high-low)+1))
 }
 
-func (s *simulation) tickLater(h *host, life int, delay time.Duration) {
+func (s *simulation) tickLater(h *host, incarnation int, delay time.Duration) {
 	s.clock.After(delay, func() {
-		if !h.up || h.life != life {
+		if !h.up || h.incarnation != incarnation {
 			return
 		}
 		if now := s.clock.Now(); now.Before(h.pausedUntil) {
-			s.tickLater(h, life, h.pausedUntil.Sub(now)+time.Millisecond)
+			s.tickLater(h, incarnation, h.pausedUntil.Sub(now)+time.Millisecond)
 			return
 		}
 		s.readStore(h)
-		s.carry(h, h.registry.Tick(s.clock.Now()))
-		s.tickLater(h, life, 50*time.Millisecond)
+		s.execute(h, h.registry.Tick(s.clock.Now()))
+		s.tickLater(h, incarnation, 50*time.Millisecond)
 	})
 }
 
-// readStore does the shell's part at elected readers.
+// readStore reads store and machine list on readers, like package tracker.
 func (s *simulation) readStore(h *host) {
 	now := s.clock.Now()
 	if s.storeDown || now.Sub(h.started) < 2*time.Second {
@@ -179,28 +179,28 @@
 		if reader.Name != h.member.Name {
 			continue
 		}
-		if h.read != s.revision {
-			h.read = s.revision
-			s.carry(h, h.registry.HandleStore(now, s.revision, s.specs()))
+		if h.readRevision != s.revision {
+			h.readRevision = s.revision
+			s.execute(h, h.registry.HandleStore(now, s.revision, s.specs()))
 		}
 		if rank == 0 && now.UnixMilli()%2000 < 50 {
-			s.carry(h, h.registry.SetMachinesLeaving(now, s.leavingMachines()))
+			s.execute(h, h.registry.SetMachinesLeaving(now, s.leavingMachines()))
 		}
 	}
 }
 
 func (s *simulation) specs() []fleet.Spec {
 	var specs []fleet.Spec
-	for _, one := range s.engines {
-		specs = append(specs, one.spec)
+	for _, e := range s.engines {
+		specs = append(specs, e.spec)
 	}
 	return specs
 }
 
 func (s *simulation) leavingMachines() []string {
 	var names []string
-	for name, one := range s.engines {
-		if one.leaving && s.clock.Now().Sub(one.listedAt) >= s.listLag {
+	for name, e := range s.engines {
+		if e.leaving && s.clock.Now().Sub(e.listedAt) >= s.listLag {
 			names = append(names, name)
 		}
 	}
@@ -209,31 +209,31 @@
 
 func (s *simulation) delay(a, b *host) time.Duration {
 	if a.member.Zone == b.member.Zone {
-		return s.between(500*time.Microsecond, 3*time.Millisecond)
+		return s.randomDuration(500*time.Microsecond, 3*time.Millisecond)
 	}
-	return s.between(time.Millisecond, 40*time.Millisecond)
+	return s.randomDuration(time.Millisecond, 40*time.Millisecond)
 }
 
-func (s *simulation) deliver(h *host, life int, delay time.Duration, run func()) {
+func (s *simulation) deliver(h *host, incarnation int, delay time.Duration, run func()) {
 	s.clock.After(delay, func() {
-		if !h.up || h.life != life {
+		if !h.up || h.incarnation != incarnation {
 			return
 		}
 		if now := s.clock.Now(); now.Before(h.pausedUntil) {
-			if s.forgetful {
+			if s.dropWhilePaused {
 				return
 			}
-			s.deliver(h, life, h.pausedUntil.Sub(now), run)
+			s.deliver(h, incarnation, h.pausedUntil.Sub(now), run)
 			return
 		}
 		run()
 	})
 }
 
-func (s *simulation) linked(a, b *host) bool { return s.cut == nil || !s.cut(a, b) }
+func (s *simulation) connected(a, b *host) bool { return s.partitioned == nil || !s.partitioned(a, b) }
 
-// carry does what a registry asks for.
-func (s *simulation) carry(h *host, output Output) {
+// execute carries out a registry's output.
+func (s *simulation) execute(h *host, output Output) {
 	for _, datagram := range output.Datagrams {
 		s.datagram(h, datagram)
 	}
@@ -264,39 +264,39 @@
 	size := float64(len(datagram.Payload) + wireOverhead)
 	s.sent[from.member.Name] += size
 	to, exists := s.byAddr[datagram.To]
-	if !exists || !s.linked(from, to) || s.random.Float64() < s.loss {
+	if !exists || !s.connected(from, to) || s.random.Float64() < s.loss {
 		return
 	}
 	s.received[to.member.Name] += size
-	s.deliver(to, to.life, s.delay(from, to), func() {
+	s.deliver(to, to.incarnation, s.delay(from, to), func() {
 		output, err := to.registry.HandleDatagram(s.clock.Now(), from.member.Address, datagram.Payload)
 		if err != nil {
 			panic(err)
 		}
-		s.carry(to, output)
+		s.execute(to, output)
 	})
 }
 
 func (s *simulation) pull(from *host, pull Pull) {
 	to, exists := s.byAddr[pull.To]
-	if !exists || !s.linked(from, to) {
+	if !exists || !s.connected(from, to) {
 		return
 	}
-	life := from.life
-	s.deliver(to, to.life, s.delay(from, to), func() {
+	incarnation := from.incarnation
+	s.deliver(to, to.incarnation, s.delay(from, to), func() {
 		answer, err := to.registry.HandlePull(s.clock.Now(), pull.Payload)
-		if err != nil || !s.linked(to, from) {
+		if err != nil || !s.connected(to, from) {
 			return
 		}
 		size := float64(len(answer) + callOverhead)
 		s.sent[to.member.Name] += size
 		s.received[from.member.Name] += size
-		s.deliver(from, life, s.delay(to, from), func() {
+		s.deliver(from, incarnation, s.delay(to, from), func() {
 			output, err := from.registry.HandlePullAnswer(s.clock.Now(), pull.To, answer)
 			if err != nil {
 				panic(err)
 			}
-			s.carry(from, output)
+			s.execute(from, output)
 		})
 	})
 }
@@ -304,46 +304,46 @@
 var errTimeout = errors.New("deadline exceeded")
 
 func (s *simulation) poll(h *host, endpoint *fleet.Endpoint) {
-	life := h.life
+	incarnation := h.incarnation
 	target := s.engines[endpoint.Name]
 	if target == nil || target.silent {
-		s.deliver(h, life, 600*time.Millisecond, func() {
-			s.carry(h, h.registry.HandleLoad(s.clock.Now(), endpoint.Name, engine.Load{}, errTimeout))
+		s.deliver(h, incarnation, 600*time.Millisecond, func() {
+			s.execute(h, h.registry.HandleLoad(s.clock.Now(), endpoint.Name, engine.Load{}, errTimeout))
 		})
 		return
 	}
-	s.deliver(h, life, s.between(time.Millisecond, 3*time.Millisecond), func() {
+	s.deliver(h, incarnation, s.randomDuration(time.Millisecond, 3*time.Millisecond), func() {
 		now := s.clock.Now()
 		if !target.up {
-			s.carry(h, h.registry.HandleLoad(now, endpoint.Name, engine.Load{}, syscall.ECONNREFUSED))
+			s.execute(h, h.registry.HandleLoad(now, endpoint.Name, engine.Load{}, syscall.ECONNREFUSED))
 			return
 		}
 		load := engine.Load{
 			Running: target.running + s.random.IntN(5), Draining: target.draining, Models: target.spec.Models,
 			StepTime: 20 * time.Millisecond, TokensPerStep: 30, FencingToken: 3,
 		}
-		s.carry(h, h.registry.HandleLoad(now, endpoint.Name, load, nil))
+		s.execute(h, h.registry.HandleLoad(now, endpoint.Name, load, nil))
 	})
 }
 
 func (s *simulation) run(duration time.Duration) { s.clock.Run(duration) }
 
-// meetFailures lets each node's own traffic meet the engines that fail.
-func (s *simulation) meetFailures() {
+// reportFailures makes each node's own traffic see the failed engines.
+func (s *simulation) reportFailures() {
 	for _, name := range s.names {
 		h := s.hosts[name]
 		for _, endpoint := range h.snapshot.Endpoints {
-			if truth := s.engines[endpoint.Name]; h.up && !endpoint.Leaving && (truth.silent || !truth.up) {
-				s.carry(h, h.registry.EngineFailed(s.clock.Now(), endpoint.Name))
+			if actual := s.engines[endpoint.Name]; h.up && !endpoint.Leaving && (actual.silent || !actual.up) {
+				s.execute(h, h.registry.EngineFailed(s.clock.Now(), endpoint.Name))
 			}
 		}
 	}
 }
 
-// gone is the truth: the engine must get no new work.
-func (e *fakeEngine) gone() bool { return !e.up || e.silent || e.draining || e.leaving }
+// unavailable reports whether the engine must get no new work.
+func (e *fakeEngine) unavailable() bool { return !e.up || e.silent || e.draining || e.leaving }
 
-// usable says whether a node would send new work to an engine.
+// usable reports whether a node would send new work to an engine.
 func (h *host) usable(name string) bool {
 	for _, endpoint := range h.snapshot.Endpoints {
 		if endpoint.Name == name {
@@ -353,11 +353,11 @@
 	return false
 }
 
-// disagreement tells the first difference between a live node's view and the
-// truth: its zone's engines are all known with the right mark and home, each
-// engine has one home that knows of it, and no other zone's leaving engine is
-// in the sample.
-func (s *simulation) disagreement() error {
+// checkViews returns an error for the first difference between a live node's
+// view and the true state: all engines of its zone are known with the right
+// leaving state and home, each engine has one home that knows of it, and no
+// leaving engine of another zone is in the sample as available.
+func (s *simulation) checkViews() error {
 	view := s.view()
 	homes := map[string]int{}
 	for _, name := range s.names {
@@ -370,29 +370,29 @@
 		}
 		known := 0
 		for _, endpoint := range h.snapshot.Endpoints {
-			truth := s.engines[endpoint.Name]
-			if truth == nil {
+			actual := s.engines[endpoint.Name]
+			if actual == nil {
 				return fmt.Errorf("%s knows %s, which is not listed", name, endpoint.Name)
 			}
 			own := endpoint.Zone == h.member.Zone
 			if own {
 				known++
 			}
-			if endpoint.Leaving != truth.gone() && (own || truth.gone()) {
-				return fmt.Errorf("%s believes %s leaving: %v, and it is %v (silent %v, up %v, draining %v, listed %v)", name,
-					endpoint.Name, endpoint.Leaving, truth.gone(), truth.silent, truth.up, truth.draining, truth.leaving)
+			if endpoint.Leaving != actual.unavailable() && (own || actual.unavailable()) {
+				return fmt.Errorf("%s has %s leaving: %v, want %v (silent %v, up %v, draining %v, listed %v)", name,
+					endpoint.Name, endpoint.Leaving, actual.unavailable(), actual.silent, actual.up, actual.draining, actual.leaving)
 			}
 			owner, _ := membership.Owner("engine/"+endpoint.Name, view.LiveInZone(endpoint.Zone))
 			if own && endpoint.Home != owner.Name {
-				return fmt.Errorf("%s believes %s at home at %q, and it is at %q", name, endpoint.Name, endpoint.Home, owner.Name)
+				return fmt.Errorf("%s has home of %s: %q, want %q", name, endpoint.Name, endpoint.Home, owner.Name)
 			}
 		}
 		if wanted := s.enginesIn(h.member.Zone); known != wanted {
-			return fmt.Errorf("%s knows %d engines of its zone, of %d (ready %v)", name, known, wanted, h.registry.Ready())
+			return fmt.Errorf("%s knows %d engines of its zone, want %d (ready %v)", name, known, wanted, h.registry.Ready())
 		}
 	}
-	for engineName, one := range s.engines {
-		if count := homes[engineName]; count != min(len(view.LiveInZone(one.spec.Zone)), 1) {
+	for engineName, e := range s.engines {
+		if count := homes[engineName]; count != min(len(view.LiveInZone(e.spec.Zone)), 1) {
 			return fmt.Errorf("%s has %d homes", engineName, count)
 		}
 	}
@@ -401,8 +401,8 @@
 
 func (s *simulation) enginesIn(zone string) int {
 	count := 0
-	for _, one := range s.engines {
-		if one.spec.Zone == zone {
+	for _, e := range s.engines {
+		if e.spec.Zone == zone {
 			count++
 		}
 	}
--- a/internal/fleet/registry/summary.go
+++ b/internal/fleet/registry/summary.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// ModelCapacity is what a zone says of one model.
+// ModelCapacity is a zone's capacity for one model.
 type ModelCapacity struct {
 	Model   string `json:"model"`
 	Engines int    `json:"engines"`
@@ -27,32 +27,32 @@
 	Waiting uint32
 }
 
-// maxSummaryModels bounds the models that a summary names.
+// maxSummaryModels bounds the models in a summary.
 const maxSummaryModels = 8
 
-func encodeSummary(one *summary) []byte {
-	out := appendString(nil, one.zone)
-	models := one.models[:min(len(one.models), maxSummaryModels)]
+func encodeSummary(s *summary) []byte {
+	out := appendString(nil, s.zone)
+	models := s.models[:min(len(s.models), maxSummaryModels)]
 	out = append(out, byte(len(models)))
 	for _, model := range models {
 		record := modelRecord{clamp16(model.Engines), uint32(model.Running), uint32(model.Waiting)}
 		out, _ = binary.Append(out, binary.BigEndian, record)
 		out = appendString(out, model.Model)
 	}
-	for i := range one.sample {
-		out = appendEntry(out, &one.sample[i])
+	for i := range s.sample {
+		out = appendEntry(out, &s.sample[i])
 	}
 	return out
 }
 
 func decodeSummary(in []byte) (summary, error) {
-	var one summary
+	var s summary
 	var err error
-	if one.zone, in, err = cutString(in); err != nil {
-		return one, err
+	if s.zone, in, err = cutString(in); err != nil {
+		return s, err
 	}
 	if len(in) == 0 {
-		return one, fmt.Errorf("%w: short summary", errRecord)
+		return s, fmt.Errorf("%w: short summary", errRecord)
 	}
 	count := int(in[0])
 	in = in[1:]
@@ -60,16 +60,16 @@
 		var record modelRecord
 		size, err := binary.Decode(in, binary.BigEndian, &record)
 		if err != nil {
-			return one, fmt.Errorf("%w: %w", errRecord, err)
+			return s, fmt.Errorf("%w: %w", errRecord, err)
 		}
 		var name string
 		if name, in, err = cutString(in[size:]); err != nil {
-			return one, err
+			return s, err
 		}
-		one.models = append(one.models, ModelCapacity{
+		s.models = append(s.models, ModelCapacity{
 			Model: name, Engines: int(record.Engines), Running: int(record.Running), Waiting: int(record.Waiting),
 		})
 	}
-	one.sample, err = decodeEntries(in)
-	return one, err
+	s.sample, err = decodeEntries(in)
+	return s, err
 }
--- a/internal/fleet/registry/zones.go
+++ b/internal/fleet/registry/zones.go
@@ -10,30 +10,31 @@
 )
 
 const (
-	// sampleTotal is shared among the other zones, so that what a node keeps
-	// and receives of them does not grow with their number.
-	sampleTotal = 48
-	sampleLeast = 4
-	sampleMost  = 8
+	// sampleTotal is divided among the other zones, so that the state and
+	// traffic for them do not grow with their number.
+	sampleTotal   = 48
+	minSampleSize = 4
+	maxSampleSize = 8
 	// maxSummaryBytes keeps a summary within one datagram.
 	maxSummaryBytes = 1250
-	// treeFanout is the number of members to whom each passes a summary on.
+	// treeFanout is the number of children in a forwarding tree.
 	treeFanout = 2
 )
 
-// summaryInterval is the time between two summaries of a zone.
+// summaryInterval returns the interval between summaries of a zone.
 func (r *Registry) summaryInterval() time.Duration {
-	return max(r.config.SummaryInterval, time.Duration(len(r.view.Zones()))*summaryShare)
+	return max(r.config.SummaryInterval, time.Duration(len(r.view.Zones()))*summaryIntervalPerZone)
 }
 
-// sampleSize is the number of engines in a summary.
+// sampleSize returns the number of engines in a summary.
 func (r *Registry) sampleSize() int {
 	zones := len(r.view.Zones())
-	return min(max(sampleTotal/max(zones-1, 1), sampleLeast), sampleMost)
+	return min(max(sampleTotal/max(zones-1, 1), minSampleSize), maxSampleSize)
 }
 
-// sendSummaries makes a delegate of this zone tell the other zones its
-// capacity and a sample of its best engines, another one for each.
+// sendSummaries sends, on a delegate, the zone's capacity and a sample of its
+// engines to this delegate's share of the other zones. Each zone gets a
+// different sample.
 func (r *Registry) sendSummaries(now time.Time) {
 	rank := r.delegateRank()
 	if rank < 0 || !r.ready {
@@ -46,23 +47,23 @@
 		if zone == r.self.Zone {
 			continue
 		}
-		// The delegates share the zones, and change over with each summary.
+		// The delegates divide the zones, and rotate with each summary.
 		turn++
-		speakers := r.delegatesOf(zone)
-		if len(speakers) == 0 {
+		receivers := r.delegatesOf(zone)
+		if len(receivers) == 0 {
 			continue
 		}
 		if (turn+int(now.UnixMilli()/r.summaryInterval().Milliseconds()))%len(r.delegatesOf(r.self.Zone)) != rank {
 			continue
 		}
-		one := summary{zone: r.self.Zone, models: capacities, sample: r.sampleFor(now)}
-		body := encodeSummary(&one)
-		for len(body) > maxSummaryBytes && len(one.sample) > 0 {
-			one.sample = one.sample[:len(one.sample)-1]
-			body = encodeSummary(&one)
+		s := summary{zone: r.self.Zone, models: capacities, sample: r.sampleFor(now)}
+		body := encodeSummary(&s)
+		for len(body) > maxSummaryBytes && len(s.sample) > 0 {
+			s.sample = s.sample[:len(s.sample)-1]
+			body = encodeSummary(&s)
 		}
 		head := datagramHeader{Type: typeSummary, Zone: r.version.Zone, Sequence: r.sequence}
-		r.datagram(speakers[r.random.IntN(len(speakers))].Address, head, body)
+		r.datagram(receivers[r.random.IntN(len(receivers))].Address, head, body)
 	}
 }
 
@@ -75,7 +76,7 @@
 	return -1
 }
 
-// capacities sums up the zone's engines for each model.
+// capacities returns the zone's capacity by model, leaving engines excluded.
 func (r *Registry) capacities() []ModelCapacity {
 	byModel := map[string]*ModelCapacity{}
 	for _, state := range r.engines {
@@ -101,25 +102,25 @@
 	return capacities
 }
 
-// sampleFor picks engines that take work, at random and the less loaded of
-// two each time, so that zones don't herd on the same few.
+// sampleFor picks random engines that take work, the less loaded of two each
+// time, so that other zones do not all pick the same few.
 func (r *Registry) sampleFor(now time.Time) []entry {
-	var free []*engineState
+	var available []*engineState
 	for _, name := range r.names {
 		if state := r.engines[EngineID(name)]; state.sources == 0 {
-			free = append(free, state)
+			available = append(available, state)
 		}
 	}
-	r.random.Shuffle(len(free), func(i, j int) { free[i], free[j] = free[j], free[i] })
-	size := min(r.sampleSize(), len(free))
+	r.random.Shuffle(len(available), func(i, j int) { available[i], available[j] = available[j], available[i] })
+	size := min(r.sampleSize(), len(available))
 	for i := range size {
 		other := size + i
-		if other < len(free) && onlineLoad(free[other]) < onlineLoad(free[i]) {
-			free[i], free[other] = free[other], free[i]
+		if other < len(available) && onlineLoad(available[other]) < onlineLoad(available[i]) {
+			available[i], available[other] = available[other], available[i]
 		}
 	}
 	sample := make([]entry, 0, size)
-	for _, state := range free[:size] {
+	for _, state := range available[:size] {
 		sample = append(sample, r.entryOf(now, state))
 	}
 	return sample
@@ -134,63 +135,63 @@
 	}
 }
 
-// handleSummary keeps another zone's newest summary and passes it on.
+// handleSummary adopts another zone's newest summary and forwards it.
 func (r *Registry) handleSummary(now time.Time, head datagramHeader, body []byte) error {
-	one, err := decodeSummary(body)
+	received, err := decodeSummary(body)
 	if err != nil {
 		return err
 	}
-	if head.Zone == r.version.Zone || zoneID(one.zone) != head.Zone {
+	if head.Zone == r.version.Zone || zoneID(received.zone) != head.Zone {
 		return nil
 	}
 	known, exists := r.samples[head.Zone]
 	if exists && head.Sequence <= known.sequence && now.Sub(known.heard) < 2*r.summaryInterval() {
-		// The tree's root has a place in the tree too.
+		// The delegate at position 0 has a second position.
 		if head.Sequence == known.sequence && head.Position > known.position {
 			known.position = head.Position
-			r.passOn(head, body)
+			r.forwardSummary(head, body)
 		}
 		return nil
 	}
-	sample := r.newSample(now, &one)
+	sample := r.newSample(now, &received)
 	sample.sequence, sample.position = head.Sequence, head.Position
-	r.passOn(head, body)
+	r.forwardSummary(head, body)
 	return nil
 }
 
-// newSample puts another zone's summary in place of what was known of it.
-func (r *Registry) newSample(now time.Time, one *summary) *zoneSample {
-	sample := &zoneSample{zone: one.zone, heard: now, models: one.models, engines: map[uint64]*engineState{}}
-	for i := range one.sample {
-		state := stateOf(now, &one.sample[i])
+// newSample replaces a zone's sample by a newer summary.
+func (r *Registry) newSample(now time.Time, s *summary) *zoneSample {
+	sample := &zoneSample{zone: s.zone, heard: now, models: s.models, engines: map[uint64]*engineState{}}
+	for i := range s.sample {
+		state := stateOf(now, &s.sample[i])
 		state.home = r.remoteHome(&state.spec)
-		if marked, exists := r.remote[state.id]; exists {
+		if marked, exists := r.remoteUpdates[state.id]; exists {
 			state.sources = marked.sources
 		}
 		sample.engines[state.id] = state
 	}
-	r.samples[zoneID(one.zone)] = sample
+	r.samples[zoneID(s.zone)] = sample
 	r.dirty = true
 	return sample
 }
 
-// remoteHome computes another zone's home of an engine from the members known.
+// remoteHome returns the home of another zone's engine.
 func (r *Registry) remoteHome(spec *fleet.Spec) string {
 	owner, _ := membership.Owner("engine/"+spec.Name, r.view.LiveInZone(spec.Zone))
 	return owner.Name
 }
 
-func stateOf(now time.Time, one *entry) *engineState {
-	facts := engine.Load{Models: one.models, Adapters: one.adapters, FencingToken: one.token}
+func stateOf(now time.Time, e *entry) *engineState {
+	metadata := engine.Load{Models: e.models, Adapters: e.adapters, FencingToken: e.token}
 	return &engineState{
-		id: one.record.Engine, spec: one.spec, sources: one.record.Sources, heard: now,
-		load: decodeLoad(now, &one.record, facts), facts: one.record.Facts,
+		id: e.record.Engine, spec: e.spec, sources: e.record.Sources, heard: now,
+		load: decodeLoad(now, &e.record, metadata), metadata: e.record.Metadata,
 	}
 }
 
-// passOn hands a summary to the next members of a tree over the zone, whose
-// order is another one for each summary, so that all carry the same share.
-func (r *Registry) passOn(head datagramHeader, body []byte) {
+// forwardSummary sends a summary to this node's children in the forwarding
+// tree, whose order differs for each summary to spread the traffic.
+func (r *Registry) forwardSummary(head datagramHeader, body []byte) {
 	order := r.treeOrder(head)
 	first, last := children(int(head.Position), len(order))
 	for position := first; position < last; position++ {
@@ -200,10 +201,10 @@
 	}
 }
 
-// children returns the positions, first to last-1, that the one at position
-// hands a summary to, in a tree over positions 1 to size. Position 0 is the
-// delegate that another zone sent it to: it has more to carry than others, and
-// hands it to the tree's root only.
+// children returns the positions, first to last-1, to which a position
+// forwards a summary, in a tree over positions 1 to size. Position 0 is the
+// delegate that received it from another zone; it sends to the root only, as
+// it carries more traffic than other members.
 func children(position, size int) (first, last int) {
 	if position == 0 {
 		return 1, min(1, size) + 1
@@ -212,7 +213,7 @@
 	return first, min(first+treeFanout, size+1)
 }
 
-// treeOrder is the zone's live members in an order that depends on the
+// treeOrder returns the zone's live members in an order that depends on the
 // summary; order[i] is at position i+1.
 func (r *Registry) treeOrder(head datagramHeader) []membership.Member {
 	role := []byte("summary/")
@@ -223,13 +224,13 @@
 	return order
 }
 
-// handleRemoteMark takes in a mark of another zone's engine and passes it on.
-func (r *Registry) handleRemoteMark(now time.Time, head datagramHeader, records []loadRecord, body []byte) {
+// handleRemoteUpdate applies another zone's update and forwards it if asked.
+func (r *Registry) handleRemoteUpdate(now time.Time, head datagramHeader, records []loadRecord, body []byte) {
 	for i := range records {
-		r.remote[records[i].Engine] = remoteMark{sources: records[i].Sources, until: now.Add(remoteMarkExpiry)}
+		r.remoteUpdates[records[i].Engine] = remoteUpdate{sources: records[i].Sources, until: now.Add(remoteUpdateExpiry)}
 	}
 	if sample, exists := r.samples[head.Zone]; exists {
-		r.markSample(now, sample, records)
+		r.updateSample(now, sample, records)
 	}
 	if head.Flags&flagForward == 0 {
 		return
@@ -240,26 +241,26 @@
 	}
 }
 
-func (r *Registry) markSample(now time.Time, sample *zoneSample, records []loadRecord) {
+func (r *Registry) updateSample(now time.Time, sample *zoneSample, records []loadRecord) {
 	for i := range records {
 		state, known := sample.engines[records[i].Engine]
 		if !known {
 			continue
 		}
 		state.load = decodeLoad(now, &records[i], state.load)
-		r.touch(state)
+		r.invalidate(state)
 		r.setSources(state, records[i].Sources, sample.zone)
 	}
 }
 
-// ZoneCapacity is what is known of a zone's capacity.
+// ZoneCapacity is a zone's capacity as last reported.
 type ZoneCapacity struct {
 	Zone   string          `json:"zone"`
 	Heard  time.Time       `json:"heard"`
 	Models []ModelCapacity `json:"models"`
 }
 
-// Capacities lists this zone's capacity and what the others said last.
+// Capacities returns this zone's capacity and the others' last reported.
 func (r *Registry) Capacities(now time.Time) []ZoneCapacity {
 	list := []ZoneCapacity{{Zone: r.self.Zone, Heard: now, Models: r.capacities()}}
 	for _, sample := range r.samples {
--- a/internal/fleet/tracker/events.go
+++ b/internal/fleet/tracker/events.go
@@ -14,17 +14,17 @@
 	eventBadEngine   = telemetry.Define(7024, "bad engine object", "an object of kind engines in the store could not be read and was left out")
 )
 
-// decisionEvents gives the event of each kind of the registry's decisions.
+// decisionEvents maps the registry's decisions to log events.
 var decisionEvents = map[registry.DecisionKind]telemetry.Event{
-	registry.DecidedHome:         telemetry.Define(7001, "home gained", "this node is home of the engine by rendezvous hashing over the zone's live members"),
+	registry.DecidedHome:         telemetry.Define(7001, "home gained", "this node became the home of the engine by rendezvous hashing over the zone's live members"),
 	registry.DecidedLostHome:     telemetry.Define(7002, "home lost", "the engine has another home, or left the list"),
 	registry.DecidedLeaving:      telemetry.Define(7003, "engine leaving", "the engine gets no new work; the sources say why"),
-	registry.DecidedBack:         telemetry.Define(7004, "engine back", "no source says any more that the engine leaves"),
+	registry.DecidedBack:         telemetry.Define(7004, "engine back", "no source reports the engine as leaving any more"),
 	registry.DecidedList:         telemetry.Define(7005, "engine list in force", "a newer list of the zone's engines is in use"),
 	registry.DecidedListRefused:  telemetry.Define(7006, "engine list refused", "the store's list has a lower revision than the one in use: the store holds an old copy"),
 	registry.DecidedReady:        telemetry.Define(7007, "fleet view whole", "this node knows the zone's engines and may route"),
-	registry.DecidedStale:        telemetry.Define(7008, "fleet view stale", "this node was paused; it routes nothing until it pulled a peer's view"),
-	registry.DecidedSelfDoubt:    telemetry.Define(7009, "engines silent together", "all engines of this home time out at once; its own network is doubted and nothing is shared"),
-	registry.DecidedZoneExpired:  telemetry.Define(7010, "zone silent", "nothing was heard of another zone; its engines get no work from here"),
-	registry.DecidedNotConfirmed: telemetry.Define(7011, "failure not confirmed", "a gateway saw an engine fail, and its home found it well"),
+	registry.DecidedStale:        telemetry.Define(7008, "fleet view stale", "this node was paused; it routes nothing until it has pulled a peer's view"),
+	registry.DecidedLocalFault:   telemetry.Define(7009, "engines silent together", "all engines of this home time out at once; the home suspects its own network and does not report them as failed"),
+	registry.DecidedZoneExpired:  telemetry.Define(7010, "zone silent", "no summary of another zone arrived in time; its engines get no work from this node"),
+	registry.DecidedNotConfirmed: telemetry.Define(7011, "failure not confirmed", "a gateway reported that an engine failed, and a poll by its home succeeded"),
 }
