--- a/internal/fleet/tracker/reader.go
+++ b/internal/fleet/tracker/reader.go
@@ -19,44 +19,45 @@
 )
 
 const (
-	// electionGrace is the wait after a start before this node reads the
-	// store, so that a region that starts as a whole first knows its members;
-	// aloneGrace is the wait while it knows no other.
+	// electionGrace is the delay after a start before this node reads the
+	// store, so that nodes that start together learn of each other first;
+	// aloneGrace is the delay while it knows no other node of its region.
 	electionGrace = 1500 * time.Millisecond
 	aloneGrace    = 3 * time.Second
-	// electionInterval is the longest time between two elections; a changed
-	// view brings one at once.
+	// electionInterval is the maximum interval between elections; a changed
+	// view triggers one at once.
 	electionInterval = 500 * time.Millisecond
-	// applyDelay collects the events of a watch into one change of the list.
+	// applyDelay batches the events of a watch into one change.
 	applyDelay = 200 * time.Millisecond
-	// machinesInterval is the least time between two reads of the machine
-	// list; machinesBytes a machine at machinesBudget bytes a second stretch it.
+	// machinesInterval is the minimum interval between reads of the machine
+	// list. The interval grows with the list, assuming machinesBytes per
+	// machine and machinesBudget bytes per second.
 	machinesInterval = 2 * time.Second
 	machinesBytes    = 100
 	machinesBudget   = 4096
-	longestBackoff   = 5 * time.Second
+	maxBackoff       = 5 * time.Second
 )
 
-// reader reads the store's engines and the machine list while this node is
-// elected; at most registry.Readers nodes of a region do, and the first of
-// them reads the machine list.
+// reader reads the store's engines while this node is elected, as are at most
+// registry.Readers nodes per region. The first of them also reads the machine
+// list.
 type reader struct {
-	tracker *Tracker
-	started time.Time
-	next    time.Time        // of the next election
-	elected *membership.View // the view of the last one
-	running atomic.Bool
-	first   atomic.Bool
+	tracker       *Tracker
+	started       time.Time
+	next          time.Time        // time of the next election
+	electedView   *membership.View // view of the last election
+	running       atomic.Bool
+	readsMachines atomic.Bool
 
-	// cancel and done belong to the goroutine of Run.
+	// cancel and done are used by the goroutine of Run only.
 	cancel context.CancelFunc
 	done   sync.WaitGroup
 
-	// objects belongs to the watching goroutine.
+	// objects is used by the goroutine of readEngines only.
 	objects map[string]fleet.Spec
 }
 
-// elect starts or stops reading as the view says.
+// elect starts or stops reading by the election among the view's members.
 func (r *reader) elect(ctx context.Context, now time.Time, view *membership.View) {
 	if r.tracker.config.Store == nil || view == nil {
 		return
@@ -64,10 +65,10 @@
 	if r.started.IsZero() {
 		r.started = now
 	}
-	if view == r.elected && now.Before(r.next) {
+	if view == r.electedView && now.Before(r.next) {
 		return
 	}
-	r.elected, r.next = view, now.Add(electionInterval)
+	r.electedView, r.next = view, now.Add(electionInterval)
 	self := r.tracker.config.Registry.Self
 	candidates := view.LiveInRegion(self.Region)
 	grace := electionGrace
@@ -82,7 +83,7 @@
 	for rank, member := range elected {
 		if member.Name == self.Name {
 			chosen = true
-			r.first.Store(rank == 0)
+			r.readsMachines.Store(rank == 0)
 		}
 	}
 	switch {
@@ -128,7 +129,7 @@
 // readEngines lists and then watches the engines until ctx ends.
 func (r *reader) readEngines(ctx context.Context) {
 	waits := backoff.NewExponentialBackOff()
-	waits.MaxInterval = longestBackoff
+	waits.MaxInterval = maxBackoff
 	for ctx.Err() == nil {
 		revision, err := r.list(ctx)
 		if err == nil {
@@ -152,13 +153,13 @@
 	}
 	r.objects = make(map[string]fleet.Spec, len(objects))
 	for _, object := range objects {
-		r.keep(object)
+		r.put(object)
 	}
 	r.apply(ctx, revision)
 	return revision, nil
 }
 
-func (r *reader) keep(object platform.Object) {
+func (r *reader) put(object platform.Object) {
 	spec := fleet.Spec{}
 	if err := json.Unmarshal(object.Spec, &spec); err != nil || spec.Address == "" || spec.Zone == "" {
 		eventBadEngine.Error(err, "engine", object.Name)
@@ -182,7 +183,7 @@
 	})
 }
 
-// watch takes the changes after a revision, collected for applyDelay.
+// watch applies changes after a revision, batched over applyDelay.
 func (r *reader) watch(ctx context.Context, revision uint64) error {
 	events := make(chan platform.Event)
 	failed := make(chan error, 1)
@@ -203,7 +204,7 @@
 		select {
 		case event := <-events:
 			revision = max(revision, event.Object.Revision)
-			r.take(event)
+			r.applyEvent(event)
 			if due == nil {
 				due = time.After(applyDelay)
 			}
@@ -216,20 +217,20 @@
 	}
 }
 
-func (r *reader) take(event platform.Event) {
+func (r *reader) applyEvent(event platform.Event) {
 	switch event.Type {
 	case platform.EventAdded, platform.EventModified:
-		r.keep(event.Object)
+		r.put(event.Object)
 	case platform.EventDeleted:
 		delete(r.objects, event.Object.Name)
 	}
 }
 
-// readMachines reads the machine list, at a rate that its size bounds.
+// readMachines polls the machine list, at an interval by its size.
 func (r *reader) readMachines(ctx context.Context) {
 	interval := machinesInterval
 	for ctx.Err() == nil {
-		if r.first.Load() {
+		if r.readsMachines.Load() {
 			interval = r.machinesOnce(ctx)
 		}
 		sleep(ctx, interval/2+rand.N(interval))
@@ -242,7 +243,7 @@
 		if ctx.Err() == nil {
 			eventStoreFailed.Error(err, "step", "machines")
 		}
-		return longestBackoff
+		return maxBackoff
 	}
 	var leaving []string
 	for _, machine := range machines {
--- a/internal/fleet/tracker/tracker.go
+++ b/internal/fleet/tracker/tracker.go
@@ -1,6 +1,6 @@
-// Package tracker runs the registry of engines: it polls this node's engines,
-// sends and takes the messages, reads the store when elected, and publishes
-// the snapshot that routing reads.
+// Package tracker drives the registry of engines: it polls engines, sends and
+// receives messages, reads the store when elected, and publishes the snapshot
+// that routing reads.
 package tracker
 
 import (
@@ -36,35 +36,36 @@
 	pullTimeout      = 2 * time.Second
 	workers          = 16
 	workQueue        = 256
-	// staleSnapshot is the age of the last tick from which a snapshot is not
-	// served: the process was paused.
+	// staleSnapshot is the age of the last tick at which the snapshot is no
+	// longer served, because the process was paused.
 	staleSnapshot = 3 * time.Second
-	// idleClient is how long the client of an engine that is not in the
-	// snapshot is kept.
+	// idleClient is how long an unused client is kept for an engine that is
+	// not in the snapshot.
 	idleClient    = 10 * time.Minute
 	pruneInterval = time.Minute
 )
 
-// Config sets a tracker up.
+// Config configures a tracker.
 type Config struct {
 	Registry registry.Config
 	Members  membership.Source
 	Sender   transport.Sender
 	Receiver transport.Receiver
 	// Store and Machines are used only while this node is elected to read
-	// them; nil means that it never is.
+	// them; if nil, it never reads them.
 	Store    platform.Store
 	Machines platform.Machines
-	// Dial makes the client of an engine at "ip:port".
+	// Dial returns a client of the engine at "ip:port".
 	Dial func(address string) engine.Client
-	// Listener takes the events of this node's engines; may be nil.
+	// Listener receives the events of this node's engines; may be nil.
 	Listener fleet.HomeListener
-	// OnMachines is given the machine list when this node read it; may be nil.
+	// OnMachines receives the machine list when it was read; may be nil.
 	OnMachines func([]platform.Machine)
 }
 
 // Tracker implements fleet.Source, fleet.Clients, fleet.OnlineObserver and
-// fleet.FailureObserver; all methods may be called concurrently.
+// fleet.FailureObserver. Other than Run, its exported methods are safe for
+// concurrent use.
 type Tracker struct {
 	config   Config
 	work     pond.Pool
@@ -72,10 +73,12 @@
 	empty    *fleet.Snapshot
 	lastTick atomic.Int64 // Unix nanoseconds
 
-	// delivery orders the home events; it is taken before mutex, and held
-	// while the listener runs.
+	// delivery serializes the home events. It is acquired before mutex and
+	// held while the listener runs.
 	delivery sync.Mutex
-	// mutex guards what follows; nothing is sent while it is held.
+	// mutex guards registry, events and nextSnapshot; nothing is sent while it
+	// is held. view, nextAnnounce and nextPrune belong to the goroutine of
+	// Run.
 	mutex        sync.Mutex
 	registry     *registry.Registry
 	view         *membership.View
@@ -107,7 +110,7 @@
 	_ fleet.FailureObserver = (*Tracker)(nil)
 )
 
-// New returns a tracker and registers its handlers; Run starts it.
+// New returns a tracker and registers its message handlers; Run starts it.
 func New(config Config) *Tracker {
 	now := time.Now()
 	config.Registry.Self = config.Members.Self()
@@ -170,7 +173,7 @@
 	}
 }
 
-// step runs the registry once and carries out what it asks for.
+// step calls the registry under the mutex and executes its output.
 func (t *Tracker) step(ctx context.Context, run func(now time.Time) registry.Output) {
 	now := time.Now()
 	t.mutex.Lock()
@@ -190,7 +193,7 @@
 			"sources", decision.Sources.Names(), "peer", decision.Peer, "revision", decision.Revision)
 	}
 	for _, datagram := range output.Datagrams {
-		// A datagram may be lost anyway; the registry repeats what matters.
+		// Datagrams may be lost anyway; the registry repeats important ones.
 		_ = t.config.Sender.Datagram(datagram.To, KindDatagram, datagram.Payload)
 	}
 	for _, pull := range output.Pulls {
@@ -201,7 +204,7 @@
 	}
 }
 
-// deliver hands the home events over in order.
+// deliver passes the home events to the listener in order.
 func (t *Tracker) deliver(now time.Time) {
 	if t.config.Listener == nil {
 		return
@@ -220,7 +223,7 @@
 func (t *Tracker) startPoll(ctx context.Context, poll registry.Poll) {
 	_, accepted := t.work.TrySubmit(func() { t.poll(ctx, poll.Endpoint) })
 	if !accepted {
-		t.finishPoll(ctx, poll.Endpoint, engine.Load{}, trace.LimitExceeded("too many polls wait"))
+		t.finishPoll(ctx, poll.Endpoint, engine.Load{}, trace.LimitExceeded("the queue of polls is full"))
 	}
 }
 
@@ -243,7 +246,7 @@
 	defer cancel()
 	answer, err := t.config.Sender.Call(limited, pull.To, KindPull, pull.Payload)
 	if err != nil {
-		return // the registry asks again
+		return // the registry retries
 	}
 	t.step(ctx, func(now time.Time) registry.Output {
 		output, failure := t.registry.HandlePullAnswer(now, pull.To, answer)
@@ -292,7 +295,7 @@
 }
 
 // Snapshot returns the newest snapshot. It is empty while the node's view is
-// not whole, and right after a pause.
+// incomplete, and right after a pause.
 func (t *Tracker) Snapshot() *fleet.Snapshot {
 	if last := t.lastTick.Load(); last != 0 && time.Now().UnixNano()-last > int64(staleSnapshot) {
 		return t.empty
@@ -300,24 +303,25 @@
 	return t.snapshot.Load()
 }
 
-// Ready says whether the node's view of the engines is whole.
+// Ready reports whether the node's view of the engines is complete.
 func (t *Tracker) Ready() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.registry.Ready()
 }
 
-// Inspect runs a query on the registry; it must not keep it.
+// Inspect runs a query on the registry under the mutex; the query must not
+// retain the registry.
 func (t *Tracker) Inspect(query func(now time.Time, registry *registry.Registry)) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	query(time.Now(), t.registry)
 }
 
-// Reading says whether this node reads the store for its region.
+// Reading reports whether this node reads the store for its region.
 func (t *Tracker) Reading() bool { return t.reader.running.Load() }
 
-// Client returns the client of an endpoint, shared by all its users.
+// Client returns the client of an endpoint, shared by all callers.
 func (t *Tracker) Client(endpoint *fleet.Endpoint) engine.Client {
 	t.clientMutex.Lock()
 	defer t.clientMutex.Unlock()
@@ -330,7 +334,7 @@
 	return shared.client
 }
 
-// pruneClients drops clients of engines that are gone.
+// pruneClients drops idle clients of engines that are not in the snapshot.
 func (t *Tracker) pruneClients(now time.Time) {
 	listed := map[string]bool{}
 	for _, endpoint := range t.snapshot.Load().Endpoints {
@@ -364,7 +368,7 @@
 	t.sendAnnouncements(datagrams)
 }
 
-// OnlineFinished tells the engine's home, a little later, that a request ended.
+// OnlineFinished queues the end of a request for the engine's home.
 func (t *Tracker) OnlineFinished(endpoint *fleet.Endpoint, requestID string) {
 	record := announcement(endpoint, requestID)
 	home, local := t.homeOf(endpoint)
@@ -398,7 +402,7 @@
 	}
 }
 
-// EngineFailed asks the engine's home to look at it.
+// EngineFailed asks the engine's home to poll it at once.
 func (t *Tracker) EngineFailed(endpoint *fleet.Endpoint) {
 	t.step(context.Background(), func(now time.Time) registry.Output {
 		return t.registry.EngineFailed(now, endpoint.Name)
