--- a/internal/node/batch.go
+++ b/internal/node/batch.go
@@ -15,15 +15,16 @@
 	"chutelock.dev/chutelock/internal/settings"
 )
 
-// batch is the node's part in batch jobs: keeping them and running items.
+// batch combines the service that stores batch jobs with the dispatcher that
+// runs their items.
 type batch struct {
 	*service.Service
 	dispatcher *dispatch.Dispatcher
 }
 
-// runsOn gives the batch part its engines; name is unique to this run of the
-// node.
-func (b *batch) runsOn(engines fleet.Clients, policy admission.Policy, name string, registry prometheus.Registerer) {
+// openDispatcher creates the dispatcher; name must be unique to this run of
+// the node.
+func (b *batch) openDispatcher(engines fleet.Clients, policy admission.Policy, name string, registry prometheus.Registerer) {
 	b.dispatcher = dispatch.New(dispatch.Dependencies{
 		Name:    name,
 		Work:    b.Work,
@@ -43,8 +44,8 @@
 }
 
 func (b *batch) run(ctx context.Context) {
-	var both sync.WaitGroup
-	both.Go(func() { b.Run(ctx) })
-	both.Go(func() { b.dispatcher.Run(ctx) })
-	both.Wait()
+	var tasks sync.WaitGroup
+	tasks.Go(func() { b.Run(ctx) })
+	tasks.Go(func() { b.dispatcher.Run(ctx) })
+	tasks.Wait()
 }
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -8,8 +8,8 @@
 	"chutelock.dev/chutelock/internal/fleet"
 )
 
-// observedClients tells the fleet when this node's own traffic sees an engine
-// fail, so that its home looks at once and the others are told.
+// observedClients wraps clients to report engine failures seen by this node's
+// own traffic, so that the engine's home polls it at once.
 type observedClients struct {
 	fleet.Clients
 	observer fleet.FailureObserver
@@ -30,8 +30,8 @@
 func (c observedClient) Generate(ctx context.Context, request engine.Request, sink func(engine.Chunk) error) (engine.Finish, error) {
 	finish, err := c.Client.Generate(ctx, request, sink)
 	var failure *engine.Error
-	// An answered error is the engine's opinion of the request; a cancelled
-	// context is the caller's doing.
+	// An error response concerns the request, not the engine; a cancelled
+	// context comes from the caller.
 	if errors.As(err, &failure) && failure.Status == 0 && ctx.Err() == nil {
 		c.observer.EngineFailed(c.endpoint)
 	}
--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -1,3 +1,3 @@
-// Package node assembles a node from its parts, runs them, and stops them in
-// the order that cuts no request. It wires only; decisions are in the parts.
+// Package node wires a node from its components, starts them, and stops them
+// in an order that interrupts no request.
 package node
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -5,40 +5,40 @@
 	"time"
 )
 
-// batchFinishTime is how long items in progress may finish in a planned stop
-// before they are handed back; they lose nothing then but the engine's work.
-const batchFinishTime = 5 * time.Second
+// batchDrainTimeout bounds the wait for running items in a planned stop; the
+// rest is handed back, which costs only the engines' work on them.
+const batchDrainTimeout = 5 * time.Second
 
-// closeTimeout bounds the last part of a stop, when no request is left.
+// closeTimeout bounds the shutdown of the HTTP servers.
 const closeTimeout = 5 * time.Second
 
-// Drain is a planned stop: peers are told first, ledger leadership moves,
-// requests in progress finish, and only then are ports and disks closed. Ctx
-// bounds the wait for requests.
+// Drain stops the node as planned: it notifies the peers, transfers ledger
+// leadership, waits for requests in progress until ctx ends, and only then
+// closes ports and disks.
 func (n *Node) Drain(ctx context.Context) {
 	EventDraining.Info("node", n.config.Node.Name)
 	n.readiness.Drain()
 	n.members.Leave()
-	n.drainStep("batch", n.drainBatch(ctx))
-	n.drainStep("ledger", n.ledger.Drain(ctx))
-	n.drainStep("gateway", n.gateway.Drain(ctx))
+	n.logDrainError("batch", n.drainBatch(ctx))
+	n.logDrainError("ledger", n.ledger.Drain(ctx))
+	n.logDrainError("gateway", n.gateway.Drain(ctx))
 	n.Close()
 }
 
 // drainBatch lets running items finish for a while, then hands them back.
 func (n *Node) drainBatch(stop context.Context) error {
-	finish, cancel := context.WithTimeout(stop, batchFinishTime)
+	finish, cancel := context.WithTimeout(stop, batchDrainTimeout)
 	defer cancel()
 	return n.batch.dispatcher.Drain(finish, stop)
 }
 
-func (n *Node) drainStep(step string, err error) {
+func (n *Node) logDrainError(step string, err error) {
 	if err != nil {
 		EventDrainStep.Error(err, "step", step)
 	}
 }
 
-// Close closes everything at once, without handing over.
+// Close stops all components without handing over their work.
 func (n *Node) Close() {
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
@@ -49,7 +49,7 @@
 	}
 	n.cancel()
 	n.peers.Close()
-	n.drainStep("closing the ledger", n.ledger.Close())
+	n.logDrainError("closing the ledger", n.ledger.Close())
 	n.tasks.Wait()
 	EventStopped.Info("node", n.config.Node.Name)
 }
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -2,7 +2,7 @@
 
 import "chutelock.dev/chutelock/internal/telemetry"
 
-// Events of a node's life.
+// Events of a node's start, stop and configuration.
 var (
 	EventStarting    = telemetry.Define(1001, "node starting", "The node has read its settings file and opened its ports.")
 	EventReady       = telemetry.Define(1002, "node ready", "All parts are ready: the node takes requests and batch work.")
@@ -12,5 +12,5 @@
 	EventKeysChanged = telemetry.Define(1006, "peer keys reloaded", "The file of shared keys changed and the new keys are in use.")
 	EventKeysInvalid = telemetry.Define(1007, "peer keys not usable", "The changed file of shared keys could not be used; the former keys stay in use.")
 	EventServeFailed = telemetry.Define(1008, "port failed", "An HTTP port of the node stopped serving.")
-	EventSettingsGap = telemetry.Define(1009, "settings feed broken", "The node's source of settings broke off; it is taken up again.")
+	EventSettingsGap = telemetry.Define(1009, "settings feed broken", "The node's source of settings failed and is retried.")
 )
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -44,10 +44,10 @@
 	readyPollInterval = 20 * time.Millisecond
 )
 
-// machineRoleNode is the role of chutelock's nodes in the platform's list.
+// machineRoleNode is the role of nodes in the platform's machine list.
 const machineRoleNode = "node"
 
-// Addresses are where a node serves; the ready file holds them as JSON.
+// Addresses are a node's listening addresses, as in the ready file.
 type Addresses struct {
 	Name      string `json:"name"`
 	Callers   string `json:"callers"`
@@ -55,7 +55,7 @@
 	Peers     string `json:"peers"`
 }
 
-// Node is an assembled node.
+// Node holds the components of a chutelock node.
 type Node struct {
 	config    *config.Node
 	registry  *prometheus.Registry
@@ -78,7 +78,7 @@
 	tasks  sync.WaitGroup
 }
 
-// Open assembles a node and opens its ports; nothing runs before Start.
+// Open creates a node and opens its ports; nothing runs before Start.
 func Open(settings *config.Node) (*Node, error) {
 	n := &Node{
 		config:    settings,
@@ -157,17 +157,17 @@
 		Dial: func(address string) engine.Client {
 			return openaihttp.New(address, address, openaihttp.Options{})
 		},
-		OnMachines: n.meetMachines,
+		OnMachines: n.updateContacts,
 		Listener:   func(now time.Time, event fleet.HomeEvent) { n.batch.dispatcher.HomeEvent(now, event) },
 	})
 	clients := observedClients{n.engines, n.engines}
-	n.batch.runsOn(clients, newServicePolicy(n.settings, n.engines), n.config.Node.Name+"/"+strconv.FormatInt(time.Now().UnixNano(), 36), n.registry)
+	n.batch.openDispatcher(clients, newServicePolicy(n.settings, n.engines), n.config.Node.Name+"/"+strconv.FormatInt(time.Now().UnixNano(), 36), n.registry)
 	n.readiness.Add("engines", func() (bool, string) { return n.engines.Ready(), "the list of engines is not known yet" })
 }
 
-// meetMachines passes the nodes of the platform's machine list on, so that a
-// node whose seeds are all gone still finds the fleet.
-func (n *Node) meetMachines(machines []platform.Machine) {
+// updateContacts passes the nodes of the platform's machine list to the
+// membership, so that a node whose seeds are all gone can still join.
+func (n *Node) updateContacts(machines []platform.Machine) {
 	var addresses []transport.Address
 	for _, machine := range machines {
 		if machine.Role == machineRoleNode && !machine.Leaving {
@@ -239,7 +239,7 @@
 	})
 }
 
-// Addresses returns where the node serves.
+// Addresses returns the node's listening addresses.
 func (n *Node) Addresses() Addresses {
 	return Addresses{
 		Name:      n.config.Node.Name,
@@ -249,7 +249,7 @@
 	}
 }
 
-// Start runs all parts; it returns at once.
+// Start starts all components and returns at once.
 func (n *Node) Start() {
 	EventStarting.Info("node", n.config.Node.Name, "addresses", n.Addresses())
 	ctx, cancel := context.WithCancel(context.Background())
@@ -258,7 +258,7 @@
 	n.goRun(func() { n.members.Run(ctx) })
 	n.goRun(func() { n.settings.Run(ctx) })
 	n.goRun(func() { n.engines.Run(ctx) })
-	n.goRun(func() { n.keys.Follow(ctx.Done(), keyFileInterval, reportKeys) })
+	n.goRun(func() { n.keys.Follow(ctx.Done(), keyFileInterval, logKeyReload) })
 	n.ledger.Start()
 	n.goRun(func() { n.batch.run(ctx) })
 	n.serve(n.servers[0], "callers")
@@ -285,7 +285,7 @@
 	})
 }
 
-func reportKeys(changed bool, err error) {
+func logKeyReload(changed bool, err error) {
 	if err != nil {
 		EventKeysInvalid.Error(err)
 		return
@@ -293,7 +293,7 @@
 	EventKeysChanged.Info("changed", changed)
 }
 
-// WaitReady returns when every part is ready, or the error of ctx.
+// WaitReady waits until all components are ready, or returns ctx's error.
 func (n *Node) WaitReady(ctx context.Context) error {
 	for {
 		missing := n.readiness.Missing()
@@ -309,7 +309,7 @@
 	}
 }
 
-// WriteReadyFile writes the addresses as JSON, whole or not at all.
+// WriteReadyFile writes the addresses as JSON, atomically.
 func WriteReadyFile(path string, addresses Addresses) error {
 	content, err := json.Marshal(addresses)
 	if err != nil {
--- a/internal/node/policy.go
+++ b/internal/node/policy.go
@@ -8,12 +8,12 @@
 	"chutelock.dev/chutelock/internal/settings"
 )
 
-// servicePolicy gives each service's engines a batch controller with the
-// service's settings. Only the dispatcher's goroutine uses it.
+// servicePolicy applies to each engine the batch controller of its service. It
+// is not safe for concurrent use; only the dispatcher's goroutine calls it.
 type servicePolicy struct {
 	source      settings.Source
 	engines     fleet.Source
-	inForce     *settings.Snapshot
+	applied     *settings.Snapshot
 	controllers map[string]*admission.Controller // by model
 	byEngine    map[string]*admission.Controller
 }
@@ -29,8 +29,8 @@
 
 // Step implements admission.Policy.
 func (p *servicePolicy) Step(now time.Time, event admission.Event) []admission.Action {
-	p.follow()
-	controller := p.controllerOf(event.Engine)
+	p.applySettings()
+	controller := p.controllerFor(event.Engine)
 	if controller == nil {
 		return nil
 	}
@@ -40,13 +40,13 @@
 	return controller.Step(now, event)
 }
 
-// follow puts changed settings in force.
-func (p *servicePolicy) follow() {
+// applySettings reconfigures the controllers after a change of settings.
+func (p *servicePolicy) applySettings() {
 	current := p.source.Current()
-	if current == p.inForce || current == nil {
+	if current == p.applied || current == nil {
 		return
 	}
-	p.inForce = current
+	p.applied = current
 	for model, controller := range p.controllers {
 		if service, ok := current.ServiceByModel(model); ok {
 			controller.Configure(controllerConfig(service))
@@ -54,10 +54,10 @@
 	}
 }
 
-// controllerOf finds an engine's controller by the first of its models that
-// has a service; nil while there is none.
-func (p *servicePolicy) controllerOf(engine string) *admission.Controller {
-	if controller, known := p.byEngine[engine]; known || p.inForce == nil {
+// controllerFor returns the controller of the first of the engine's models
+// that has a service, or nil if there is none.
+func (p *servicePolicy) controllerFor(engine string) *admission.Controller {
+	if controller, known := p.byEngine[engine]; known || p.applied == nil {
 		return controller
 	}
 	for _, endpoint := range p.engines.Snapshot().Endpoints {
@@ -65,7 +65,7 @@
 			continue
 		}
 		for _, model := range endpoint.Load.Models {
-			service, ok := p.inForce.ServiceByModel(model)
+			service, ok := p.applied.ServiceByModel(model)
 			if !ok {
 				continue
 			}
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -11,8 +11,8 @@
 	settingsoperator "chutelock.dev/chutelock/internal/settings/operator"
 )
 
-// openSettings assembles the dissemination of settings. With a data folder
-// the settings in force are kept on disk.
+// openSettings creates the settings agent. With a data folder, it keeps the
+// settings in force on disk.
 func (n *Node) openSettings() error {
 	config := settingsagent.Config{
 		Members:  n.members,
@@ -29,7 +29,7 @@
 	return trace.Wrap(err, "opening the settings")
 }
 
-// serveSettings adds the operators' commands and queries on settings.
+// serveSettings registers the operators' commands and queries for settings.
 func (n *Node) serveSettings() {
 	writer := command.NewWriter(n.platform, n.settings, time.Now)
 	settingsoperator.Register(n.operators, n.settings, writer)
--- a/internal/node/sockets.go
+++ b/internal/node/sockets.go
@@ -11,7 +11,7 @@
 	"chutelock.dev/chutelock/internal/node/certificate"
 )
 
-// sockets are the node's listening TCP sockets for HTTP.
+// sockets holds the node's listening TCP sockets for HTTP.
 type sockets struct {
 	callers   net.Listener
 	operators net.Listener
@@ -20,22 +20,22 @@
 // openSockets listens on the callers' and operators' ports, with TLS if the
 // settings name a certificate.
 func openSockets(settings *config.Node) (*sockets, error) {
-	var secure *tls.Config
+	var tlsConfig *tls.Config
 	if settings.TLS.Certificate != "" {
 		reloader, err := certificate.NewReloader(settings.TLS.Certificate, settings.TLS.Key)
 		if err != nil {
 			return nil, err
 		}
-		secure = reloader.Config()
+		tlsConfig = reloader.Config()
 	}
-	callers, err := listen(settings.Listen.Callers, secure)
+	callers, err := listen(settings.Listen.Callers, tlsConfig)
 	if err != nil {
 		return nil, trace.Wrap(err, "opening the callers' port")
 	}
-	if secure == nil {
+	if tlsConfig == nil {
 		callers = gateway.NewListener(callers)
 	}
-	operators, err := listen(settings.Listen.Operators, secure)
+	operators, err := listen(settings.Listen.Operators, tlsConfig)
 	if err != nil {
 		callers.Close()
 		return nil, trace.Wrap(err, "opening the operators' port")
@@ -43,13 +43,13 @@
 	return &sockets{callers: callers, operators: operators}, nil
 }
 
-func listen(address string, secure *tls.Config) (net.Listener, error) {
+func listen(address string, tlsConfig *tls.Config) (net.Listener, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, trace.Wrap(err, "listening on %s", address)
 	}
-	if secure == nil {
+	if tlsConfig == nil {
 		return listener, nil
 	}
-	return tls.NewListener(listener, secure), nil
+	return tls.NewListener(listener, tlsConfig), nil
 }
