--- a/internal/node/certificate/certificate.go
+++ b/internal/node/certificate/certificate.go
@@ -1,5 +1,4 @@
-// Package certificate serves a TLS certificate from files and takes up a
-// replaced one without a restart.
+// Package certificate serves a TLS certificate and reloads changed files.
 package certificate
 
 import (
@@ -13,7 +12,7 @@
 	"chutelock.dev/chutelock/internal/telemetry"
 )
 
-// checkInterval is the least time between two looks at the files.
+// checkInterval is the minimum interval between checks of the files.
 const checkInterval = time.Second
 
 // Events of certificate files.
@@ -22,8 +21,8 @@
 	EventRejected = telemetry.Define(1202, "certificate rejected", "The changed certificate files could not be used; the former certificate stays in use.")
 )
 
-// Reloader gives the newest valid certificate of a pair of files. It may be
-// used concurrently.
+// Reloader returns the newest valid certificate from a pair of files. It is
+// safe for concurrent use.
 type Reloader struct {
 	certificateFile string
 	keyFile         string
@@ -35,7 +34,7 @@
 	checked  time.Time
 }
 
-// NewReloader loads the pair; it fails when they are not usable.
+// NewReloader loads the pair of files and returns an error if it is invalid.
 func NewReloader(certificateFile, keyFile string) (*Reloader, error) {
 	r := &Reloader{certificateFile: certificateFile, keyFile: keyFile, now: time.Now}
 	if err := r.load(); err != nil {
@@ -44,7 +43,7 @@
 	return r, nil
 }
 
-// Config returns a server configuration that follows the files.
+// Config returns a server configuration that uses the current certificate.
 func (r *Reloader) Config() *tls.Config {
 	return &tls.Config{
 		MinVersion:     tls.VersionTLS12,
@@ -61,7 +60,7 @@
 		return r.current
 	}
 	r.checked = now
-	if r.newestChange().Equal(r.modified) {
+	if r.latestModTime().Equal(r.modified) {
 		return r.current
 	}
 	if err := r.load(); err != nil {
@@ -73,7 +72,7 @@
 }
 
 func (r *Reloader) load() error {
-	modified := r.newestChange()
+	modified := r.latestModTime()
 	pair, err := tls.LoadX509KeyPair(r.certificateFile, r.keyFile)
 	if err != nil {
 		return trace.Wrap(err, "loading certificate %s and key %s", r.certificateFile, r.keyFile)
@@ -83,7 +82,7 @@
 	return nil
 }
 
-func (r *Reloader) newestChange() time.Time {
+func (r *Reloader) latestModTime() time.Time {
 	var newest time.Time
 	for _, path := range []string{r.certificateFile, r.keyFile} {
 		if info, err := os.Stat(path); err == nil && info.ModTime().After(newest) {
--- a/internal/node/certificate/certificate_test.go
+++ b/internal/node/certificate/certificate_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestAReplacedPairIsServedAndABrokenOneIsNot(t *testing.T) {
+func TestReloaderServesReplacedPairAndKeepsItWhenInvalid(t *testing.T) {
 	g := gomega.NewWithT(t)
 	folder := t.TempDir()
 	start := time.Unix(1_700_000_000, 0)
