--- a/internal/node/operator/operator.go
+++ b/internal/node/operator/operator.go
@@ -1,5 +1,5 @@
 // Package operator serves a node's operator port: health, readiness, metrics,
-// profiles, and the queries and commands that concerns add.
+// profiles, and the queries and commands that other packages register.
 package operator
 
 import (
@@ -12,34 +12,35 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Check says whether a part of the node is ready, and if not, why.
+// Check reports whether a component is ready, and if not, why.
 type Check struct {
 	Name  string
 	Ready func() (bool, string)
 }
 
-// Readiness is the conjunction of checks. It may be used concurrently.
+// Readiness holds checks that must all pass for the node to be ready. It is
+// safe for concurrent use.
 type Readiness struct {
 	mutex    sync.Mutex // guards the fields below
 	checks   []Check
 	draining bool
 }
 
-// Add adds a check.
+// Add registers a check.
 func (r *Readiness) Add(name string, ready func() (bool, string)) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.checks = append(r.checks, Check{Name: name, Ready: ready})
 }
 
-// Drain makes the node unready for good, so that no new work is sent to it.
+// Drain makes the node not ready for good, so that it gets no new work.
 func (r *Readiness) Drain() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.draining = true
 }
 
-// Missing lists what is not ready yet, empty when the node is ready.
+// Missing returns the reasons why the node is not ready, none if it is ready.
 func (r *Readiness) Missing() []string {
 	r.mutex.Lock()
 	checks, draining := r.checks, r.draining
@@ -56,8 +57,8 @@
 	return missing
 }
 
-// NewMux returns the operator port's handler; concerns add theirs under
-// "/operator/".
+// NewMux returns the operator port's handler; other packages register theirs
+// under "/operator/".
 func NewMux(readiness *Readiness, gatherer prometheus.Gatherer) *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(writer http.ResponseWriter, _ *http.Request) {
