--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -50,7 +50,7 @@
 	g := gomega.NewWithT(t)
 	table := NewTable()
 	snapshot := newSnapshot(2, 4)
-	table.Failed("a", start)
+	table.RecordFailure("a", start)
 	chosen, _ := table.Choose(snapshot, Wish{Service: "s", Zone: "near"}, start, zeroDraw)
 	g.Expect(chosen.ID).To(gomega.Equal("b"))
 	chosen, found := table.Choose(snapshot, Wish{Service: "s", Zone: "near", Avoid: []string{"b"}}, start, zeroDraw)
@@ -65,21 +65,21 @@
 func TestEjectionDoublesUpToMaximum(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := NewTable()
-	g.Expect(table.Failed("a", start)).To(gomega.Equal(minEjection))
-	g.Expect(table.Failed("a", start)).To(gomega.Equal(2 * minEjection))
+	g.Expect(table.RecordFailure("a", start)).To(gomega.Equal(minEjection))
+	g.Expect(table.RecordFailure("a", start)).To(gomega.Equal(2 * minEjection))
 	for range 70 {
-		g.Expect(table.Failed("a", start)).To(gomega.BeNumerically("<=", maxEjection))
+		g.Expect(table.RecordFailure("a", start)).To(gomega.BeNumerically("<=", maxEjection))
 	}
-	table.Succeeded("a", start)
+	table.RecordSuccess("a", start)
 	g.Expect(table.healthy("a", start)).To(gomega.BeTrue())
-	g.Expect(table.Failed("a", start)).To(gomega.Equal(minEjection))
+	g.Expect(table.RecordFailure("a", start)).To(gomega.Equal(minEjection))
 }
 
 func TestChooseCountsPeerRequestsUntilExpiry(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := NewTable()
 	snapshot := newSnapshot(1, 6)
-	table.PeerLoad("peer", Report{KeyOf("a"): {Counts: Counts{6 + maxQueued, 0}}}, start)
+	table.SetPeerLoad("peer", Report{KeyOf("a"): {Counts: Counts{6 + maxQueued, 0}}}, start)
 	_, found := table.Choose(snapshot, Wish{Service: "s", Zone: "near"}, start, zeroDraw)
 	g.Expect(found).To(gomega.BeFalse())
 	_, found = table.Choose(snapshot, Wish{Service: "s", Zone: "near"}, start.Add(2*peerTTL), zeroDraw)
@@ -90,7 +90,7 @@
 	g := gomega.NewWithT(t)
 	table := NewTable()
 	snapshot := newSnapshot(1, 6)
-	table.Reported("a", upstream.Load{Running: 6, Waiting: maxQueued}, start)
+	table.RecordReport("a", upstream.Load{Running: 6, Waiting: maxQueued}, start)
 	_, found := table.Choose(snapshot, Wish{Service: "s", Zone: "near"}, start, zeroDraw)
 	g.Expect(found).To(gomega.BeFalse())
 	_, found = table.Choose(snapshot, Wish{Service: "s", Zone: "near"}, start.Add(2*engineReportTTL), zeroDraw)
@@ -114,13 +114,13 @@
 	g := gomega.NewWithT(t)
 	table := NewTable()
 	snapshot := newSnapshot(4, 10)
-	table.PeerLoad("front", Report{KeyOf("a"): {Counts: Counts{5, 0}}}, start)
+	table.SetPeerLoad("front", Report{KeyOf("a"): {Counts: Counts{5, 0}}}, start)
 	batch := fillWithBatch(table, snapshot, start)
 	free := 4*10 - 5 - batch
 	g.Expect(float64(free)).To(gomega.BeNumerically("~", batchReserve*4*10, 1), "the reserve stays free")
 	g.Expect(table.Overfull(snapshot, start)).To(gomega.BeEmpty())
 	counted := table.running("a", ClassBatch, start)
-	table.PeerLoad("front", Report{KeyOf("a"): {Counts: Counts{9, 0}}}, start)
+	table.SetPeerLoad("front", Report{KeyOf("a"): {Counts: Counts{9, 0}}}, start)
 	g.Expect(table.Overfull(snapshot, start)).To(gomega.Equal([]Overfull{{Engine: "a", Excess: counted + 9 - 10}}))
 	for range counted + 9 - 10 {
 		table.End("a", ClassBatch, start)
@@ -141,7 +141,7 @@
 			slots += engine.Slots
 			online += count
 		}
-		table.PeerLoad("fronts", report, start)
+		table.SetPeerLoad("fronts", report, start)
 		free := slots - online - fillWithBatch(table, snapshot, start)
 		least := batchReserve * float64(slots)
 		if float64(free) < min(least-1, float64(slots-online)) || float64(free) > max(least, float64(0))+1 && free < slots-online {
@@ -159,9 +159,9 @@
 	report := func(a, b int) Report {
 		return Report{KeyOf("a"): {Counts: Counts{a, 0}}, KeyOf("b"): {Counts: Counts{b, 0}}, KeyOf("c"): {Counts: Counts{8, 0}}, KeyOf("d"): {Counts: Counts{8, 0}}}
 	}
-	table.PeerLoad("fronts", report(12, 12), start)
+	table.SetPeerLoad("fronts", report(12, 12), start)
 	g.Expect(fillWithBatch(table, snapshot, start)).To(gomega.BeZero())
-	table.PeerLoad("fronts", report(10, 12), start)
+	table.SetPeerLoad("fronts", report(10, 12), start)
 	g.Expect(fillWithBatch(table, snapshot, start)).To(gomega.Equal(2))
 }
 
@@ -172,14 +172,14 @@
 	table := NewTable()
 	snapshot := newSnapshot(1, 8)
 	engine, _ := snapshot.Engine("a")
-	table.PeerLoad("others", Report{KeyOf("a"): {Counts: Counts{4, 4 + maxQueued}}}, start)
+	table.SetPeerLoad("others", Report{KeyOf("a"): {Counts: Counts{4, 4 + maxQueued}}}, start)
 	wish := Wish{Service: "s", Zone: "near"}
 	_, found := table.Choose(snapshot, wish, start, zeroDraw)
 	g.Expect(found).To(gomega.BeTrue())
 	g.Expect(table.needsPreemption(engine, start)).To(gomega.BeTrue(), "batch work has to be preempted")
 	_, found = table.Choose(snapshot, wish, start.Add(2*preemptTTL), zeroDraw)
 	g.Expect(found).To(gomega.BeFalse(), "nothing preempts batch work")
-	table.PeerLoad("others", Report{KeyOf("a"): {Counts: Counts{8 + maxQueued, 2}}}, start)
+	table.SetPeerLoad("others", Report{KeyOf("a"): {Counts: Counts{8 + maxQueued, 2}}}, start)
 	_, found = table.Choose(snapshot, wish, start, zeroDraw)
 	g.Expect(found).To(gomega.BeFalse(), "online requests fill the engine")
 }
@@ -193,7 +193,7 @@
 	}{{Counts{3, 4}, false}, {Counts{8, 0}, false}, {Counts{4, 4}, false}, {Counts{4, 5}, true}, {Counts{8, 1}, true}} {
 		balancer := New(func() *catalog.Snapshot { return snapshot })
 		test.load[ClassOnline]-- // Acquire adds the request itself.
-		balancer.PeerLoad("others", Report{KeyOf("a"): {Counts: test.load}})
+		balancer.SetPeerLoad("others", Report{KeyOf("a"): {Counts: test.load}})
 		lease, err := balancer.Acquire(context.Background(), Wish{Service: "s"}, 0, 0, nil)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(balancer.Preemptions()).To(gomega.HaveLen(map[bool]int{true: 1}[test.want]), "%v", test.load)
@@ -207,15 +207,15 @@
 	g := gomega.NewWithT(t)
 	snapshot := newSnapshot(1, 10)
 	observer, leader := NewTable(), NewTable()
-	observer.Reported("a", upstream.Load{Running: 9, Waiting: 3}, start)
+	observer.RecordReport("a", upstream.Load{Running: 9, Waiting: 3}, start)
 	leader.Begin("a", ClassBatch, 0, start)
-	leader.PeerLoad("observer", observer.Own(start), start)
+	leader.SetPeerLoad("observer", observer.OwnReport(start), start)
 	_, found := leader.Choose(snapshot, Wish{Service: "s", Zone: "near", Class: ClassBatch}, start, zeroDraw)
 	g.Expect(found).To(gomega.BeFalse())
 	g.Expect(leader.Overfull(snapshot, start)).To(gomega.BeEmpty(), "a reported queue preempts nothing")
-	g.Expect(leader.All(start)[KeyOf("a")].Seen).To(gomega.Equal(12))
-	g.Expect(leader.All(start.Add(2 * peerSeenTTL))[KeyOf("a")].Seen).To(gomega.BeZero())
-	g.Expect(leader.All(start).Without(observer.Own(start))[KeyOf("a")].Counts).To(gomega.Equal(Counts{0, 1}), "without the observer's own counts")
+	g.Expect(leader.TotalReport(start)[KeyOf("a")].EngineReported).To(gomega.Equal(12))
+	g.Expect(leader.TotalReport(start.Add(2 * relayedLoadTTL))[KeyOf("a")].EngineReported).To(gomega.BeZero())
+	g.Expect(leader.TotalReport(start).Without(observer.OwnReport(start))[KeyOf("a")].Counts).To(gomega.Equal(Counts{0, 1}), "without the observer's own counts")
 }
 
 // Compares the incrementally updated sum with one computed from all peers' latest reports.
@@ -234,10 +234,10 @@
 					report[KeyOf(id)] = Load{Counts: counts, Pending: rapid.IntRange(0, 9).Draw(t, "pending")}
 				}
 			}
-			table.PeerLoad(peer, report, now)
+			table.SetPeerLoad(peer, report, now)
 			latest[peer] = peerLoad{receivedAt: now, report: report}
 			table.nextExpiry = time.Time{}
-			all := table.All(now)
+			all := table.TotalReport(now)
 			others := all.Without(latest["p"].report)
 			for _, id := range []string{"a", "b"} {
 				var want Load
@@ -282,16 +282,16 @@
 		g.Expect(next.Engine.ID).NotTo(gomega.Equal(long.Engine.ID))
 		next.Release()
 	}
-	g.Expect(balancer.Own()[KeyOf(long.Engine.ID)].Pending).To(gomega.Equal(5000))
+	g.Expect(balancer.OwnReport()[KeyOf(long.Engine.ID)].Pending).To(gomega.Equal(5000))
 	wish.Class = ClassBatch
 	batch, _ := balancer.Acquire(context.Background(), wish, 0, 0, nil)
 	g.Expect(batch.Engine.ID).NotTo(gomega.Equal(long.Engine.ID))
 	long.PrefillDone()
 	long.PrefillDone()
-	g.Expect(balancer.Own()[KeyOf(long.Engine.ID)].Pending).To(gomega.BeZero())
+	g.Expect(balancer.OwnReport()[KeyOf(long.Engine.ID)].Pending).To(gomega.BeZero())
 	long.Release()
 	long.Release()
-	g.Expect(balancer.Own()).To(gomega.HaveLen(1))
+	g.Expect(balancer.OwnReport()).To(gomega.HaveLen(1))
 }
 
 func TestPrefixHasOneHomeEngine(t *testing.T) {
@@ -351,7 +351,7 @@
 	g := gomega.NewWithT(t)
 	snapshot := catalog.NewSnapshot(nil, []catalog.Engine{{ID: "a", Service: "full", Slots: 1}, {ID: "b", Service: "idle", Slots: 1}})
 	balancer := New(func() *catalog.Snapshot { return snapshot })
-	balancer.PeerLoad("others", Report{KeyOf("a"): {Counts: Counts{1 + maxQueued, 0}}})
+	balancer.SetPeerLoad("others", Report{KeyOf("a"): {Counts: Counts{1 + maxQueued, 0}}})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() { _, _ = balancer.Acquire(ctx, Wish{Service: "full"}, 0, time.Minute, nil) }()
--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -89,7 +89,7 @@
 	balancer     *Balancer
 	class        Class
 	startedAt    time.Time
-	paced        bool      // the engine was paced when it was chosen
+	paced        bool      // the engine was paced when it was chosen; implies balancer.Permit != nil
 	permitExpiry time.Time // end of the permit's validity
 	prefilledAt  time.Time // first event received; guarded by the balancer's mutex
 	unreadTokens int       // prompt tokens not read yet; guarded by the balancer's mutex
@@ -307,15 +307,15 @@
 	return len(b.waiting)
 }
 
-// Reported records the load that an engine reported.
-func (b *Balancer) Reported(id string, load upstream.Load) {
+// RecordReport records the load that an engine reported.
+func (b *Balancer) RecordReport(id string, load upstream.Load) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.table.Reported(id, load, clock.Now())
+	b.table.RecordReport(id, load, clock.Now())
 }
 
-// Connected records how long opening a connection to an engine took.
-func (b *Balancer) Connected(id string, took time.Duration) {
+// RecordConnect records how long opening a connection to an engine took.
+func (b *Balancer) RecordConnect(id string, took time.Duration) {
 	engine, found := b.snapshot().Engine(id)
 	if !found {
 		return
@@ -325,33 +325,33 @@
 	b.table.zoneRTTs.record(engine.Zone, took, clock.Now())
 }
 
-// Succeeded records that an engine answered and ends its ejection.
-func (b *Balancer) Succeeded(id string) {
+// RecordSuccess records that an engine answered and ends its ejection.
+func (b *Balancer) RecordSuccess(id string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.table.Succeeded(id, clock.Now())
+	b.table.RecordSuccess(id, clock.Now())
 }
 
-// Failed ejects an engine for a while.
-func (b *Balancer) Failed(id string, cause error) {
+// RecordFailure ejects an engine for a while.
+func (b *Balancer) RecordFailure(id string, cause error) {
 	b.mutex.Lock()
-	pause := b.table.Failed(id, clock.Now())
+	pause := b.table.RecordFailure(id, clock.Now())
 	b.mutex.Unlock()
 	eventEngineAside.Info("engine", id, "pause", pause, "cause", cause)
 }
 
-// Refused records that an engine refused a request as it is full.
-func (b *Balancer) Refused(id string) {
+// RecordRefusal records that an engine refused a request as it is full.
+func (b *Balancer) RecordRefusal(id string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.table.Refused(id, clock.Now())
+	b.table.RecordRefusal(id, clock.Now())
 }
 
-// Own returns this node's own load report.
-func (b *Balancer) Own() Report {
+// OwnReport returns this node's own load report.
+func (b *Balancer) OwnReport() Report {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.table.Own(clock.Now())
+	return b.table.OwnReport(clock.Now())
 }
 
 // OwnByZone counts this node's requests in flight at engines of the given zones, by zone.
@@ -377,18 +377,18 @@
 	return counts
 }
 
-// All returns the load of all nodes, as far as known here.
-func (b *Balancer) All() Report {
+// TotalReport returns the load of all nodes, as far as known here.
+func (b *Balancer) TotalReport() Report {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.table.All(clock.Now())
+	return b.table.TotalReport(clock.Now())
 }
 
-// PeerLoad records the load report of a peer, or the sum of all peers' reports.
-func (b *Balancer) PeerLoad(peer string, report Report) {
+// SetPeerLoad records the load report of a peer, or the sum of all peers' reports.
+func (b *Balancer) SetPeerLoad(peer string, report Report) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.table.PeerLoad(peer, report, clock.Now())
+	b.table.SetPeerLoad(peer, report, clock.Now())
 }
 
 // MeanHold returns the mean time that online requests hold a slot.
@@ -398,11 +398,11 @@
 	return b.table.MeanHold()
 }
 
-// PeerGone drops a peer's load report.
-func (b *Balancer) PeerGone(peer string) {
+// RemovePeer drops a peer's load report.
+func (b *Balancer) RemovePeer(peer string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.table.PeerGone(peer)
+	b.table.RemovePeer(peer)
 }
 
 // AnyPreemptionNeeded reports whether batch work of any node has to be preempted at some
--- a/internal/balance/batch.go
+++ b/internal/balance/batch.go
@@ -88,12 +88,12 @@
 
 // nextWindow returns the engines that follow the last window.
 func (t *Table) nextWindow(engines []catalog.Engine) []catalog.Engine {
-	if t.windowEnd >= len(engines) {
-		t.windowEnd = 0
+	if t.nextWindowStart >= len(engines) {
+		t.nextWindowStart = 0
 	}
-	from := t.windowEnd
-	t.windowEnd = min(from+windowSize, len(engines))
-	return engines[from:t.windowEnd]
+	from := t.nextWindowStart
+	t.nextWindowStart = min(from+windowSize, len(engines))
+	return engines[from:t.nextWindowStart]
 }
 
 // mayTake reports whether an engine is healthy and may serve the wish.
--- a/internal/balance/batch_test.go
+++ b/internal/balance/batch_test.go
@@ -56,7 +56,7 @@
 	snapshot, table, now := largeService(3000), NewTable(), time.Now()
 	for _, engine := range snapshot.Serving("s") {
 		if engine.ID != "e02222" {
-			table.Failed(engine.ID, now)
+			table.RecordFailure(engine.ID, now)
 		}
 	}
 	for range 10 {
@@ -64,7 +64,7 @@
 		g.Expect(chosen).To(gomega.HaveLen(1))
 		g.Expect(chosen[0].ID).To(gomega.Equal("e02222"))
 	}
-	table.Failed("e02222", now)
+	table.RecordFailure("e02222", now)
 	g.Expect(table.chooseMany(snapshot, batchWishes(1), now)).To(gomega.HaveLen(1), "all engines are ejected")
 }
 
@@ -72,9 +72,9 @@
 func TestPreemptionDetectedInLargeService(t *testing.T) {
 	g := gomega.NewWithT(t)
 	snapshot, table, now := largeService(3000), NewTable(), time.Now()
-	table.PeerLoad("leader", Report{KeyOf("e01234"): {Counts: Counts{0, 2}}}, now)
+	table.SetPeerLoad("leader", Report{KeyOf("e01234"): {Counts: Counts{0, 2}}}, now)
 	g.Expect(table.AnyPreemptionNeeded(snapshot, now)).To(gomega.BeFalse())
-	table.PeerLoad("front", Report{KeyOf("e01234"): {Counts: Counts{1, 0}}}, now)
+	table.SetPeerLoad("front", Report{KeyOf("e01234"): {Counts: Counts{1, 0}}}, now)
 	g.Expect(table.AnyPreemptionNeeded(snapshot, now)).To(gomega.BeTrue())
 	g.Expect(table.AnyPreemptionNeeded(snapshot, now.Add(2*preemptTTL))).To(gomega.BeFalse(), "the peers' reports have expired")
 }
--- a/internal/balance/coldstart.go
+++ b/internal/balance/coldstart.go
@@ -10,8 +10,7 @@
 	"chutelock.dev/chutelock/internal/clock"
 )
 
-// maxPermitAttempts bounds the engines for which a request asks a permit before it waits:
-// asking takes 1 to 2 ms, and 15 ms if there is no answer.
+// maxPermitAttempts bounds the engines for which a request asks a permit before it waits.
 const maxPermitAttempts = 3
 
 // ErrPermitVoid is returned when a request may not be sent to a paced engine as its permit is
@@ -19,11 +18,11 @@
 var ErrPermitVoid = errors.New("balance: the engine is cold, and there is no valid permit")
 
 // PaceError is returned when no engine had room and some of them accept no more requests
-// because they are paced. It matches ErrNoRoom.
+// because they are paced, that is, cold. It matches ErrNoRoom.
 type PaceError struct {
-	// Paced is the number of engines that are cold and accept no more requests now; Total is
+	// Exhausted is the number of paced engines that accept no more requests now; Total is
 	// the number of all allowed engines.
-	Paced, Total int
+	Exhausted, Total int
 	// RetryAfter is the time until the first engine accepts more, if all of them are paced;
 	// else 0.
 	RetryAfter time.Duration
@@ -34,7 +33,7 @@
 	if e.RetryAfter > 0 {
 		return fmt.Sprintf("balance: all engines are cold and get no more requests for %v", e.RetryAfter)
 	}
-	return fmt.Sprintf("balance: no engine has room; %d of %d are cold and get no more requests now", e.Paced, e.Total)
+	return fmt.Sprintf("balance: no engine has room; %d of %d are cold and get no more requests now", e.Exhausted, e.Total)
 }
 
 // Is reports whether the target is ErrNoRoom.
@@ -130,29 +129,29 @@
 	engines := allowed(b.snapshot(), wish)
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if paced := b.table.countPaced(engines, clock.Now()); paced.Paced > 0 {
+	if paced := b.table.paceError(engines, clock.Now()); paced.Exhausted > 0 {
 		return &paced
 	}
 	return ErrNoRoom
 }
 
-// countPaced counts the paced engines that are marked full.
-func (t *Table) countPaced(engines []catalog.Engine, now time.Time) PaceError {
-	result := PaceError{Total: len(engines)}
+// paceError counts the paced engines that are marked full.
+func (t *Table) paceError(engines []catalog.Engine, now time.Time) PaceError {
+	paceErr := PaceError{Total: len(engines)}
 	earliest := time.Duration(0)
 	for _, engine := range engines {
 		if !engine.Paced(now) || !t.isFull(engine.ID, now) {
 			continue
 		}
-		if left := t.engines[engine.ID].fullUntil.Sub(now); result.Paced == 0 || left < earliest {
+		if left := t.engines[engine.ID].fullUntil.Sub(now); paceErr.Exhausted == 0 || left < earliest {
 			earliest = left
 		}
-		result.Paced++
+		paceErr.Exhausted++
 	}
-	if result.Paced == result.Total {
-		result.RetryAfter = earliest
+	if paceErr.Exhausted == paceErr.Total {
+		paceErr.RetryAfter = earliest
 	}
-	return result
+	return paceErr
 }
 
 // markFull counts an engine as full for a while; it never shortens an earlier deadline.
--- a/internal/balance/coldstart_test.go
+++ b/internal/balance/coldstart_test.go
@@ -62,7 +62,7 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(first.Engine.ID).To(gomega.Equal("w"))
 	g.Expect(permits.engines).To(gomega.BeEmpty(), "a warm engine needs no permit")
-	b.PeerLoad("others", fullEngineReport("w"))
+	b.SetPeerLoad("others", fullEngineReport("w"))
 	second, err := acquire(b, 0)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(second.Engine.ID).To(gomega.Equal("c"))
@@ -81,7 +81,7 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(permits.engines).To(gomega.HaveLen(maxPermitAttempts))
 	g.Expect(lease.Engine.ID).To(gomega.Equal(permits.engines[2]))
-	g.Expect(b.Own()).To(gomega.HaveLen(1), "unused places are released")
+	g.Expect(b.OwnReport()).To(gomega.HaveLen(1), "unused places are released")
 	_, err = acquire(b, 0)
 	g.Expect(err).To(gomega.MatchError(ErrNoRoom))
 	g.Expect(permits.engines[3:]).To(gomega.ConsistOf(except([]string{"a", "b", "c", "d", "e"}, permits.engines[:2])), "engines that denied a permit are skipped")
@@ -103,12 +103,12 @@
 	lease, err := acquire(b, 0)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	lease.Release()
-	b.PeerLoad("others", fullEngineReport("w"))
+	b.SetPeerLoad("others", fullEngineReport("w"))
 	_, err = acquire(b, 0)
-	g.Expect(err).To(gomega.Equal(&PaceError{Paced: 2, Total: 3}), "the warm engine is full, but not paced")
+	g.Expect(err).To(gomega.Equal(&PaceError{Exhausted: 2, Total: 3}), "the warm engine is full, but not paced")
 	b.table.markFull("w", time.Hour, time.Now())
 	_, err = acquire(b, 0)
-	g.Expect(err).To(gomega.Equal(&PaceError{Paced: 2, Total: 3}), "the warm engine is marked full")
+	g.Expect(err).To(gomega.Equal(&PaceError{Exhausted: 2, Total: 3}), "the warm engine is marked full")
 	g.Expect(err).To(gomega.MatchError(ErrNoRoom))
 }
 
@@ -141,7 +141,7 @@
 	for _, lease := range leases {
 		g.Expect(lease.Engine.ID).To(gomega.Equal("w"))
 	}
-	b.PeerLoad("others", fullEngineReport("w"))
+	b.SetPeerLoad("others", fullEngineReport("w"))
 	g.Expect(b.AcquireMany([]Wish{wish}, 0)).To(gomega.BeEmpty())
 }
 
@@ -168,7 +168,7 @@
 		note    func()
 		failing bool
 	}{
-		{func() {}, false}, {func() { b.Failed("c", context.Canceled) }, true}, {func() { b.Succeeded("c") }, false},
+		{func() {}, false}, {func() { b.RecordFailure("c", context.Canceled) }, true}, {func() { b.RecordSuccess("c") }, false},
 	} {
 		test.note()
 		lease, err := acquire(b, 0)
@@ -219,10 +219,10 @@
 	table := NewTable()
 	table.markFull("e", time.Second, start)
 	table.markFull("e", 10*time.Millisecond, start)
-	table.Refused("e", start)
+	table.RecordRefusal("e", start)
 	g.Expect(table.isFull("e", start.Add(time.Second-1))).To(gomega.BeTrue())
 	g.Expect(table.isFull("e", start.Add(time.Second))).To(gomega.BeFalse())
-	table.Refused("e", start.Add(time.Second))
+	table.RecordRefusal("e", start.Add(time.Second))
 	g.Expect(table.isFull("e", start.Add(time.Second+refusalPause-1))).To(gomega.BeTrue())
 }
 
@@ -236,7 +236,7 @@
 	}{{Permission{RetryAfter: time.Hour}, 0}, {Permission{Until: time.Now().Add(time.Hour)}, 1}} {
 		b := New(func() *catalog.Snapshot { return snapshot })
 		b.Permit = (&fakePermits{answers: []Permission{test.answer}}).permit
-		b.PeerLoad("others", Report{KeyOf("c"): {Counts: Counts{0, 1}}})
+		b.SetPeerLoad("others", Report{KeyOf("c"): {Counts: Counts{0, 1}}})
 		_, _ = acquire(b, 0)
 		g.Expect(b.Preemptions()).To(gomega.HaveLen(test.want), "%+v", test.answer)
 	}
--- a/internal/balance/distance_test.go
+++ b/internal/balance/distance_test.go
@@ -30,8 +30,8 @@
 func TestConnectedRecordsZoneRTT(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := New(threeRegions)
-	b.Connected("remote", 33*time.Millisecond)
-	b.Connected("gone", time.Millisecond)
+	b.RecordConnect("remote", 33*time.Millisecond)
+	b.RecordConnect("gone", time.Millisecond)
 	g.Expect(b.table.zoneRTTs).To(gomega.HaveLen(1))
 	g.Expect(b.table.zoneRTTs.rtt("c", time.Now())).To(gomega.Equal(33 * time.Millisecond))
 }
@@ -54,7 +54,7 @@
 	table := NewTable()
 	table.zoneRTTs.record("c", southRTT, start)
 	table.zoneRTTs.record("d", westRTT, start)
-	table.PeerLoad("others", Report{}, start) // batch work is preemptible while peers report
+	table.SetPeerLoad("others", Report{}, start) // batch work is preemptible while peers report
 	for id, count := range online {
 		for range count {
 			table.Begin(id, ClassOnline, 0, start)
--- a/internal/balance/drain_test.go
+++ b/internal/balance/drain_test.go
@@ -81,7 +81,7 @@
 	b := New(snapshot.Load)
 	running := b.AcquireMany([]Wish{{Service: "s", Class: ClassBatch}}, 0)
 	g.Expect(running).To(gomega.HaveLen(1))
-	b.PeerLoad("others", Report{})
+	b.SetPeerLoad("others", Report{})
 	_, err := b.Acquire(context.Background(), Wish{Service: "s", Zone: "za", Class: ClassOnline, Wait: time.Second}, 0, 0, nil)
 	g.Expect(err).NotTo(gomega.HaveOccurred(), "the slot's batch request is preempted")
 	g.Expect(b.Preemptions()).To(gomega.Receive())
--- a/internal/balance/pick_test.go
+++ b/internal/balance/pick_test.go
@@ -74,9 +74,9 @@
 		table.RecordResidence(800 * time.Millisecond)
 	}
 	a, b := KeyOf("a"), KeyOf("b")
-	table.PeerLoad("p", Report{a: {Counts: Counts{30, 9}}, b: {Counts: Counts{5, 0}}}, start)
-	table.PeerLoad("p", Report{a: {Counts: Counts{10, 9}}, b: {Counts: Counts{10, 0}}}, start)
-	table.PeerLoad("q", Report{a: {Counts: Counts{20, 0}}}, start)
+	table.SetPeerLoad("p", Report{a: {Counts: Counts{30, 9}}, b: {Counts: Counts{5, 0}}}, start)
+	table.SetPeerLoad("p", Report{a: {Counts: Counts{10, 9}}, b: {Counts: Counts{10, 0}}}, start)
+	table.SetPeerLoad("q", Report{a: {Counts: Counts{20, 0}}}, start)
 	online := func() int { return table.peersOnline("a") + table.peersOnline("b") }
 	g.Expect(table.unreported(online(), 80*time.Millisecond)).To(gomega.BeNumerically("~", 4, 0.01), "without batch requests")
 	g.Expect(table.unreported(online(), time.Hour)).To(gomega.BeNumerically("~", 8, 0.01), "the age is bounded")
--- a/internal/balance/predict.go
+++ b/internal/balance/predict.go
@@ -22,14 +22,14 @@
 )
 
 const (
-	// roomRateWeight is the weight of the newest request in the moving average roomRate.
-	roomRateWeight = 0.05
+	// foundRoomWeight is the weight of the newest request in foundRoomFraction.
+	foundRoomWeight = 0.05
 	// farCompetition is the fraction of other zones' unreported requests that count as
 	// competing for places there: most requests look in their own zone first.
 	farCompetition = 0.3
-	// minRoomRate is the lower bound of roomRate in estimates, as under overload few requests
-	// find room.
-	minRoomRate = 0.1
+	// minFoundRoomFraction is the lower bound of foundRoomFraction in estimates, as under
+	// overload few requests find room.
+	minFoundRoomFraction = 0.1
 )
 
 // prediction estimates, for one choice, the load of engines when the request arrives there.
@@ -115,21 +115,21 @@
 	return time.Duration(float64(p.wish.Wait) / p.table.slowdown(engine.ID, p.now))
 }
 
-// recordRoom updates roomRate with whether a request of this node found room.
+// recordRoom updates foundRoomFraction with whether a request of this node found room.
 func (t *Table) recordRoom(found bool) {
-	t.roomRate -= roomRateWeight * t.roomRate
+	t.foundRoomFraction -= foundRoomWeight * t.foundRoomFraction
 	if found {
-		t.roomRate += roomRateWeight
+		t.foundRoomFraction += foundRoomWeight
 	}
 }
 
 // admitRandomly returns the group with the probability that this request gets one of the
 // free places, else an empty group. The competing requests are estimated from the unreported ones,
-// divided by roomRate as only that fraction finds room and is sent. Without it all competing
-// requests would take the same free place. weight is the fraction of the peers' requests that
+// divided by foundRoomFraction as only that fraction finds room and is sent. Without it all
+// competing requests would take the same free place. weight is the fraction of the peers' requests that
 // compete.
 func (p prediction) admitRandomly(g group, weight float64, draw func() float64) group {
-	competing := 1 + weight*p.table.unreported(g.allOnline, g.age)/max(p.table.roomRate, minRoomRate)
+	competing := 1 + weight*p.table.unreported(g.allOnline, g.age)/max(p.table.foundRoomFraction, minFoundRoomFraction)
 	capacity := 0
 	for _, scored := range g.engines {
 		if float64(capacity) >= competing {
--- a/internal/balance/predict_test.go
+++ b/internal/balance/predict_test.go
@@ -40,7 +40,7 @@
 		}
 		snapshot := newSnapshot(2, 6)
 		engine, _ := snapshot.Engine("a")
-		table.PeerLoad("others", Report{KeyOf("a"): {Counts: Counts{test.load, 0}}, KeyOf("b"): {Counts: Counts{test.other, 0}}}, start)
+		table.SetPeerLoad("others", Report{KeyOf("a"): {Counts: Counts{test.load, 0}}, KeyOf("b"): {Counts: Counts{test.other, 0}}}, start)
 		wish := Wish{Service: "s", Zone: "near", Wait: test.wait}
 		prediction := table.predict(snapshot.Serving("s"), wish, start)
 		g.Expect(prediction.hasRoom(engine)).To(gomega.Equal(test.want), "%+v", test)
@@ -77,7 +77,7 @@
 	g := gomega.NewWithT(t)
 	table := NewTable()
 	snapshot := newSnapshot(2, 8) // a near, b far
-	table.PeerLoad("others", Report{KeyOf("a"): {Counts: Counts{8, 0}}, KeyOf("b"): {Counts: Counts{8, 0}}}, start)
+	table.SetPeerLoad("others", Report{KeyOf("a"): {Counts: Counts{8, 0}}, KeyOf("b"): {Counts: Counts{8, 0}}}, start)
 	room := func(zone, id string, now time.Time) bool {
 		engine, _ := snapshot.Engine(id)
 		return table.predict(snapshot.Serving("s"), Wish{Service: "s", Zone: zone, Wait: 230 * time.Millisecond}, now).hasRoom(engine)
@@ -96,11 +96,11 @@
 	snapshot := newSnapshot(1, 1)
 	balancer := New(func() *catalog.Snapshot { return snapshot })
 	full := Report{KeyOf("a"): {Counts: Counts{9, 0}}}
-	balancer.PeerLoad("others", full)
+	balancer.SetPeerLoad("others", full)
 	var refreshes atomic.Int32
 	refresh := func(context.Context) {
 		if refreshes.Add(1) == 3 {
-			balancer.PeerLoad("others", Report{})
+			balancer.SetPeerLoad("others", Report{})
 		}
 	}
 	lease, err := balancer.Acquire(context.Background(), Wish{Service: "s"}, 0, 10*time.Second, refresh)
--- a/internal/balance/regions_test.go
+++ b/internal/balance/regions_test.go
@@ -23,7 +23,7 @@
 	g := gomega.NewWithT(t)
 	b := New(twoRegions)
 	wish := Wish{Service: "s", Zone: "b", Class: ClassOnline, Regions: catalog.Regions{"north"}, Avoid: []string{"n"}}
-	b.Failed("n", context.Canceled)
+	b.RecordFailure("n", context.Canceled)
 	lease, err := b.Acquire(context.Background(), wish, 0, 0, nil)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(lease.Engine.ID).To(gomega.Equal("n"))
--- a/internal/balance/release_failed_test.go
+++ b/internal/balance/release_failed_test.go
@@ -24,7 +24,7 @@
 		lease.ReleaseFailed()
 		lease.Release()
 	}
-	own := balancer.Own()[KeyOf("a")]
+	own := balancer.OwnReport()[KeyOf("a")]
 	g.Expect(own.Counts).To(gomega.Equal(Counts{3, 0}))
 	g.Expect(own.Pending).To(gomega.BeZero(), "no prompt tokens are pending")
 }
@@ -38,5 +38,5 @@
 	lease, err := balancer.Acquire(context.Background(), Wish{Service: "s"}, 0, 0, nil)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	lease.ReleaseFailed()
-	g.Eventually(func() Report { return balancer.Own() }, 10*time.Second).Should(gomega.BeEmpty())
+	g.Eventually(func() Report { return balancer.OwnReport() }, 10*time.Second).Should(gomega.BeEmpty())
 }
--- a/internal/balance/report.go
+++ b/internal/balance/report.go
@@ -33,16 +33,16 @@
 type Load struct {
 	// Counts are the requests in flight from the reporting nodes.
 	Counts
-	// Seen is the total load that the engine itself reported recently, from all nodes; 0 if
-	// there is no recent report.
-	Seen int
+	// EngineReported is the total load that the engine itself reported recently, from all
+	// nodes; 0 if there is no recent report.
+	EngineReported int
 	// Pending is the number of prompt tokens that the engine has not yet read for the
 	// reporting nodes.
 	Pending int
 }
 
 // minLoad is a lower bound of the engine's load.
-func (l Load) minLoad() int { return max(l.Total(), l.Seen) }
+func (l Load) minLoad() int { return max(l.Total(), l.EngineReported) }
 
 // Without returns the report less the other's counts, clamped at 0, as the two may differ in
 // age.
@@ -67,7 +67,7 @@
 			total.Counts[class] += load.Counts[class]
 		}
 		total.Pending += load.Pending
-		total.Seen = max(total.Seen, load.Seen)
+		total.EngineReported = max(total.EngineReported, load.EngineReported)
 		r[key] = total
 	}
 }
@@ -113,7 +113,7 @@
 
 // append encodes a load; values beyond a field's range are clamped.
 func (l Load) append(body []byte) []byte {
-	for _, count := range []int{l.Counts[ClassOnline], l.Counts[ClassBatch], l.Seen} {
+	for _, count := range []int{l.Counts[ClassOnline], l.Counts[ClassBatch], l.EngineReported} {
 		body = append(body, uint8(min(max(count, 0), math.MaxUint8)))
 	}
 	steps := (max(l.Pending, 0) + pendingGranularity - 1) / pendingGranularity
@@ -133,7 +133,7 @@
 	report := Report{}
 	for ; len(body) > 0; body = body[reportEntrySize:] {
 		report[EngineKey(binary.BigEndian.Uint32(body))] = Load{
-			Counts: Counts{int(body[4]), int(body[5])}, Seen: int(body[6]), Pending: pendingGranularity * int(binary.BigEndian.Uint16(body[7:])),
+			Counts: Counts{int(body[4]), int(body[5])}, EngineReported: int(body[6]), Pending: pendingGranularity * int(binary.BigEndian.Uint16(body[7:])),
 		}
 	}
 	return report, nil
--- a/internal/balance/slowdown_test.go
+++ b/internal/balance/slowdown_test.go
@@ -14,7 +14,7 @@
 func TestSlowEngineRanksLowerAndQueuesLess(t *testing.T) {
 	g := gomega.NewWithT(t)
 	snapshot, table := newSnapshot(3, 8), NewTable() // a near, b far, c near
-	table.Reported("a", upstream.Load{Slots: 8, Stretch: 4}, start)
+	table.RecordReport("a", upstream.Load{Slots: 8, Slowdown: 4}, start)
 	wish := Wish{Service: "s", Zone: "near"}
 	chosen, found := table.Choose(snapshot, wish, start, zeroDraw)
 	g.Expect(found).To(gomega.BeTrue())
--- a/internal/balance/table.go
+++ b/internal/balance/table.go
@@ -12,9 +12,9 @@
 	// slowdownTTL is how long an engine's reported slowdown is used; it changes many times a
 	// second.
 	slowdownTTL = 100 * time.Millisecond
-	// peerSeenTTL is how long engine loads relayed by peers are used: a little longer than
+	// relayedLoadTTL is how long engine loads relayed by peers are used: a little longer than
 	// the interval of peer reports.
-	peerSeenTTL = 120 * time.Millisecond
+	relayedLoadTTL = 120 * time.Millisecond
 	// peerTTL is how long a peer's report is used.
 	peerTTL = time.Second
 	// An engine that fails is ejected for minEjection, doubled with each consecutive failure
@@ -71,8 +71,8 @@
 	report     Report
 }
 
-// seenLoad is the maximum load that peers recently heard from an engine.
-type seenLoad struct {
+// relayedLoad is the maximum load that peers recently heard from an engine.
+type relayedLoad struct {
 	receivedAt time.Time
 	requests   int
 }
@@ -82,14 +82,16 @@
 type Table struct {
 	engines map[string]*engineState
 	peers   map[string]peerLoad
-	// peerSum is the sum of the peers' reports except Seen, which is kept in seen.
-	peerSum Report
-	seen    map[EngineKey]seenLoad
+	// peerSum is the sum of the peers' reports except EngineReported, which is kept in
+	// engineReported.
+	peerSum        Report
+	engineReported map[EngineKey]relayedLoad
 	// meanResidence is the mean time that this node's online requests spend at an engine, and
 	// meanHold that from their first event on.
 	meanResidence, meanHold time.Duration
-	// roomRate is the moving average of how often this node's online requests find room.
-	roomRate float64
+	// foundRoomFraction is the fraction of this node's online requests that find room, as a
+	// moving average.
+	foundRoomFraction float64
 	// lastPeerReport is the time of the last peer report.
 	lastPeerReport time.Time
 	// nextExpiry is when expired peers are dropped next.
@@ -97,8 +99,8 @@
 	keys       map[string]EngineKey // by engine ID, to hash each once
 	// zoneRTTs are the round-trip times from this node.
 	zoneRTTs rttTracker
-	// windowEnd is the index after the last window of chooseMany.
-	windowEnd int
+	// nextWindowStart is the index of the engine at which chooseMany's next window starts.
+	nextWindowStart int
 	// index maps keys to engines of the newest snapshot.
 	index engineIndex
 }
@@ -106,8 +108,8 @@
 // NewTable returns an empty table.
 func NewTable() *Table {
 	return &Table{
-		engines: map[string]*engineState{}, peers: map[string]peerLoad{}, peerSum: Report{}, seen: map[EngineKey]seenLoad{},
-		keys: map[string]EngineKey{}, zoneRTTs: rttTracker{}, meanResidence: initialMean, meanHold: initialMean, roomRate: 1,
+		engines: map[string]*engineState{}, peers: map[string]peerLoad{}, peerSum: Report{}, engineReported: map[EngineKey]relayedLoad{},
+		keys: map[string]EngineKey{}, zoneRTTs: rttTracker{}, meanResidence: initialMean, meanHold: initialMean, foundRoomFraction: 1,
 	}
 }
 
@@ -165,23 +167,23 @@
 // peersOnline returns the number of peers' online requests at an engine.
 func (t *Table) peersOnline(id string) int { return t.peerSum[t.key(id)].Counts[ClassOnline] }
 
-// Reported records the load that an engine reported.
-func (t *Table) Reported(id string, load upstream.Load, now time.Time) {
+// RecordReport records the load that an engine reported.
+func (t *Table) RecordReport(id string, load upstream.Load, now time.Time) {
 	state := t.state(id, now)
 	state.report = load
 	state.reportAt = now
 	state.ownAtReport = state.total()
 }
 
-// Succeeded records an answer and ends the engine's ejection.
-func (t *Table) Succeeded(id string, now time.Time) {
+// RecordSuccess records an answer and ends the engine's ejection.
+func (t *Table) RecordSuccess(id string, now time.Time) {
 	state := t.state(id, now)
 	state.failures = 0
 	state.ejectedUntil = time.Time{}
 }
 
-// Failed ejects an engine and returns for how long.
-func (t *Table) Failed(id string, now time.Time) time.Duration {
+// RecordFailure ejects an engine and returns for how long.
+func (t *Table) RecordFailure(id string, now time.Time) time.Duration {
 	state := t.state(id, now)
 	pause := min(minEjection<<min(state.failures, 5), maxEjection)
 	state.failures++
@@ -189,24 +191,24 @@
 	return pause
 }
 
-// Refused records that an engine refused a request as it is full.
-func (t *Table) Refused(id string, now time.Time) { t.markFull(id, refusalPause, now) }
+// RecordRefusal records that an engine refused a request as it is full.
+func (t *Table) RecordRefusal(id string, now time.Time) { t.markFull(id, refusalPause, now) }
 
-// PeerLoad replaces a peer's load report.
-func (t *Table) PeerLoad(peer string, report Report, now time.Time) {
+// SetPeerLoad replaces a peer's load report.
+func (t *Table) SetPeerLoad(peer string, report Report, now time.Time) {
 	t.addToPeerSum(t.peers[peer].report, -1)
 	t.addToPeerSum(report, 1)
 	t.peers[peer] = peerLoad{receivedAt: now, report: report}
 	t.lastPeerReport = now
 	for key, load := range report {
-		if known := t.seen[key]; load.Seen >= known.requests || now.Sub(known.receivedAt) > peerSeenTTL {
-			t.seen[key] = seenLoad{receivedAt: now, requests: load.Seen}
+		if known := t.engineReported[key]; load.EngineReported >= known.requests || now.Sub(known.receivedAt) > relayedLoadTTL {
+			t.engineReported[key] = relayedLoad{receivedAt: now, requests: load.EngineReported}
 		}
 	}
 }
 
-// PeerGone drops a peer's load report.
-func (t *Table) PeerGone(peer string) {
+// RemovePeer drops a peer's load report.
+func (t *Table) RemovePeer(peer string) {
 	t.addToPeerSum(t.peers[peer].report, -1)
 	delete(t.peers, peer)
 }
@@ -235,43 +237,43 @@
 	t.nextExpiry = now.Add(peerTTL / 4)
 	for peer, load := range t.peers {
 		if now.Sub(load.receivedAt) > peerTTL {
-			t.PeerGone(peer)
+			t.RemovePeer(peer)
 		}
 	}
-	for key, seen := range t.seen {
-		if now.Sub(seen.receivedAt) > peerTTL {
-			delete(t.seen, key)
+	for key, relayed := range t.engineReported {
+		if now.Sub(relayed.receivedAt) > peerTTL {
+			delete(t.engineReported, key)
 		}
 	}
 }
 
-// Own returns this node's load report, without idle engines.
-func (t *Table) Own(now time.Time) Report {
+// OwnReport returns this node's load report, without idle engines.
+func (t *Table) OwnReport(now time.Time) Report {
 	own := Report{}
 	for id, state := range t.engines {
-		if load := (Load{Counts: state.own, Seen: state.reportedLoad(now), Pending: state.pending}); load.minLoad() > 0 {
+		if load := (Load{Counts: state.own, EngineReported: state.reportedLoad(now), Pending: state.pending}); load.minLoad() > 0 {
 			own[t.key(id)] = load
 		}
 	}
 	return own
 }
 
-// All returns the sum of all nodes' reports, this node's included.
-func (t *Table) All(now time.Time) Report {
+// TotalReport returns the sum of all nodes' reports, this node's included.
+func (t *Table) TotalReport(now time.Time) Report {
 	t.expire(now)
-	all := t.Own(now)
+	all := t.OwnReport(now)
 	all.Add(t.peerSum)
 	for key, total := range all {
-		total.Seen = max(total.Seen, t.peerSeen(key, now))
+		total.EngineReported = max(total.EngineReported, t.relayedEngineLoad(key, now))
 		all[key] = total
 	}
 	return all
 }
 
-// peerSeen returns the maximum load that peers recently heard from an engine.
-func (t *Table) peerSeen(key EngineKey, now time.Time) int {
-	if seen := t.seen[key]; now.Sub(seen.receivedAt) <= peerSeenTTL {
-		return seen.requests
+// relayedEngineLoad returns the maximum load that peers recently heard from an engine.
+func (t *Table) relayedEngineLoad(key EngineKey, now time.Time) int {
+	if relayed := t.engineReported[key]; now.Sub(relayed.receivedAt) <= relayedLoadTTL {
+		return relayed.requests
 	}
 	return 0
 }
@@ -320,10 +322,10 @@
 // recent report.
 func (t *Table) slowdown(id string, now time.Time) float64 {
 	state := t.engines[id]
-	if state == nil || state.report.Stretch <= 0 || now.Sub(state.reportAt) > slowdownTTL {
+	if state == nil || state.report.Slowdown <= 0 || now.Sub(state.reportAt) > slowdownTTL {
 		return 1
 	}
-	return state.report.Stretch
+	return state.report.Slowdown
 }
 
 // load estimates all requests at an engine: the sum over nodes, or the engine's own report if
@@ -333,7 +335,7 @@
 	if state := t.engines[id]; state != nil {
 		load = max(load, state.reportedLoad(now))
 	}
-	return max(load, t.peerSeen(t.key(id), now))
+	return max(load, t.relayedEngineLoad(t.key(id), now))
 }
 
 // pending estimates the prompt tokens that an engine has not yet read for all nodes.
--- a/internal/batchwork/calls.go
+++ b/internal/batchwork/calls.go
@@ -212,7 +212,7 @@
 
 // place handles the submission of a job that was claimed for this shard.
 func (s *Server) place(ctx context.Context, payload []byte) ([]byte, error) {
-	var fixed fixedPlace
+	var fixed fixedClaimedJob
 	fields, err := unmarshal(payload, &fixed, 1)
 	if err != nil {
 		return nil, err
--- a/internal/batchwork/claim.go
+++ b/internal/batchwork/claim.go
@@ -9,13 +9,19 @@
 	"chutelock.dev/chutelock/internal/wire"
 )
 
-// Jobs restricted to regions are stored by the shard of one of these regions. Shard 0 holds
-// the claims, which assign jobs to shards, and the homes, which assign queues to shards; it
-// stores nothing else of these jobs. A resubmitted job therefore finds its record even if
-// its regions have changed, and a queue's token bound is enforced by a single shard.
+// A job restricted to regions is stored by the shard of one of these regions. Shard 0 stores
+// only where it is:
+//
+//   - A claim assigns a job to a shard, so that a resubmitted job is found even if its regions
+//     have changed.
+//   - A home assigns a queue to a shard, so that a single shard enforces the queue's token
+//     bound.
 //
 // The epoch of a claim is the index of its entry. Before a job or queue moves, its old shard
 // is fenced: it rejects every job claimed at an earlier epoch.
+//
+// The types named fixed... are the fixed-size parts of encodings; fields of variable length
+// follow them.
 
 // claim assigns a job to a shard, whether or not the job has been accepted there.
 type claim struct {
@@ -25,7 +31,7 @@
 	// epoch is that of the last answer that allowed the job to be sent there.
 	epoch     uint64
 	at        int64 // Unix milliseconds
-	retention int64
+	retention int64 // nanoseconds
 }
 
 // home is the shard for new jobs of a queue.
@@ -244,7 +250,8 @@
 	}
 }
 
-// otherShard returns the other shard that a job was claimed for.
+// otherShard returns the other shard that a job was claimed for. All tenants can access a job
+// without a tenant.
 func (m *Machine) otherShard(name jobName) (ledger.ShardID, bool) {
 	known := m.claims[name.job]
 	if known == nil || known.shard == 0 || (known.tenant != "" && known.tenant != name.tenant) {
@@ -314,16 +321,16 @@
 	return epoch < max(m.fences[job.queue().fenceName()].epoch, m.fences[jobFenceName(job.ID)].epoch)
 }
 
-// fixedPlace heads a job sent to the shard it was claimed for. QueuedElsewhere is the number
-// of its queue's tokens at other shards.
-type fixedPlace struct {
+// fixedClaimedJob heads a job sent to the shard it was claimed for. QueuedElsewhere is the
+// number of its queue's tokens at other shards.
+type fixedClaimedJob struct {
 	Epoch           uint64
 	QueuedElsewhere int64
 }
 
-// place accepts a job claimed for this shard; the caller holds the mutex.
-func (m *Machine) place(writer ledger.Writer, fields [][]byte) (byte, error) {
-	var fixed fixedPlace
+// acceptClaimed accepts a job claimed for this shard; the caller holds the mutex.
+func (m *Machine) acceptClaimed(writer ledger.Writer, fields [][]byte) (byte, error) {
+	var fixed fixedClaimedJob
 	parts, err := unmarshal(fields[0], &fixed, 1)
 	if err != nil {
 		return 0, err
--- a/internal/batchwork/claimstore.go
+++ b/internal/batchwork/claimstore.go
@@ -77,7 +77,7 @@
 	return marshal(fixedCommand{commandForget, now.UnixMilli()}, fields...)
 }
 
-// forgettable lists expired claims and fences.
+// forgettable lists expired claims and fences. Closed jobs are listed by purgeable.
 func (m *Machine) forgettable(now time.Time, retention time.Duration) []staleRecord {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
--- a/internal/batchwork/estimator.go
+++ b/internal/batchwork/estimator.go
@@ -12,19 +12,19 @@
 	readMargin = 500 * time.Millisecond
 )
 
-// estimator estimates how long items take, as moving averages over ended runs.
-type estimator struct {
+// itemEstimator estimates how long items take, as moving averages over ended runs.
+type itemEstimator struct {
 	eventTime  float64 // nanoseconds
 	itemEvents float64 // events per item
 }
 
-func newEstimator() *estimator {
-	return &estimator{eventTime: float64(initialEventTime), itemEvents: initialItemEvents}
+func newItemEstimator() *itemEstimator {
+	return &itemEstimator{eventTime: float64(initialEventTime), itemEvents: initialItemEvents}
 }
 
 // observe adds a run that ended: its duration, the events it produced, and the item's last
 // event if the item is done.
-func (e *estimator) observe(took time.Duration, events uint64, last uint64, done bool) {
+func (e *itemEstimator) observe(took time.Duration, events uint64, last uint64, done bool) {
 	if events > 0 {
 		e.eventTime += averageWeight * (float64(took)/float64(events) - e.eventTime)
 	}
@@ -34,20 +34,20 @@
 }
 
 // remaining estimates how long an item still takes.
-func (e *estimator) remaining(item openItem) time.Duration {
+func (e *itemEstimator) remaining(item openItem) time.Duration {
 	events := max(e.itemEvents-float64(item.lastEvent), e.itemEvents/8)
 	return time.Duration(e.eventTime * events)
 }
 
 // feasible reports whether an item started now can be done in time.
-func (e *estimator) feasible(item openItem, now time.Time) bool {
+func (e *itemEstimator) feasible(item openItem, now time.Time) bool {
 	return now.Add(e.remaining(item) + readMargin).Before(item.due)
 }
 
 // order returns open items in the order in which to run them: those that can be done in time
 // by earliest due time, then the rest. Running late items first would make all others late
 // under overload.
-func (e *estimator) order(items []openItem, now time.Time) []openItem {
+func (e *itemEstimator) order(items []openItem, now time.Time) []openItem {
 	ordered := make([]openItem, 0, len(items))
 	var late []openItem
 	for _, item := range items {
--- a/internal/batchwork/estimator_test.go
+++ b/internal/batchwork/estimator_test.go
@@ -9,7 +9,7 @@
 
 func TestOrderPutsLateItemsLast(t *testing.T) {
 	g := gomega.NewWithT(t)
-	e := newEstimator()
+	e := newItemEstimator()
 	now := submitted
 	whole := e.remaining(openItem{})
 	items := []openItem{
@@ -28,7 +28,7 @@
 
 func TestEstimatorFollowsObservedRuns(t *testing.T) {
 	g := gomega.NewWithT(t)
-	e := newEstimator()
+	e := newItemEstimator()
 	for range 200 {
 		e.observe(time.Second, 10, 50, true)
 	}
--- a/internal/batchwork/executor_test.go
+++ b/internal/batchwork/executor_test.go
@@ -329,7 +329,7 @@
 	for _, one := range p.runner.runs {
 		current = one
 	}
-	stale := runRequest{run: current.number - 1, engine: current.engine, read: Item{ID: "a-0", Path: "/x"}, attempts: 3}
+	stale := runRequest{run: current.number - 1, engine: current.engine, read: Item{ID: "a-0", Path: "/x"}, maxFailures: 3}
 	p.runner.mutex.Unlock()
 	stale.item = openItem{job: "a", host: "h", giveUp: time.Now().Add(time.Hour)}
 	send := func(request runRequest) error {
--- a/internal/batchwork/itemrun.go
+++ b/internal/batchwork/itemrun.go
@@ -20,8 +20,8 @@
 	hooks  runHooks
 	item   openItem
 	engine catalog.Engine
-	// attempts is how many internal server errors of engines end the item.
-	attempts int
+	// maxFailures is how many internal server errors of engines end the item.
+	maxFailures int
 
 	id          string
 	fingerprint poison.Fingerprint
@@ -92,7 +92,7 @@
 }
 
 // proceed repeats the checks before the request is sent: they may have changed while the
-// connection was opened.
+// connection was opened. ErrEngineExcluded also stands for an item that is held back.
 func (r *itemRun) proceed() error {
 	if !r.node.mayRun(&r.item, r.engine) {
 		return upstream.ErrEngineExcluded
@@ -120,6 +120,7 @@
 	case response.Status == http.StatusUnprocessableEntity:
 		return r.giveUp(ctx, "the engine can never run it")
 	case response.Status >= http.StatusMultipleChoices:
+		// The connection can be used again only after its body was read.
 		_, _ = io.Copy(io.Discard, io.LimitReader(response, pageBytes))
 		return r.handleErrorStatus(ctx, response.Status)
 	case !response.Signed:
@@ -145,7 +146,7 @@
 	r.node.streams.Add(1)
 	defer r.node.streams.Add(-1)
 	started, first := clock.Now(), r.last
-	r.commitAt = started.Add(firstCommit)
+	r.commitAt = started.Add(firstCommitDelay)
 	defer func() { r.result.took, r.result.events = clock.Since(started), r.last-first }()
 	events := forward.NewEventReader(&pacedReader{ctx: ctx, stream: response, start: r.node.readStart, interval: r.node.readInterval})
 	for {
@@ -238,7 +239,7 @@
 		return r.handleInterruption(ctx, errors.New(http.StatusText(status)), false)
 	}
 	r.reportOutcome(engineFailed, errors.New(http.StatusText(status)))
-	if int(r.item.failures)+1 >= r.attempts {
+	if int(r.item.failures)+1 >= r.maxFailures {
 		return r.giveUp(ctx, "it failed on every attempt")
 	}
 	_ = r.commitText(ctx, StateOpen, 1)
--- a/internal/batchwork/machine.go
+++ b/internal/batchwork/machine.go
@@ -110,7 +110,7 @@
 	case commandFence:
 		answer, content, err = m.fence(writer, fixed.At, fields[0])
 	case commandPlace:
-		answer, err = m.place(writer, fields)
+		answer, err = m.acceptClaimed(writer, fields)
 	case commandForget:
 		err = m.forget(writer, fields)
 	}
--- a/internal/batchwork/placement.go
+++ b/internal/batchwork/placement.go
@@ -115,7 +115,7 @@
 		request := fenceRequest{epoch: p.answer.homeEpoch, queue: p.job.queue()}
 		return placementCall{shard: p.formerHomes[0], kind: kindFence, payload: request.marshal()}, nil
 	case stagePlace:
-		fixed := fixedPlace{p.answer.epoch, p.queuedElsewhere}
+		fixed := fixedClaimedJob{p.answer.epoch, p.queuedElsewhere}
 		return placementCall{shard: p.answer.shard, kind: kindPlace, payload: marshal(fixed, p.encoded), body: true}, nil
 	}
 	request := claimRequest{
--- a/internal/batchwork/plan.go
+++ b/internal/batchwork/plan.go
@@ -57,7 +57,7 @@
 func (r *Runner) orderItems(open []openItem, now time.Time) []openItem {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.estimator.order(open, now)
+	return r.itemEstimator.order(open, now)
 }
 
 // observeRun updates the estimates with a run that ended.
@@ -65,13 +65,13 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if result.events > 0 || result.done {
-		r.estimator.observe(result.took, result.events, result.last, result.done)
+		r.itemEstimator.observe(result.took, result.events, result.last, result.done)
 	}
 }
 
 func (r *Runner) logState(open int, now time.Time) {
 	r.mutex.Lock()
-	running, local, paused, maxRuns := len(r.runs), r.localRuns(), len(r.pauses), r.limit.maxRuns
+	running, local, paused, maxRuns := len(r.runs), r.localRuns(), len(r.pauses), r.runLimit.maxRuns
 	due := now.Sub(r.stateLoggedAt) >= stateInterval
 	if due {
 		r.stateLoggedAt = now
--- a/internal/batchwork/plan_bench_test.go
+++ b/internal/batchwork/plan_bench_test.go
@@ -50,7 +50,7 @@
 	var _ ledger.Shard = shard
 	b.ReportAllocs()
 	for b.Loop() {
-		balancer.PeerLoad("fronts", load)
+		balancer.SetPeerLoad("fronts", load)
 		runner.plan(context.Background())
 	}
 }
--- a/internal/batchwork/remote_runs.go
+++ b/internal/batchwork/remote_runs.go
@@ -24,7 +24,7 @@
 // runRemotely runs an item at another data node and returns the result.
 func (r *Runner) runRemotely(next *startedRun, read *Item) runResult {
 	request := runRequest{
-		run: next.number, item: next.item, read: *read, engine: next.engine, attempts: next.route.Attempts,
+		run: next.number, item: next.item, read: *read, engine: next.engine, maxFailures: next.route.Attempts,
 		restricted: r.regions(next.route, next.item.tenant) != nil,
 	}
 	callCtx, cancel := context.WithTimeoutCause(next.callCtx, clock.Until(next.item.giveUp)+giveUpMargin, errRunLost)
--- a/internal/batchwork/runmessage.go
+++ b/internal/batchwork/runmessage.go
@@ -24,8 +24,8 @@
 	item   openItem
 	read   Item
 	engine catalog.Engine
-	// attempts is how many internal server errors of engines end the item.
-	attempts int
+	// maxFailures is how many internal server errors of engines end the item.
+	maxFailures int
 	// restricted reports whether the item is restricted to regions; only then is its path
 	// sent, which the executor needs to look them up.
 	restricted bool
@@ -43,7 +43,7 @@
 }
 
 func (q *runRequest) marshal(now time.Time) []byte {
-	fixed := fixedRun{q.run, q.item.index, q.item.lastEvent, q.item.failures, uint16(q.attempts), int64(q.item.giveUp.Sub(now))}
+	fixed := fixedRun{q.run, q.item.index, q.item.lastEvent, q.item.failures, uint16(q.maxFailures), int64(q.item.giveUp.Sub(now))}
 	fields := [][]byte{[]byte(q.item.job), []byte(q.item.host), []byte(q.item.tenant), encodeItem(&q.read, true),
 		[]byte(catalog.Instance(q.engine.ID)), []byte(q.engine.Service), []byte(q.engine.Address)}
 	if q.restricted {
@@ -72,7 +72,7 @@
 		return nil, err
 	}
 	return &runRequest{
-		run: fixed.Run, read: read, attempts: int(fixed.Attempts), restricted: path != "",
+		run: fixed.Run, read: read, maxFailures: int(fixed.Attempts), restricted: path != "",
 		item: openItem{
 			job: string(fields[0]), host: string(fields[1]), tenant: string(fields[2]), index: fixed.Index, lastEvent: fixed.LastEvent,
 			path: path, failures: fixed.Failures, giveUp: now.Add(time.Duration(fixed.GiveUp)),
--- a/internal/batchwork/runner.go
+++ b/internal/batchwork/runner.go
@@ -42,13 +42,13 @@
 	followInterval = 200 * time.Millisecond
 	minPlanPause   = 20 * time.Millisecond
 	maxPlanShare   = 0.1
-	// firstCommit is the time to a run's first commit: an item with committed text resumes
+	// firstCommitDelay is the time to a run's first commit: an item with committed text resumes
 	// elsewhere instead of starting again.
-	firstCommit = 150 * time.Millisecond
+	firstCommitDelay = 150 * time.Millisecond
 	// commitInterval is the time between commits of a running item's text.
 	commitInterval = 500 * time.Millisecond
 	// maxStartsPerPlan bounds the runs that one plan starts, as hundreds at once delay the
-	// leader's heartbeats. At minPlanPause, a thousand slots fill within half a second.
+	// leader's heartbeats.
 	maxStartsPerPlan = 48
 	// commitTimeout bounds one commit.
 	commitTimeout = 4 * time.Second
@@ -128,11 +128,12 @@
 	wake            chan struct{}
 	stateLoggedAt   time.Time
 	nextPreemption  time.Time
-	estimator       *estimator
-	limit           *runLimit
-	// executors run items for this leader; number is that of the last run.
-	executors *executors
-	number    uint64
+	itemEstimator   *itemEstimator
+	runLimit        *runLimit
+	// executors run items for this leader. lastRunNumber starts at a random value, so that
+	// runs of an earlier process at this address are not mistaken for this one's.
+	executors     *executors
+	lastRunNumber uint64
 	// term is the term of confirmed leadership, or 0; since is when it was confirmed or
 	// lost.
 	term  uint64
@@ -165,10 +166,10 @@
 // NewRunner returns a runner; call Run to start it.
 func NewRunner(options RunnerOptions) *Runner {
 	r := &Runner{
-		options: options, runs: map[itemKey]*run{}, pauses: map[itemKey]time.Time{}, previousEngines: map[itemKey]string{}, estimator: newEstimator(), limit: newRunLimit(),
+		options: options, runs: map[itemKey]*run{}, pauses: map[itemKey]time.Time{}, previousEngines: map[itemKey]string{}, itemEstimator: newItemEstimator(), runLimit: newRunLimit(),
 		pendingEnds: map[itemKey]itemUpdate{},
 		wake:        make(chan struct{}, 1),
-		executors:   newExecutors(options.LocalRuns), number: rand.Uint64(),
+		executors:   newExecutors(options.LocalRuns), lastRunNumber: rand.Uint64(),
 	}
 	r.committer = newGroupCommitter(groupDelay, r.propose)
 	r.node = &runNode{
@@ -183,7 +184,7 @@
 	return r
 }
 
-// Run plans runs until ctx ends, and returns once no item is running.
+// Run starts runs of open items until ctx ends, and returns once no item is running.
 func (r *Runner) Run(ctx context.Context) {
 	planTimer := time.NewTimer(planInterval)
 	defer planTimer.Stop()
@@ -258,21 +259,22 @@
 	return len(r.runs)
 }
 
+// purge deletes closed jobs submitted longer than Keep ago, and expired claims and fences.
 func (r *Runner) purge(ctx context.Context) {
 	if r.options.Keep <= 0 || !r.Leading() {
 		return
 	}
 	now := time.Now() // compared with wall-clock times
-	old := r.options.Machine.purgeable(now.Add(-r.options.Keep))
-	stale := r.options.Machine.forgettable(now, r.options.Keep)
+	closedJobs := r.options.Machine.purgeable(now.Add(-r.options.Keep))
+	staleRecords := r.options.Machine.forgettable(now, r.options.Keep)
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	// Failed proposals are retried at the next interval.
-	if len(old) > 0 {
-		_, _ = r.options.Shard.Propose(ctx, encodePurge(old[:min(len(old), purgeBatch)], now))
+	if len(closedJobs) > 0 {
+		_, _ = r.options.Shard.Propose(ctx, encodePurge(closedJobs[:min(len(closedJobs), purgeBatch)], now))
 	}
-	if len(stale) > 0 {
-		_, _ = r.options.Shard.Propose(ctx, encodeForget(stale[:min(len(stale), purgeBatch)], now))
+	if len(staleRecords) > 0 {
+		_, _ = r.options.Shard.Propose(ctx, encodeForget(staleRecords[:min(len(staleRecords), purgeBatch)], now))
 	}
 }
 
@@ -294,7 +296,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := clock.Now()
-	r.limit.observe(now.Sub(started), len(r.runs), now)
+	r.runLimit.observe(now.Sub(started), len(r.runs), now)
 	return err
 }
 
--- a/internal/batchwork/runner_test.go
+++ b/internal/batchwork/runner_test.go
@@ -40,7 +40,7 @@
 	g.Expect(runner.startOpen(ctx, open, time.Now())).To(gomega.HaveLen(maxStartsPerPlan))
 	g.Expect(runner.startOpen(ctx, open, time.Now())).To(gomega.HaveLen(maxStartsPerPlan), "starts other items")
 	g.Expect(runner.Running()).To(gomega.Equal(2 * maxStartsPerPlan))
-	runner.limit.maxRuns = 2*maxStartsPerPlan + 3
+	runner.runLimit.maxRuns = 2*maxStartsPerPlan + 3
 	g.Expect(runner.startOpen(ctx, open, time.Now())).To(gomega.HaveLen(3), "limited by the run limit")
 }
 
@@ -63,11 +63,13 @@
 	g := gomega.NewWithT(t)
 	runner := newRunnerWithManyItems(g, 0)
 	started := runner.startOpen(context.Background(), runner.options.Machine.openItems(), time.Now())
-	batch := func() int { return runner.options.Balancer.All()[balance.KeyOf("e")].Counts[balance.ClassBatch] }
+	batch := func() int {
+		return runner.options.Balancer.TotalReport()[balance.KeyOf("e")].Counts[balance.ClassBatch]
+	}
 	g.Expect(batch()).To(gomega.Equal(maxStartsPerPlan))
 	online := func(count int) {
 		load := balance.Load{Counts: balance.Counts{balance.ClassOnline: count}}
-		runner.options.Balancer.PeerLoad("front", balance.Report{balance.KeyOf("e"): load})
+		runner.options.Balancer.SetPeerLoad("front", balance.Report{balance.KeyOf("e"): load})
 	}
 	online(1000 - maxStartsPerPlan)
 	runner.Preempt()
--- a/internal/batchwork/start.go
+++ b/internal/batchwork/start.go
@@ -56,7 +56,7 @@
 func (r *Runner) selectStartable(open []openItem, now time.Time) (groups []*startGroup, maxStarts int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	maxStarts = max(0, min(maxStartsPerPlan, r.limit.maxRuns-len(r.runs)))
+	maxStarts = max(0, min(maxStartsPerPlan, r.runLimit.maxRuns-len(r.runs)))
 	zone := r.preferredZone()
 	byKey := map[groupKey]*startGroup{}
 	var route *catalog.Route
@@ -130,7 +130,7 @@
 func (r *Runner) execute(next *startedRun, read *Item) time.Duration {
 	var result runResult
 	if next.executor == "" {
-		local := &itemRun{node: r.node, hooks: r.hooks(next), item: next.item, engine: next.engine, attempts: next.route.Attempts}
+		local := &itemRun{node: r.node, hooks: r.hooks(next), item: next.item, engine: next.engine, maxFailures: next.route.Attempts}
 		result = local.run(next.ctx, read)
 	} else {
 		result = r.runRemotely(next, read)
@@ -156,7 +156,7 @@
 
 func (r *Runner) hooks(next *startedRun) runHooks {
 	return runHooks{
-		reported: func(load upstream.Load) { r.options.Balancer.Reported(next.engine.ID, load) },
+		reported: func(load upstream.Load) { r.options.Balancer.RecordReport(next.engine.ID, load) },
 		begun: func() {
 			next.lease.PrefillDone()
 			r.markBegun(itemKey{next.item.job, next.item.index})
@@ -170,11 +170,11 @@
 func (r *Runner) reportOutcome(engine catalog.Engine, result runResult) {
 	switch result.engine {
 	case engineSucceeded:
-		r.options.Balancer.Succeeded(engine.ID)
+		r.options.Balancer.RecordSuccess(engine.ID)
 	case engineRefused:
-		r.options.Balancer.Refused(engine.ID)
+		r.options.Balancer.RecordRefusal(engine.ID)
 	case engineFailed:
-		r.options.Balancer.Failed(engine.ID, errors.New(result.cause))
+		r.options.Balancer.RecordFailure(engine.ID, errors.New(result.cause))
 	}
 }
 
@@ -206,8 +206,8 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.previousEngines[k] = lease.Engine.ID
-	r.number++
-	next.number = r.number
+	r.lastRunNumber++
+	next.number = r.lastRunNumber
 	if executor, found := r.executors.pick(candidates, r.localRuns(), now); found {
 		next.executor = executor
 		r.executors.begin(executor, now)
--- a/internal/edge/batch.go
+++ b/internal/edge/batch.go
@@ -88,7 +88,7 @@
 }
 
 func (e *Edge) serveCall(w http.ResponseWriter, r *http.Request, call Call, from caller, arrived time.Time) {
-	request, err := e.Dialect.Facts(r, arrived)
+	request, err := e.Dialect.ParseRequest(r, arrived)
 	deadline := request.Deadline
 	if err != nil {
 		deadline = time.Time{}
--- a/internal/edge/caller_test.go
+++ b/internal/edge/caller_test.go
@@ -17,7 +17,7 @@
 // plainDialect recognizes no calls and reads no facts.
 type plainDialect struct{}
 
-func (plainDialect) Facts(*http.Request, time.Time) (forward.Request, error) {
+func (plainDialect) ParseRequest(*http.Request, time.Time) (forward.Request, error) {
 	return forward.Request{}, nil
 }
 func (plainDialect) Call(*http.Request) (Call, bool)                     { return Call{}, false }
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -52,7 +52,8 @@
 	CallEnd
 )
 
-// Call is a call about a submitted batch job.
+// Call is a caller's call about a submitted batch job, unlike upstream.Call, which is a request
+// to an engine.
 type Call struct {
 	Kind  CallKind
 	Job   string
@@ -63,8 +64,8 @@
 
 // Dialect translates between HTTP and the callers' formats.
 type Dialect interface {
-	// Facts parses a request except for its body.
-	Facts(r *http.Request, arrived time.Time) (forward.Request, error)
+	// ParseRequest parses a request except for its body.
+	ParseRequest(r *http.Request, arrived time.Time) (forward.Request, error)
 	// Call parses a call about a batch job; false if the request is none.
 	Call(r *http.Request) (Call, bool)
 	// Job parses a submitted batch job.
@@ -139,7 +140,7 @@
 func (e *Edge) serveRequest(
 	w http.ResponseWriter, r *http.Request, configuration *catalog.Configuration, route *catalog.Route, from caller, arrived time.Time,
 ) {
-	request, err := e.Dialect.Facts(r, arrived)
+	request, err := e.Dialect.ParseRequest(r, arrived)
 	if err != nil {
 		e.reject(w, r, http.StatusBadRequest, err.Error())
 		return
@@ -159,12 +160,12 @@
 		e.forward(w, r, route, &request)
 		return
 	}
-	admitted := clock.Now()
+	checkedAt := clock.Now() // stands for the time of admission in Withdraw
 	if !e.checkLimit(w, r, from.tenant, &request) {
 		return
 	}
 	if sent := e.forward(w, r, route, &request); !sent {
-		e.Withdraw(from.tenant, admitted)
+		e.Withdraw(from.tenant, checkedAt)
 	}
 }
 
@@ -180,8 +181,8 @@
 }
 
 func (e *Edge) reject(w http.ResponseWriter, r *http.Request, status int, reason string) {
-	facts, _ := e.Dialect.Facts(r, clock.Now()) // fields that can't be parsed stay empty
-	eventRejected.Info("request", facts.ID, "status", status, "reason", reason, "host", r.Host, "path", r.URL.Path)
+	parsed, _ := e.Dialect.ParseRequest(r, clock.Now()) // fields that can't be parsed stay empty
+	eventRejected.Info("request", parsed.ID, "status", status, "reason", reason, "host", r.Host, "path", r.URL.Path)
 	writeError(w, status, reason)
 }
 
--- a/internal/forward/criteria_test.go
+++ b/internal/forward/criteria_test.go
@@ -15,7 +15,7 @@
 		Forwarder: &Forwarder{Zone: "a", Region: "north"}, service: "s", avoidEngines: []string{"e"},
 		request: &Request{Regions: catalog.Regions{"north", "south"}, Prefix: "p", PrefixTokens: 2, PromptTokens: 3},
 	}
-	criteria := fl.criteria(time.Second)
+	criteria := fl.wish(time.Second)
 	g.Expect([]string{criteria.Service, criteria.Zone, criteria.Region, criteria.Prefix}).To(gomega.Equal([]string{"s", "a", "north", "p"}))
 	g.Expect(criteria.Regions).To(gomega.Equal(catalog.Regions{"north", "south"}))
 	g.Expect(criteria.Avoid).To(gomega.Equal([]string{"e"}))
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -50,7 +50,7 @@
 	defer response.Close()
 	fl.framed = response.Framed
 	if response.Load != nil {
-		fl.Balancer.Reported(engine.ID, *response.Load)
+		fl.Balancer.RecordReport(engine.ID, *response.Load)
 	}
 	switch {
 	case response.NotRun:
@@ -98,10 +98,12 @@
 // Error implements error.
 func (e statusError) Error() string { return "status " + strconv.Itoa(int(e)) }
 
-// silenceTimer cancels an exchange whose engine sends nothing for silenceTimeout. The zero
-// value never does.
+// silenceTimer cancels an exchange after silenceTimeout unless it is reset. Whole events of a
+// stream reset it; other bytes received don't. The zero value never cancels.
 type silenceTimer struct{ timer *time.Timer }
 
+// startSilenceTimer starts the timer of an attempt. The last allowed attempt has none, as a
+// canceled one could not be retried.
 func (fl *inflight) startSilenceTimer(cancel context.CancelCauseFunc) silenceTimer {
 	if !fl.route.MayRunAgain() || fl.attempts.runs+1 >= fl.route.Attempts {
 		return silenceTimer{}
@@ -179,7 +181,7 @@
 	if err != nil {
 		return attemptResult{kind: OutcomeUnknown, cause: err}, false
 	}
-	fl.Balancer.Succeeded(engine.ID)
+	fl.Balancer.RecordSuccess(engine.ID)
 	fl.firstEventAt = clock.Now()
 	fl.responseSent(fl.sink.WriteResponse(response.Status, response.Header, body))
 	return attemptResult{}, true
@@ -200,7 +202,7 @@
 	for {
 		event, err := events.Next()
 		if errors.Is(err, io.EOF) {
-			fl.Balancer.Succeeded(lease.Engine.ID)
+			fl.Balancer.RecordSuccess(lease.Engine.ID)
 			return fl.endStream(response), true
 		}
 		if err != nil {
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -23,8 +23,8 @@
 )
 
 const (
-	// silenceTimeout is how long an engine may send nothing before a repeatable request is
-	// retried. Callers abandon a stream after a pause of 2 s.
+	// silenceTimeout is how long an engine may send no whole response or event before a
+	// repeatable request is retried. Callers abandon a stream after a pause of 2 s.
 	silenceTimeout = 1100 * time.Millisecond
 	// minAttemptTime is the time that must remain for another attempt.
 	minAttemptTime = 30 * time.Millisecond
@@ -56,7 +56,7 @@
 // Result summarizes a request for metrics.
 type Result struct {
 	Route    *catalog.Route
-	Verdict  string
+	Verdict  string // name of a Verdict, or one of the constants below
 	Attempts int
 	// Waited is the time spent waiting for an engine.
 	Waited time.Duration
@@ -64,7 +64,7 @@
 	First, Total time.Duration
 }
 
-// Results of requests besides the names of verdicts.
+// Values of Result.Verdict besides the names of Verdicts.
 const (
 	verdictServed     = "served"
 	verdictCallerLeft = "caller-left"
@@ -141,7 +141,7 @@
 			return
 		}
 		fl.release(lease, result)
-		fl.reportBreak(ctx, engine, result)
+		fl.reportLostConnection(ctx, engine, result)
 		step := fl.attempts.Next(result.kind)
 		if step == StepRetry && !fl.timeLeft() {
 			step = fl.attempts.GiveUp(result.kind)
@@ -175,28 +175,28 @@
 // the chosen one has no engine.
 func (fl *inflight) acquire(ctx context.Context) (*balance.Lease, error) {
 	policy := fl.waitPolicy()
-	criteria := fl.criteria(policy.waitAtEngine(clock.Now()))
+	wish := fl.wish(policy.waitAtEngine(clock.Now()))
 	if fl.Refresh != nil {
 		fl.Refresh(ctx)
 	}
-	lease, err := fl.Balancer.Acquire(ctx, criteria, fl.request.Priority, policy.acquireTimeout(clock.Now()), fl.Refresh)
+	lease, err := fl.Balancer.Acquire(ctx, wish, fl.request.Priority, policy.acquireTimeout(clock.Now()), fl.Refresh)
 	if err == nil && fl.Chosen != nil {
 		fl.Chosen()
 	}
 	if !errors.Is(err, balance.ErrNoEngine) {
 		return lease, err
 	}
-	return fl.acquireFromOtherService(ctx, criteria, err)
+	return fl.acquireFromOtherService(ctx, wish, err)
 }
 
 // acquireFromOtherService acquires an engine of any service of the route, and waits for the
 // first service that has engines for the request. The chosen service may have none in the
 // request's regions, which must not fail the request.
-func (fl *inflight) acquireFromOtherService(ctx context.Context, criteria balance.Wish, noEngine error) (*balance.Lease, error) {
+func (fl *inflight) acquireFromOtherService(ctx context.Context, wish balance.Wish, noEngine error) (*balance.Lease, error) {
 	waitService := ""
 	for _, service := range fl.route.Services() {
-		criteria.Service = service
-		lease, err := fl.Balancer.Acquire(ctx, criteria, fl.request.Priority, 0, nil)
+		wish.Service = service
+		lease, err := fl.Balancer.Acquire(ctx, wish, fl.request.Priority, 0, nil)
 		if err == nil {
 			return lease, nil
 		}
@@ -207,8 +207,8 @@
 	if waitService == "" {
 		return nil, noEngine
 	}
-	criteria.Service = waitService
-	return fl.Balancer.Acquire(ctx, criteria, fl.request.Priority, fl.waitPolicy().acquireTimeout(clock.Now()), fl.Refresh)
+	wish.Service = waitService
+	return fl.Balancer.Acquire(ctx, wish, fl.request.Priority, fl.waitPolicy().acquireTimeout(clock.Now()), fl.Refresh)
 }
 
 // regions returns where the request may be served now.
@@ -219,8 +219,8 @@
 	return fl.Regions(fl.request, fl.route)
 }
 
-// criteria returns the conditions for choosing an engine; wait bounds the time in its queue.
-func (fl *inflight) criteria(wait time.Duration) balance.Wish {
+// wish returns the conditions for choosing an engine; wait bounds the time in the engine's queue.
+func (fl *inflight) wish(wait time.Duration) balance.Wish {
 	return balance.Wish{
 		Request: fl.request.ID, Service: fl.service, Zone: fl.Zone, Region: fl.Region, Class: balance.ClassOnline,
 		Prefix: fl.request.Prefix, PrefixTokens: fl.request.PrefixTokens, PromptTokens: fl.request.PromptTokens,
@@ -320,9 +320,9 @@
 	switch {
 	case result.withheld:
 	case result.kind == OutcomeRefused && !result.addressReused:
-		fl.Balancer.Refused(engine.ID)
+		fl.Balancer.RecordRefusal(engine.ID)
 	default:
-		fl.Balancer.Failed(engine.ID, result.cause)
+		fl.Balancer.RecordFailure(engine.ID, result.cause)
 	}
 }
 
--- a/internal/forward/held.go
+++ b/internal/forward/held.go
@@ -36,9 +36,9 @@
 	return *fl.print
 }
 
-// reportBreak reports a broken exchange to the guard, which determines whether the engine
-// crashed, before the request is retried.
-func (fl *inflight) reportBreak(ctx context.Context, engine catalog.Engine, result attemptResult) {
+// reportLostConnection reports a broken exchange to the guard, which determines whether the
+// engine crashed, before the request is retried.
+func (fl *inflight) reportLostConnection(ctx context.Context, engine catalog.Engine, result attemptResult) {
 	if result.kind != OutcomeUnknown && result.kind != OutcomeBroken {
 		return
 	}
--- a/internal/forward/overload_test.go
+++ b/internal/forward/overload_test.go
@@ -93,7 +93,7 @@
 // exchangeReports collects the reports of all front nodes and distributes them to other zones.
 func (s *simulation) exchangeReports() {
 	for _, front := range s.fronts {
-		front.reported = front.table.Own(s.Now())
+		front.reported = front.table.OwnReport(s.Now())
 	}
 	for zone := range s.otherZones {
 		s.otherZones[zone] = s.sumReports(func(front *simFront) bool { return front.zone != zone })
@@ -131,10 +131,10 @@
 
 // acquire updates a front node's load table and then chooses an engine.
 func (s *simulation) acquire(front *simFront, attempt *simAttempt) {
-	front.reported = front.table.Own(s.Now())
+	front.reported = front.table.OwnReport(s.Now())
 	sum := s.sumReports(func(other *simFront) bool { return other != front && other.zone == front.zone })
 	sum.Add(s.otherZones[front.zone])
-	front.table.PeerLoad("others", sum, s.Now())
+	front.table.SetPeerLoad("others", sum, s.Now())
 	s.After(simChooseDelay, func() { s.choose(front, attempt) })
 }
 
@@ -145,7 +145,7 @@
 	switch {
 	case found:
 		front.table.Begin(engine.ID, balance.ClassOnline, 0, now)
-		report := front.table.Own(now)
+		report := front.table.OwnReport(now)
 		s.After(simReportDelay, func() { front.reported = report })
 		s.send(front, engine.ID, attempt)
 	case attempt.acquireTimeout(now) > 0:
--- a/internal/forward/refresh_test.go
+++ b/internal/forward/refresh_test.go
@@ -22,9 +22,9 @@
 		Forwarder: &Forwarder{
 			Balancer: balancer,
 			Refresh: func(context.Context) {
-				balancer.PeerLoad("others", balance.Report{balance.KeyOf("a"): {Counts: balance.Counts{4, 0}}})
+				balancer.SetPeerLoad("others", balance.Report{balance.KeyOf("a"): {Counts: balance.Counts{4, 0}}})
 			},
-			Chosen: func() { reported = balancer.Own() },
+			Chosen: func() { reported = balancer.OwnReport() },
 		},
 		request: &Request{Arrived: time.Now()}, route: &catalog.Route{}, service: "s", attempts: NewAttempts(&catalog.Route{}),
 	}
--- a/internal/forward/retryafter_test.go
+++ b/internal/forward/retryafter_test.go
@@ -22,7 +22,7 @@
 		g.Expect(delay).To(gomega.BeNumerically(">=", time.Hour))
 		g.Expect(delay).To(gomega.BeNumerically("<=", time.Hour+balancer.MeanHold()))
 	}
-	g.Expect(fl.retryAfter(&balance.PaceError{Paced: 1, Total: 2})).To(gomega.BeNumerically("<=", 2*balancer.MeanHold()))
+	g.Expect(fl.retryAfter(&balance.PaceError{Exhausted: 1, Total: 2})).To(gomega.BeNumerically("<=", 2*balancer.MeanHold()))
 	g.Expect(fl.retryAfter(balance.ErrNoRoom)).To(gomega.BeNumerically("<=", 2*balancer.MeanHold()))
 }
 
--- a/internal/ledger/replica/bootstrap.go
+++ b/internal/ledger/replica/bootstrap.go
@@ -142,7 +142,7 @@
 	members := dataMembers(b.service.options.Members.View(), b.service.self())
 	var short, rest []ledger.ShardID
 	for _, id := range missing {
-		if b.service.hasEnoughNodes(id, b.service.eligibleMembers(id, members)) {
+		if b.service.canHoldReplicas(id, b.service.eligibleMembers(id, members)) {
 			rest = append(rest, id)
 		} else {
 			short = append(short, id)
@@ -171,7 +171,7 @@
 	}
 	members := dataMembers(b.service.options.Members.View(), b.service.self())
 	return !slices.ContainsFunc(b.shortRegions, func(id ledger.ShardID) bool {
-		return b.service.hasEnoughNodes(id, b.service.eligibleMembers(id, members))
+		return b.service.canHoldReplicas(id, b.service.eligibleMembers(id, members))
 	})
 }
 
--- a/internal/ledger/replica/regions.go
+++ b/internal/ledger/replica/regions.go
@@ -127,9 +127,9 @@
 	return slices.DeleteFunc(slices.Clone(members), func(m membership.Member) bool { return !s.mayHold(id, m.Region) })
 }
 
-// hasEnoughNodes reports whether the members can hold MinCopies replicas of a
+// canHoldReplicas reports whether the members can hold MinCopies replicas of a
 // regional shard within the placement policy. It is true for other shards.
-func (s *Service) hasEnoughNodes(id ledger.ShardID, members []membership.Member) bool {
+func (s *Service) canHoldReplicas(id ledger.ShardID, members []membership.Member) bool {
 	return !id.Regional() || s.options.placementPolicy().replicaCount(sitesFor(members)) >= s.options.MinCopies
 }
 
@@ -206,7 +206,7 @@
 // HasEnoughNodes reports whether a region has enough data nodes for its shard.
 func (s *Service) HasEnoughNodes(id ledger.ShardID) bool {
 	members := dataMembers(s.options.Members.View(), s.self())
-	return s.exists(id) && s.hasEnoughNodes(id, s.eligibleMembers(id, members))
+	return s.exists(id) && s.canHoldReplicas(id, s.eligibleMembers(id, members))
 }
 
 // HasHadLeader reports whether this node knows of a leader, past or present, of a regional
--- a/internal/ledger/replica/regions_test.go
+++ b/internal/ledger/replica/regions_test.go
@@ -248,7 +248,7 @@
 			return "none"
 		}
 		inRegion := s.eligibleMembers(north, members)
-		if !s.hasEnoughNodes(north, inRegion) {
+		if !s.canHoldReplicas(north, inRegion) {
 			return
 		}
 		chosen := placeShards(1, sitesFor(inRegion), s.options.placementPolicy())[0]
--- a/internal/loadshare/doc.go
+++ b/internal/loadshare/doc.go
@@ -7,6 +7,6 @@
 // thus grow with its zone, and those between zones with the square of the number of
 // zones, not with the number of front nodes; and load is known without a leader, too.
 //
-// Choice and Exchange are free of I/O and clocks: messages and times are passed in,
+// ReceiverPicker and Exchange are free of I/O and clocks: messages and times are passed in,
 // decisions returned. See docs/design/013-load-by-zone.md.
 package loadshare
--- a/internal/loadshare/exchange_test.go
+++ b/internal/loadshare/exchange_test.go
@@ -58,7 +58,7 @@
 type simulatedFront struct {
 	address transport.Address
 	zone    string
-	choice  *Choice
+	picker  *ReceiverPicker
 	count   int
 	sum     balance.Report
 	heardAt time.Time
@@ -77,7 +77,7 @@
 	for _, zone := range zones {
 		for i := range frontsPerZone {
 			f.fronts = append(f.fronts, &simulatedFront{
-				address: transport.Address(fmt.Sprintf("front-%c%d", zone, i)), zone: string(zone), choice: NewChoice(string(zone)), count: 1,
+				address: transport.Address(fmt.Sprintf("front-%c%d", zone, i)), zone: string(zone), picker: NewReceiverPicker(string(zone)), count: 1,
 			})
 		}
 	}
@@ -111,7 +111,7 @@
 }
 
 func (f *fleet) sendReport(front *simulatedFront) {
-	to, found := front.choice.Pick(f.nodes, f.leader, f.now)
+	to, found := front.picker.Pick(f.nodes, f.leader, f.now)
 	if !found || f.down[to] || !f.reachable(front.zone, f.zoneOf(to)) {
 		return
 	}
@@ -121,15 +121,15 @@
 	}
 	exchange, table := f.exchanges[to], f.tables[to]
 	exchange.Report(front.address, onlineLoad(front.count), f.now)
-	table.PeerLoad(string(front.address), onlineLoad(front.count), f.now)
+	table.SetPeerLoad(string(front.address), onlineLoad(front.count), f.now)
 	sum := Sum{Fronts: exchange.Fronts(f.now), Complete: exchange.Complete(f.now), Load: f.knownLoad(to)}
-	if front.choice.ReceiveSum(to, sum, f.now) {
+	if front.picker.ReceiveSum(to, sum, f.now) {
 		front.sum, front.heardAt = sum.Load, f.now
 	}
 }
 
 func (f *fleet) knownLoad(at transport.Address) balance.Report {
-	all := f.tables[at].All(f.now)
+	all := f.tables[at].TotalReport(f.now)
 	if at == f.leader {
 		all.Add(f.leaderLoad)
 	}
@@ -151,10 +151,10 @@
 			continue
 		}
 		f.exchanges[to].Share(node.Address, share, f.now)
-		f.tables[to].PeerLoad(string(node.Address), share.Load, f.now)
+		f.tables[to].SetPeerLoad(string(node.Address), share.Load, f.now)
 	}
 	for _, peer := range exchange.Lapsed(f.now) {
-		f.tables[node.Address].PeerGone(string(peer))
+		f.tables[node.Address].RemovePeer(string(peer))
 	}
 }
 
@@ -228,7 +228,7 @@
 	f := newFleet("abc", 3, 20)
 	f.leader, f.leaderLoad = "c1", batchLoad(9)
 	f.run(time.Second)
-	relay, _ := NewChoice("a").Pick(f.nodes, f.leader, f.now)
+	relay, _ := NewReceiverPicker("a").Pick(f.nodes, f.leader, f.now)
 	f.down[relay] = true
 	f.run(answerTimeout + warmupTime + 3*ReportInterval)
 	f.expectFullLoad(g)
@@ -242,13 +242,13 @@
 func TestSumsCoverZoneWithTwoRelays(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet("abc", 3, 20)
-	first, _ := NewChoice("a").Pick(f.nodes, "", f.now)
+	first, _ := NewReceiverPicker("a").Pick(f.nodes, "", f.now)
 	for _, front := range f.fronts[:10] {
-		front.choice.ejectedUntil[first] = f.now.Add(time.Hour)
+		front.picker.ejectedUntil[first] = f.now.Add(time.Hour)
 	}
 	f.run(2 * time.Second)
 	f.expectFullLoad(g)
-	g.Expect(f.fronts[0].choice.chosen).NotTo(gomega.Equal(f.fronts[10].choice.chosen))
+	g.Expect(f.fronts[0].picker.chosen).NotTo(gomega.Equal(f.fronts[10].picker.chosen))
 }
 
 // A relay that reaches front nodes but no data nodes must be replaced.
@@ -257,7 +257,7 @@
 	f := newFleet("abc", 3, 20)
 	f.leader, f.leaderLoad = "c1", batchLoad(9)
 	f.run(time.Second)
-	relay, _ := NewChoice("a").Pick(f.nodes, f.leader, f.now)
+	relay, _ := NewReceiverPicker("a").Pick(f.nodes, f.leader, f.now)
 	f.isolated[relay] = true
 	f.run(time.Second)
 	f.expectFullLoad(g)
@@ -277,7 +277,7 @@
 	for _, front := range f.fronts[:20] {
 		g.Expect(front.sum[engine].Counts[balance.ClassOnline]).To(gomega.Equal(20))
 	}
-	relay, _ := NewChoice("a").Pick(f.nodes, f.leader, f.now)
+	relay, _ := NewReceiverPicker("a").Pick(f.nodes, f.leader, f.now)
 	g.Expect(f.exchanges[relay].Complete(f.now)).To(gomega.BeTrue(), "peers without load answer, too")
 	for _, front := range f.fronts {
 		front.count = 0
--- a/internal/loadshare/choice.go
+++ b/internal/loadshare/receiverpicker.go
@@ -12,8 +12,7 @@
 
 const (
 	// maxDirectFronts is the maximum number of front nodes that report to the leader
-	// itself. It limits the leader to 800 datagrams a second; in smaller fleets, relays
-	// would only add datagrams between zones.
+	// itself. In smaller fleets, relays would only add datagrams between zones.
 	maxDirectFronts = 32
 	// directDelay is how long sums must indicate a small fleet before front nodes report
 	// to the leader, as a data node that has just started knows of few front nodes.
@@ -22,7 +21,7 @@
 	// to another data node: three reports, as datagrams may be lost.
 	answerTimeout = 3 * ReportInterval
 	// ejectionTime is how long a data node that didn't answer gets no reports, unless all
-	// others are ejected, too; a restart takes one to three seconds.
+	// others are ejected, too.
 	ejectionTime = 2 * time.Second
 )
 
@@ -31,9 +30,9 @@
 // a second or more.
 const ReportInterval = 80 * time.Millisecond
 
-// Choice chooses the data node that a front node reports to. It is not safe for
+// ReceiverPicker picks the data node that a front node reports to. It is not safe for
 // concurrent use.
-type Choice struct {
+type ReceiverPicker struct {
 	zone string
 	// smallSince is since when sums indicate a small fleet; zero if they don't.
 	smallSince time.Time
@@ -44,84 +43,84 @@
 	ejectedUntil                     map[transport.Address]time.Time
 }
 
-// NewChoice returns the choice of a front node in a zone.
-func NewChoice(zone string) *Choice {
-	return &Choice{zone: zone, ejectedUntil: map[transport.Address]time.Time{}}
+// NewReceiverPicker returns the picker of a front node in a zone.
+func NewReceiverPicker(zone string) *ReceiverPicker {
+	return &ReceiverPicker{zone: zone, ejectedUntil: map[transport.Address]time.Time{}}
 }
 
 // Pick returns the receiver of a report that is sent now: the leader in a small fleet,
 // else a data node of the zone, the same for all its front nodes as long as it answers.
 // leader is empty if unknown. The result is false if no data node is known.
-func (c *Choice) Pick(nodes []mirror.Node, leader transport.Address, now time.Time) (transport.Address, bool) {
-	c.checkTimeout(now)
-	candidates := c.candidates(nodes, leader, now)
+func (p *ReceiverPicker) Pick(nodes []mirror.Node, leader transport.Address, now time.Time) (transport.Address, bool) {
+	p.checkTimeout(now)
+	candidates := p.candidates(nodes, leader, now)
 	if len(candidates) == 0 {
 		return "", false
 	}
-	index := slices.IndexFunc(candidates, func(a transport.Address) bool { return !now.Before(c.ejectedUntil[a]) })
+	index := slices.IndexFunc(candidates, func(a transport.Address) bool { return !now.Before(p.ejectedUntil[a]) })
 	if index < 0 {
-		clear(c.ejectedUntil)
+		clear(p.ejectedUntil)
 		index = 0
 	}
-	if candidates[index] != c.chosen {
-		c.chosen, c.unansweredSince = candidates[index], time.Time{}
+	if candidates[index] != p.chosen {
+		p.chosen, p.unansweredSince = candidates[index], time.Time{}
 	}
-	if c.unansweredSince.IsZero() {
-		c.unansweredSince = now
+	if p.unansweredSince.IsZero() {
+		p.unansweredSince = now
 	}
-	c.sentAt = now
-	return c.chosen, true
+	p.sentAt = now
+	return p.chosen, true
 }
 
 // checkTimeout ejects the chosen node if it hasn't sent a complete sum for
 // answerTimeout. Front nodes without requests send no reports and expect no answer.
-func (c *Choice) checkTimeout(now time.Time) {
+func (p *ReceiverPicker) checkTimeout(now time.Time) {
 	switch {
-	case c.unansweredSince.IsZero():
-	case now.Sub(c.sentAt) > answerTimeout:
-		c.unansweredSince = time.Time{}
-	case now.Sub(c.unansweredSince) > answerTimeout:
-		c.eject(c.chosen, now)
+	case p.unansweredSince.IsZero():
+	case now.Sub(p.sentAt) > answerTimeout:
+		p.unansweredSince = time.Time{}
+	case now.Sub(p.unansweredSince) > answerTimeout:
+		p.eject(p.chosen, now)
 	}
 }
 
-func (c *Choice) eject(node transport.Address, now time.Time) {
-	c.ejectedUntil[node] = now.Add(ejectionTime)
-	for other, until := range c.ejectedUntil {
+func (p *ReceiverPicker) eject(node transport.Address, now time.Time) {
+	p.ejectedUntil[node] = now.Add(ejectionTime)
+	for other, until := range p.ejectedUntil {
 		if now.After(until) {
-			delete(c.ejectedUntil, other)
+			delete(p.ejectedUntil, other)
 		}
 	}
 }
 
 // ReceiveSum takes a sum and says whether to use it: an incomplete one only if there was no
 // complete one for answerTimeout.
-func (c *Choice) ReceiveSum(from transport.Address, sum Sum, now time.Time) bool {
-	if from != c.chosen {
+func (p *ReceiverPicker) ReceiveSum(from transport.Address, sum Sum, now time.Time) bool {
+	if from != p.chosen {
 		return false
 	}
 	switch {
 	case sum.Fronts > maxDirectFronts:
-		c.smallSince = time.Time{}
-	case c.smallSince.IsZero():
-		c.smallSince = now
+		p.smallSince = time.Time{}
+	case p.smallSince.IsZero():
+		p.smallSince = now
 	}
 	if !sum.Complete {
-		return now.Sub(c.heardAt) > answerTimeout
+		return now.Sub(p.heardAt) > answerTimeout
 	}
-	c.unansweredSince, c.heardAt = time.Time{}, now
+	p.unansweredSince, p.heardAt = time.Time{}, now
 	return true
 }
 
 // candidates returns the data nodes to report to, the preferred one first.
-func (c *Choice) candidates(nodes []mirror.Node, leader transport.Address, now time.Time) []transport.Address {
+func (p *ReceiverPicker) candidates(nodes []mirror.Node, leader transport.Address, now time.Time) []transport.Address {
 	var addresses []transport.Address
-	if leader != "" && !c.smallSince.IsZero() && now.Sub(c.smallSince) > directDelay {
+	if leader != "" && !p.smallSince.IsZero() && now.Sub(p.smallSince) > directDelay {
 		addresses = append(addresses, leader)
 	}
-	inZone, others := splitByZone(nodes, c.zone)
-	addresses = append(addresses, rankRelays(inZone, c.zone, leader)...)
-	return append(addresses, rankRelays(others, c.zone, leader)...)
+	inZone, others := splitByZone(nodes, p.zone)
+	addresses = append(addresses, rankRelays(inZone, p.zone, leader)...)
+	return append(addresses, rankRelays(others, p.zone, leader)...)
 }
 
 // splitByZone separates the data nodes of a zone from the others.
--- a/internal/loadshare/choice_test.go
+++ b/internal/loadshare/receiverpicker_test.go
@@ -26,8 +26,8 @@
 }
 
 // pick returns the chosen data node, or an empty address.
-func pick(choice *Choice, nodes []mirror.Node, leader transport.Address, now time.Time) transport.Address {
-	picked, _ := choice.Pick(nodes, leader, now)
+func pick(picker *ReceiverPicker, nodes []mirror.Node, leader transport.Address, now time.Time) transport.Address {
+	picked, _ := picker.Pick(nodes, leader, now)
 	return picked
 }
 
@@ -35,76 +35,76 @@
 func TestFrontNodesOfZonePickSameRelay(t *testing.T) {
 	g := gomega.NewWithT(t)
 	nodes := dataNodes("abc", 4)
-	first, found := NewChoice("b").Pick(nodes, "", start)
+	first, found := NewReceiverPicker("b").Pick(nodes, "", start)
 	g.Expect(found).To(gomega.BeTrue())
 	g.Expect(string(first)).To(gomega.HavePrefix("b"))
 	for range 5 {
-		g.Expect(pick(NewChoice("b"), nodes, "", start)).To(gomega.Equal(first))
+		g.Expect(pick(NewReceiverPicker("b"), nodes, "", start)).To(gomega.Equal(first))
 	}
-	second, _ := NewChoice("b").Pick(nodes, first, start)
+	second, _ := NewReceiverPicker("b").Pick(nodes, first, start)
 	g.Expect(string(second)).To(gomega.HavePrefix("b"))
 	g.Expect(second).NotTo(gomega.Equal(first), "the leader ranks last")
 }
 
 // Front nodes must report to the leader while the fleet is small, and to a relay otherwise.
-func TestChoicePicksLeaderInSmallFleet(t *testing.T) {
+func TestPickerPicksLeaderInSmallFleet(t *testing.T) {
 	g := gomega.NewWithT(t)
 	nodes := dataNodes("abc", 2)
-	choice := NewChoice("b")
-	relay, _ := choice.Pick(nodes, "a0", start)
+	picker := NewReceiverPicker("b")
+	relay, _ := picker.Pick(nodes, "a0", start)
 	now := start
 	for ; now.Sub(start) <= directDelay; now = now.Add(ReportInterval) {
-		g.Expect(pick(choice, nodes, "a0", now)).To(gomega.Equal(relay))
-		g.Expect(choice.ReceiveSum(relay, Sum{Fronts: maxDirectFronts, Complete: true}, now)).To(gomega.BeTrue())
+		g.Expect(pick(picker, nodes, "a0", now)).To(gomega.Equal(relay))
+		g.Expect(picker.ReceiveSum(relay, Sum{Fronts: maxDirectFronts, Complete: true}, now)).To(gomega.BeTrue())
 	}
-	g.Expect(pick(choice, nodes, "a0", now)).To(gomega.Equal(transport.Address("a0")))
-	choice.ReceiveSum("a0", Sum{Fronts: maxDirectFronts + 1, Complete: true}, now)
-	g.Expect(pick(choice, nodes, "a0", now)).To(gomega.Equal(relay))
+	g.Expect(pick(picker, nodes, "a0", now)).To(gomega.Equal(transport.Address("a0")))
+	picker.ReceiveSum("a0", Sum{Fronts: maxDirectFronts + 1, Complete: true}, now)
+	g.Expect(pick(picker, nodes, "a0", now)).To(gomega.Equal(relay))
 }
 
 // A relay that does not answer must be ejected, and be used again after ejectionTime.
-func TestChoiceEjectsUnansweringRelay(t *testing.T) {
+func TestPickerEjectsUnansweringRelay(t *testing.T) {
 	g := gomega.NewWithT(t)
 	nodes := dataNodes("ab", 3)
-	choice := NewChoice("a")
-	first, _ := choice.Pick(nodes, "", start)
+	picker := NewReceiverPicker("a")
+	first, _ := picker.Pick(nodes, "", start)
 	now := start
 	var second transport.Address
-	for second = first; second == first; second, _ = choice.Pick(nodes, "", now) {
+	for second = first; second == first; second, _ = picker.Pick(nodes, "", now) {
 		now = now.Add(ReportInterval)
 	}
 	g.Expect(now.Sub(start)).To(gomega.BeNumerically("~", answerTimeout, ReportInterval))
 	g.Expect(string(second)).To(gomega.HavePrefix("a"))
 	for ; now.Sub(start) < answerTimeout+ejectionTime; now = now.Add(ReportInterval) {
-		choice.ReceiveSum(second, Sum{Fronts: 100, Complete: true}, now)
-		picked, _ := choice.Pick(nodes, "", now)
+		picker.ReceiveSum(second, Sum{Fronts: 100, Complete: true}, now)
+		picked, _ := picker.Pick(nodes, "", now)
 		g.Expect(picked).To(gomega.Equal(second))
 	}
 	now = now.Add(2 * ReportInterval)
-	choice.ReceiveSum(second, Sum{Fronts: 100, Complete: true}, now)
-	g.Expect(pick(choice, nodes, "", now)).To(gomega.Equal(first))
+	picker.ReceiveSum(second, Sum{Fronts: 100, Complete: true}, now)
+	g.Expect(pick(picker, nodes, "", now)).To(gomega.Equal(first))
 }
 
 // A pause without reports must not be taken for unanswered reports.
 func TestIdleFrontNodeKeepsRelay(t *testing.T) {
 	g := gomega.NewWithT(t)
 	nodes := dataNodes("a", 3)
-	choice := NewChoice("a")
-	first, _ := choice.Pick(nodes, "", start)
-	g.Expect(pick(choice, nodes, "", start.Add(10*time.Second))).To(gomega.Equal(first))
-	g.Expect(pick(choice, nodes, "", start.Add(10*time.Second+ReportInterval))).To(gomega.Equal(first))
+	picker := NewReceiverPicker("a")
+	first, _ := picker.Pick(nodes, "", start)
+	g.Expect(pick(picker, nodes, "", start.Add(10*time.Second))).To(gomega.Equal(first))
+	g.Expect(pick(picker, nodes, "", start.Add(10*time.Second+ReportInterval))).To(gomega.Equal(first))
 }
 
 // A relay that sends only incomplete sums must be replaced after answerTimeout.
-func TestChoiceLeavesRelayWithIncompleteSums(t *testing.T) {
+func TestPickerLeavesRelayWithIncompleteSums(t *testing.T) {
 	g := gomega.NewWithT(t)
 	nodes := dataNodes("ab", 2)
-	choice := NewChoice("a")
-	first, _ := choice.Pick(nodes, "", start)
-	g.Expect(choice.ReceiveSum(first, Sum{Fronts: 100, Complete: true}, start)).To(gomega.BeTrue())
+	picker := NewReceiverPicker("a")
+	first, _ := picker.Pick(nodes, "", start)
+	g.Expect(picker.ReceiveSum(first, Sum{Fronts: 100, Complete: true}, start)).To(gomega.BeTrue())
 	now := start
-	for picked := first; picked == first; picked, _ = choice.Pick(nodes, "", now) {
-		accepted := choice.ReceiveSum(first, Sum{Fronts: 100}, now)
+	for picked := first; picked == first; picked, _ = picker.Pick(nodes, "", now) {
+		accepted := picker.ReceiveSum(first, Sum{Fronts: 100}, now)
 		g.Expect(accepted).To(gomega.Equal(now.Sub(start) > answerTimeout), "the last complete sum is kept until answerTimeout")
 		now = now.Add(ReportInterval)
 	}
@@ -112,11 +112,11 @@
 }
 
 // Front nodes of a zone without data nodes must still agree on a relay.
-func TestChoiceFallsBackToOtherZones(t *testing.T) {
+func TestPickerFallsBackToOtherZones(t *testing.T) {
 	g := gomega.NewWithT(t)
-	_, found := NewChoice("z").Pick(nil, "", start)
+	_, found := NewReceiverPicker("z").Pick(nil, "", start)
 	g.Expect(found).To(gomega.BeFalse())
-	first, found := NewChoice("z").Pick(dataNodes("ab", 2), "", start)
+	first, found := NewReceiverPicker("z").Pick(dataNodes("ab", 2), "", start)
 	g.Expect(found).To(gomega.BeTrue())
-	g.Expect(pick(NewChoice("z"), dataNodes("ab", 2), "", start)).To(gomega.Equal(first))
+	g.Expect(pick(NewReceiverPicker("z"), dataNodes("ab", 2), "", start)).To(gomega.Equal(first))
 }
--- a/internal/loadshare/spread_test.go
+++ b/internal/loadshare/spread_test.go
@@ -41,9 +41,9 @@
 		choosers[i] = &engineChooser{address: transport.Address(fmt.Sprint(i)), table: balance.NewTable()}
 	}
 	report := func(c *engineChooser, now time.Time) {
-		c.reported = c.table.Own(now)
-		relay.PeerLoad(string(c.address), c.reported, now)
-		c.table.PeerLoad("others", relay.All(now).Without(c.reported), now)
+		c.reported = c.table.OwnReport(now)
+		relay.SetPeerLoad(string(c.address), c.reported, now)
+		c.table.SetPeerLoad("others", relay.TotalReport(now).Without(c.reported), now)
 	}
 	type request struct {
 		front  *engineChooser
--- a/internal/loadshare/zone_test.go
+++ b/internal/loadshare/zone_test.go
@@ -86,7 +86,7 @@
 	f.run(ejectionTime + time.Second)
 	f.expectOnlineLoadIn(g, "abc")
 	for _, front := range f.fronts {
-		g.Expect(f.zoneOf(front.choice.chosen)).To(gomega.Equal(front.zone))
+		g.Expect(f.zoneOf(front.picker.chosen)).To(gomega.Equal(front.zone))
 	}
 }
 
--- a/internal/mirror/agent.go
+++ b/internal/mirror/agent.go
@@ -85,11 +85,11 @@
 	cancel  context.CancelFunc
 	tasks   sync.WaitGroup
 
-	// mutex guards the fields below up to lastStoreResponse. No other lock is taken while
-	// it is held.
+	// mutex guards the fields below, up to the empty line. No other lock is taken
+	// while it is held.
 	mutex   sync.Mutex
 	table   *Table
-	fresh   *freshness
+	fresh   *freshness // when each kind last matched the store
 	nodes   map[string]Node
 	seeds   []transport.Address
 	peers   map[transport.Address]time.Time // nodes that pulled from this one, by time of the last pull
@@ -133,6 +133,7 @@
 		if kind.Place == nil {
 			continue
 		}
+		// An object's place decides whether nodes that keep a subset mirror it.
 		a.table.SetPlaceFunc(kind.Name, kind.Place)
 		if !options.DataNode {
 			a.table.KeepSubset(kind.Name, options.Self.Name, options.Self.Zone)
@@ -144,8 +145,8 @@
 		a.nodes[options.Self.Name] = options.Self
 	}
 	a.nodesDigest = digest(a.nodes)
-	options.Receiver.HandleCall(kindPull, a.handlePull)
-	options.Receiver.HandleCall(kindFetch, a.handleFetch)
+	options.Receiver.HandleCall(messagePull, a.handlePull)
+	options.Receiver.HandleCall(messageFetch, a.handleFetch)
 	return a
 }
 
@@ -218,7 +219,8 @@
 	a.mergeWith(source, delta, confirmed, a.table.Merge)
 }
 
-// mergeResponse applies a delta from a peer's response to a request.
+// mergeResponse applies a delta from a peer's response to a request. The delta's shifts tell
+// which subset of the kind's objects it covers; see subset.
 func (a *Agent) mergeResponse(source string, delta responseDelta, request pullRequest, confirmed time.Time) {
 	if delta.unfiltered {
 		a.merge(source, delta.Delta, confirmed)
@@ -231,7 +233,8 @@
 	a.mergeWith(source, delta.Delta, confirmed, func(delta Delta) bool { return a.table.mergeSubset(delta, shifts) })
 }
 
-// mergeWith applies a delta to the table and reports the change.
+// mergeWith applies a delta to the table and reports the change. merge is called with the mutex
+// held.
 func (a *Agent) mergeWith(source string, delta Delta, confirmed time.Time, merge func(delta Delta) bool) {
 	a.mutex.Lock()
 	first := a.table.Revision(delta.Kind) == 0
--- a/internal/mirror/agent_test.go
+++ b/internal/mirror/agent_test.go
@@ -170,7 +170,7 @@
 	h.fleet.mutex.Lock()
 	peer := h.fleet.hosts[to]
 	unreachable := peer == nil || peer.down || h.down
-	unhandled := kind == kindFetch && (h.legacy || !unreachable && peer.legacy)
+	unhandled := kind == messageFetch && (h.legacy || !unreachable && peer.legacy)
 	h.calls++
 	if h.peersCalled == nil {
 		h.peersCalled = map[transport.Address]bool{}
--- a/internal/mirror/fetchmessage.go
+++ b/internal/mirror/fetchmessage.go
@@ -8,7 +8,7 @@
 	"chutelock.dev/chutelock/internal/wire"
 )
 
-// Encoding of kindFetch. A fetch is a pull that may ask for a subset of a kind's objects; its
+// Encoding of messageFetch. A fetch is a pull that may ask for a subset of a kind's objects; its
 // response is compressed, as objects of a kind are alike.
 
 type fixedFetch struct {
--- a/internal/mirror/message.go
+++ b/internal/mirror/message.go
@@ -9,10 +9,10 @@
 
 // Transport kinds of the calls between nodes.
 const (
-	// kindPull is used by peers of an earlier version, which don't know kindFetch. Its
+	// messagePull is used by peers of an earlier version, which don't know messageFetch. Its
 	// responses are uncompressed and never restricted to a subset.
-	kindPull transport.Kind = transport.KindMirror + iota
-	kindFetch
+	messagePull transport.Kind = transport.KindMirror + iota
+	messageFetch
 )
 
 const messageVersion = 2
--- a/internal/mirror/pulls.go
+++ b/internal/mirror/pulls.go
@@ -32,9 +32,9 @@
 	// dataNodeInitialPullTimeout bounds an unsynced data node's pulls after failures: one data
 	// node may send large snapshots to many others at once.
 	dataNodeInitialPullTimeout = 4 * time.Second
-	// relayGrace is how long a node that learns of a later revision waits to get it from its
-	// zone's upstream before it pulls from the peer that reported it. initialRelayGrace is the
-	// same for an unsynced data node, which gets a snapshot.
+	// relayGrace is how long a node that learns of a later revision waits to get it from a
+	// source peer of its zone before it pulls from the peer that reported it.
+	// initialRelayGrace is the same for an unsynced data node, which gets a snapshot.
 	relayGrace        = 100 * time.Millisecond
 	initialRelayGrace = 600 * time.Millisecond
 	// peerTTL is how long a node remembers a peer that pulled from it, and legacyPeerTTL that
@@ -105,8 +105,8 @@
 	}
 }
 
-// pullLoop pulls from one peer at a time. With a zone it takes objects from upstreams of that
-// zone. Without one it pulls from any zone and asks for revisions only.
+// pullLoop pulls from one peer at a time. With a zone it takes objects from source peers of
+// that zone, see pickPeer. Without one it pulls from any zone and asks for revisions only.
 func (a *Agent) pullLoop(zone string) {
 	failures := 0
 	for a.running.Err() == nil {
@@ -122,7 +122,7 @@
 		switch {
 		case err == nil:
 			failures = 0
-		case errors.Is(err, errPositionsAdvanced):
+		case errors.Is(err, errPositionsAdvanced): // canceled by restartPulls; pull again at once
 		case synced:
 			a.pause(pullRetry)
 		default:
@@ -198,11 +198,11 @@
 	answered := started.Add(min(clock.Since(started), request.wait+pullSlack))
 	a.addNodes(response.nodes)
 	for _, delta := range response.deltas {
-		if !delta.withheld {
+		if !delta.withheld { // a withheld delta has a revision but no objects
 			a.mergeResponse("peer", delta, request, answered.Add(-delta.age))
 		}
 	}
-	if a.stillMissing(response, synced) {
+	if a.missingAfterGrace(response, synced) {
 		retry, _ := a.newPullRequest()
 		retry.wait = 0
 		return a.pullFrom(peer, retry, synced, failures)
@@ -214,9 +214,9 @@
 	return nil
 }
 
-// stillMissing says whether this node still lacks something that a peer withheld, after a grace
-// time in which it may come from another peer.
-func (a *Agent) stillMissing(response pullResponse, synced bool) bool {
+// missingAfterGrace waits up to a grace time for what a peer withheld to come from another peer.
+// It returns true if this node still lacks some of it.
+func (a *Agent) missingAfterGrace(response pullResponse, synced bool) bool {
 	grace := relayGrace
 	if !synced && a.options.DataNode {
 		grace = initialRelayGrace
@@ -262,7 +262,7 @@
 		return a.pullLegacy(ctx, peer, request)
 	}
 	self := a.options.Self
-	encoded, err := a.options.Sender.Call(ctx, peer, kindFetch, request.marshalFetch(self.Name, self.Zone))
+	encoded, err := a.options.Sender.Call(ctx, peer, messageFetch, request.marshalFetch(self.Name, self.Zone))
 	if transport.Unhandled(err) {
 		a.markLegacy(peer)
 		return a.pullLegacy(ctx, peer, request)
@@ -275,7 +275,7 @@
 
 // pullLegacy pulls from a peer of an earlier version, which sends all objects.
 func (a *Agent) pullLegacy(ctx context.Context, peer transport.Address, request pullRequest) (pullResponse, error) {
-	encoded, err := a.options.Sender.Call(ctx, peer, kindPull, request.marshal())
+	encoded, err := a.options.Sender.Call(ctx, peer, messagePull, request.marshal())
 	if err != nil {
 		return pullResponse{}, err
 	}
--- a/internal/mirror/upstreams.go
+++ b/internal/mirror/sourcepeers.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// maxUpstreams bounds the data nodes that a node pulls from, so that connections and
+	// maxSourcePeers bounds the data nodes that a node pulls from, so that connections and
 	// memory don't grow with the fleet.
-	maxUpstreams = 3
+	maxSourcePeers = 3
 	// maxDirectDataNodes is the largest number of data nodes that all pull from the watchers
 	// directly. Beyond it, they pull through relays, which bounds the pulls a watcher holds and
 	// the traffic between zones.
@@ -28,13 +28,13 @@
 	probeProbability = 0.03
 )
 
-// pickPeer picks a random peer to pull from: an upstream data node if one is healthy, else any
+// pickPeer picks a random peer to pull from: a source peer if one is healthy, else any
 // data node, seed, or node that pulled from this one. An unsynced node doesn't probe failed
 // peers, as it can't serve before it is synced.
 func (a *Agent) pickPeer(zone string) (transport.Address, bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	candidates := a.limitUpstreams(a.candidates(zone))
+	candidates := a.limitSourcePeers(a.candidates(zone))
 	switch {
 	case len(candidates) == 0:
 		candidates = a.allPeers()
@@ -62,21 +62,21 @@
 	return failed
 }
 
-// limitUpstreams picks a fixed few of the candidates, which differ between nodes. A node with
+// limitSourcePeers picks a fixed few of the candidates, which differ between nodes. A node with
 // stale data may pull from all.
-func (a *Agent) limitUpstreams(candidates []transport.Address) []transport.Address {
-	if len(candidates) <= maxUpstreams || a.hasStaleData(clock.Now()) {
+func (a *Agent) limitSourcePeers(candidates []transport.Address) []transport.Address {
+	if len(candidates) <= maxSourcePeers || a.hasStaleData(clock.Now()) {
 		return candidates
 	}
 	members := make([]membership.Member, 0, len(candidates))
 	for _, address := range candidates {
 		members = append(members, membership.Member{Name: string(address), Address: address})
 	}
-	upstreams := make([]transport.Address, 0, maxUpstreams)
-	for _, member := range membership.Elect(a.options.Self.Name, members, maxUpstreams) {
-		upstreams = append(upstreams, member.Address)
+	sources := make([]transport.Address, 0, maxSourcePeers)
+	for _, member := range membership.Elect(a.options.Self.Name, members, maxSourcePeers) {
+		sources = append(sources, member.Address)
 	}
-	return upstreams
+	return sources
 }
 
 // candidates lists the healthy data nodes to pull from: those of the zone, else those of this
@@ -103,7 +103,7 @@
 	case zone == "" && a.hasStaleData(clock.Now()), a.options.DataNode && a.hasStaleData(clock.Now()):
 		return all
 	case a.options.DataNode:
-		return a.dataNodeUpstreams(zone, healthy)
+		return a.dataNodeSourcePeers(zone, healthy)
 	case len(inZone) > 0:
 		return inZone
 	case len(inRegion) > 0:
@@ -112,11 +112,11 @@
 	return all
 }
 
-// dataNodeUpstreams lists a data node's upstreams. They are the watchers if no zone is given or
-// the fleet is small. Otherwise a zone's relays pull from the zone's watcher, or from all
+// dataNodeSourcePeers lists a data node's source peers. They are the watchers if no zone is
+// given or the fleet is small. Otherwise a zone's relays pull from the zone's watcher, or from all
 // watchers if it has none, and the other data nodes of the zone pull from the relays. A change
 // takes two hops in a small fleet and at most four in a large one. The caller holds the mutex.
-func (a *Agent) dataNodeUpstreams(zone string, healthy []string) []transport.Address {
+func (a *Agent) dataNodeSourcePeers(zone string, healthy []string) []transport.Address {
 	self := a.options.Self.Name
 	watchers := healthy[:min(len(healthy), watcherCount)]
 	if zone == "" || len(healthy) <= maxDirectDataNodes || slices.Contains(watchers, self) {
--- a/internal/mirror/subset_test.go
+++ b/internal/mirror/subset_test.go
@@ -221,7 +221,7 @@
 			fleet.mutex.Lock()
 			peers := len(host.peersCalled)
 			fleet.mutex.Unlock()
-			g.Expect(peers).To(gomega.BeNumerically("<=", 4*maxUpstreams), "%s", name)
+			g.Expect(peers).To(gomega.BeNumerically("<=", 4*maxSourcePeers), "%s", name)
 		}
 		g.Expect(fleet.nodesMissing("first")).To(gomega.BeEmpty())
 	})
--- a/internal/poison/guard.go
+++ b/internal/poison/guard.go
@@ -13,7 +13,9 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// Events about requests under which engines crash.
+// Events about requests under which engines crash. Operators' tools match their
+// names and attributes, which differ from the code's terms: "ended" and "ends" are crashes,
+// "sound" is Record.Served.
 var (
 	eventCrashed      = telemetry.Define(2140, "engine-ended-under-request", "An engine crashed while it had a request; gives the number of engines that crashed while they had it.")
 	eventHeld         = telemetry.Define(2141, "request-held-back", "A request has crashed so many engines that it is sent to no engine until the given time.")
@@ -40,8 +42,7 @@
 	// callTimeout bounds one call to a peer or to the store.
 	callTimeout = time.Second
 	// recheckDelay is when an engine that seemed to run right after a lost connection is
-	// checked again: with a proxy in front of it or on a busy machine, its address may
-	// accept connections for some tenths of a second after the crash.
+	// checked again, as its address may accept connections for a while after the crash.
 	recheckDelay = 300 * time.Millisecond
 	// maxRechecks bounds the requests that wait for a recheck.
 	maxRechecks = 256
@@ -61,8 +62,8 @@
 	// ended without an announced shutdown. It delays the request's retry and must return
 	// quickly.
 	EngineCrashed func(ctx context.Context, engine catalog.Engine) bool
-	// Report sends records to a data node, which spreads and stores them; nil on data
-	// nodes.
+	// Report sends records to a data node, which spreads and stores them. It is nil on data
+	// nodes and only there: the guard takes its role from that.
 	Report func(ctx context.Context, records []Record) error
 	// Spread sends records to the front nodes that this data node serves, and if
 	// toDataNodes is set to all other data nodes. It is only called on data nodes.
@@ -80,14 +81,14 @@
 	running context.Context
 	tasks   sync.WaitGroup
 	// hasRecords and hasHoldable tell without the mutex whether the table has records, and
-	// holdable ones; if not, no fingerprints are computed.
+	// ones with enough crashes for a hold; if not, no fingerprints are computed.
 	hasRecords, hasHoldable atomic.Bool
 	// hasRechecks tells without the mutex whether rechecks are pending.
 	hasRechecks atomic.Bool
 	refused     atomic.Int64
 	loaded      atomic.Bool
 
-	mutex        sync.Mutex // guards the fields below; leaf lock
+	mutex        sync.Mutex // guards the fields below; only telemetry's locks are taken under it
 	table        *Table
 	stored       map[Fingerprint]Record    // as last loaded from the store
 	unpublished  map[Fingerprint]bool      // to be published; the value says whether to data nodes, too
--- a/internal/quota/collector_test.go
+++ b/internal/quota/collector_test.go
@@ -72,7 +72,7 @@
 	front := NewLimiter(bounds)
 	now := start
 	relays := map[transport.Address]*Collector{"a0": NewCollector("a", bounds.Window, 1), "a1": NewCollector("a", bounds.Window, 2)}
-	silentZones := SilentZones{2, 3}
+	silentZones := SilentZones{2, 3} // two of three zones are silent
 	for turn := range 12 {
 		to := transport.Address([]string{"a0", "a1"}[turn%2])
 		report, formerRelay := front.Report(5, to, now)
@@ -103,7 +103,9 @@
 	g.Expect(send).To(gomega.BeFalse())
 	g.Expect(sumOf(c, start.Add(10*time.Second)).SilentZones.Silent).To(gomega.BeZero(), "no share with counts was sent")
 	begin, now := start.Add(10*time.Second), start
-	silentZones := func(until time.Duration, answers bool) int {
+	// reportUntil reports and shares at each interval up to a time after begin and returns
+	// the number of silent zones.
+	reportUntil := func(until time.Duration, answers bool) int {
 		for ; now.Sub(begin) < until; now = now.Add(reportInterval) {
 			c.Report("front0", Report{Incarnation: 3, Counts: admittedCounts(30)}, now)
 			_, send := c.ShareFor("b", now)
@@ -115,16 +117,17 @@
 		return int(sumOf(c, now).SilentZones.Silent)
 	}
 	now = begin
-	g.Expect(silentZones(2*time.Second, true)).To(gomega.BeZero())
-	g.Expect(silentZones(2*time.Second+shareTimeout/2, false)).To(gomega.BeZero())
-	g.Expect(silentZones(3*time.Second, false)).To(gomega.Equal(1))
-	g.Expect(silentZones(2*time.Second+silentZoneTimeout-time.Second, false)).To(gomega.Equal(1))
-	g.Expect(silentZones(2*time.Second+silentZoneTimeout+time.Second, false)).To(gomega.BeZero())
-	g.Expect(silentZones(3*time.Second+silentZoneTimeout, true)).To(gomega.BeZero())
+	g.Expect(reportUntil(2*time.Second, true)).To(gomega.BeZero())
+	g.Expect(reportUntil(2*time.Second+shareTimeout/2, false)).To(gomega.BeZero())
+	g.Expect(reportUntil(3*time.Second, false)).To(gomega.Equal(1))
+	g.Expect(reportUntil(2*time.Second+silentZoneTimeout-time.Second, false)).To(gomega.Equal(1))
+	g.Expect(reportUntil(2*time.Second+silentZoneTimeout+time.Second, false)).To(gomega.BeZero())
+	g.Expect(reportUntil(3*time.Second+silentZoneTimeout, true)).To(gomega.BeZero())
 }
 
-// Recurring bursts of load must not renew the reserve for a zone that is gone for good.
-func TestReserveForRemovedZoneIsNotRenewed(t *testing.T) {
+// Recurring bursts of load must not renew the reserve for a zone that is gone for good;
+// a zone that returns and fails again must get a new one.
+func TestReserveIsRenewedOnlyAfterZoneReturns(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := NewCollector("a", bounds.Window, 1)
 	c.Share("b0", Share{Incarnation: 7, Zone: "b", Counts: admittedCounts(30)}, start)
@@ -154,7 +157,7 @@
 func TestRememberedCountsUseReserveOfSilentZones(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := NewCollector("a", bounds.Window, 1)
-	c.Report("front0", Report{Incarnation: 3, Counts: admittedCounts(10), Remembered: admittedCounts(60), SilentZones: SilentZones{2, 3}}, start)
+	c.Report("front0", Report{Incarnation: 3, Counts: admittedCounts(10), Remembered: admittedCounts(60), SilentZones: SilentZones{2, 3}}, start) // two of three zones are silent
 	sum := sumOf(c, start)
 	g.Expect(sum.Counts[1].Admitted).To(gomega.BeNumerically("~", 60, 1e-9))
 	g.Expect(sum.InReserve[1].Admitted).To(gomega.BeNumerically("~", 50, 1e-9), "10 of the 60 are reported here")
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -8,8 +8,7 @@
 
 const (
 	// nearLimitMaxAge is the maximum age of others' counts for a tenant near its limit, and
-	// lowUseMaxAge that for one at low use. Within lowUseMaxAge a tenant can't go from
-	// low use to its limit unless it asks for more than ten times the limit.
+	// lowUseMaxAge that for one at low use.
 	nearLimitMaxAge = 60 * time.Millisecond
 	lowUseMaxAge    = 400 * time.Millisecond
 	// nearLimitFraction is the fraction of the limit from which a tenant is near it.
@@ -22,8 +21,7 @@
 	// handoverReports is how many reports carry remembered counts to a new relay, and
 	// departure notices to the former one, as datagrams may be lost.
 	handoverReports = 3
-	// reserveHold is how long allowance is reserved for a silent node; it exceeds most
-	// partitions and restarts.
+	// reserveHold is how long allowance is reserved for a silent node.
 	reserveHold = 10 * time.Second
 	// pacingPeriod is the time over which the free allowance is spread. Without pacing, a
 	// tenant over its limit uses it up at the start of each window, and nodes admit too
@@ -89,17 +87,18 @@
 type Limiter struct {
 	bounds  Bounds
 	tenants map[Key]*tenant
-	// others are the counts of other nodes as of sumAt, silentZones the zones that a
-	// reserve is added for, and inReserve the counts among others that already use it.
+	// others are the counts of other nodes as of sumAt, silentZones the zones that don't
+	// answer data nodes and that a reserve is added for, and inReserve the counts among
+	// others that already use it.
 	others, inReserve Counts
 	silentZones       SilentZones
 	sumAt             time.Time
-	// sumIncarnation is the sender of the last sum. previous are the counts from earlier
-	// senders as of previousAt; previousReports more reports carry them.
-	sumIncarnation  uint32
-	previous        Counts
-	previousAt      time.Time
-	previousReports int
+	// sumIncarnation is the sender of the last sum. remembered are the counts from earlier
+	// senders as of rememberedAt; rememberedReports more reports carry them.
+	sumIncarnation    uint32
+	remembered        Counts
+	rememberedAt      time.Time
+	rememberedReports int
 	// relay is the receiver of the last report, formerRelay the one before;
 	// departureNotices more reports come with a notice to it.
 	relay, formerRelay transport.Address
@@ -113,8 +112,8 @@
 type tenant struct {
 	admitted window
 	demand   rate
-	// reported is the node's own count in its last report, acknowledged that in the last
-	// answered one, for which other nodes keep a reserve.
+	// reported is the node's own count in its last report. acknowledged is the value of
+	// reported when the last sum arrived; other nodes keep a reserve for it.
 	reported, acknowledged float64
 	// retryAt is the retry time given to the last refused caller.
 	retryAt time.Time
@@ -169,7 +168,7 @@
 // are still within the window.
 func (l *Limiter) othersCount(key Key, reserved float64, now time.Time) float64 {
 	current := (l.others[key].Admitted + reserved) * remainingFraction(now.Sub(l.sumAt), isolationAge, l.bounds.Window)
-	return max(current, l.previous[key].Admitted*remainingFraction(now.Sub(l.previousAt), 0, l.bounds.Window))
+	return max(current, l.remembered[key].Admitted*remainingFraction(now.Sub(l.rememberedAt), 0, l.bounds.Window))
 }
 
 // stale says that others' counts are too old to decide by.
@@ -223,7 +222,7 @@
 	return t.retryAt.Sub(now)
 }
 
-// ReceiveSum takes a relay's answer to a report. After a change of sender, the previous
+// ReceiveSum takes a relay's answer to a report. After a change of sender, the former
 // one's counts apply, too, until they expire, as the new one may not know them yet.
 // Late answers of a former relay are ignored.
 func (l *Limiter) ReceiveSum(from transport.Address, sum Sum, now time.Time) {
@@ -232,7 +231,7 @@
 	}
 	if sum.Incarnation != l.sumIncarnation {
 		l.sumIncarnation = sum.Incarnation
-		l.savePrevious(now)
+		l.saveRemembered(now)
 	}
 	l.others, l.inReserve, l.silentZones, l.sumAt = sum.Counts, sum.InReserve, sum.SilentZones, now
 	for _, t := range l.tenants {
@@ -240,27 +239,27 @@
 	}
 }
 
-// savePrevious saves the counts of others, to be reported to a new relay.
-func (l *Limiter) savePrevious(now time.Time) {
-	if len(l.others) == 0 && len(l.previous) == 0 {
+// saveRemembered saves the counts of others, to be reported to a new relay.
+func (l *Limiter) saveRemembered(now time.Time) {
+	if len(l.others) == 0 && len(l.remembered) == 0 {
 		return
 	}
-	previous := l.previousCounts(now)
+	remembered := l.rememberedCounts(now)
 	current := Counts{}
 	current.add(l.others, remainingFraction(now.Sub(l.sumAt), 0, l.bounds.Window), now.Sub(l.sumAt))
-	previous.mergeMax(current)
-	l.previous, l.previousAt, l.previousReports = previous, now, handoverReports
+	remembered.mergeMax(current)
+	l.remembered, l.rememberedAt, l.rememberedReports = remembered, now, handoverReports
 }
 
-// previousCounts returns what remains within the window of earlier senders' counts.
-func (l *Limiter) previousCounts(now time.Time) Counts {
-	age := now.Sub(l.previousAt)
+// rememberedCounts returns what remains within the window of earlier senders' counts.
+func (l *Limiter) rememberedCounts(now time.Time) Counts {
+	age := now.Sub(l.rememberedAt)
 	fraction := remainingFraction(age, 0, l.bounds.Window)
 	if fraction <= 0 {
-		l.previous = nil
+		l.remembered = nil
 	}
 	counts := Counts{}
-	counts.add(l.previous, fraction, age)
+	counts.add(l.remembered, fraction, age)
 	return counts
 }
 
@@ -269,12 +268,12 @@
 func (l *Limiter) Report(incarnation uint32, relay transport.Address, now time.Time) (report Report, formerRelay transport.Address) {
 	if relay != l.relay {
 		l.formerRelay, l.relay, l.departureNotices = l.relay, relay, handoverReports
-		l.savePrevious(now)
+		l.saveRemembered(now)
 	}
 	report = Report{Incarnation: incarnation, Counts: l.ownCounts(now)}
-	if l.previousReports > 0 {
-		l.previousReports--
-		report.Remembered, report.SilentZones = l.previousCounts(now), l.silentZones
+	if l.rememberedReports > 0 {
+		l.rememberedReports--
+		report.Remembered, report.SilentZones = l.rememberedCounts(now), l.silentZones
 	}
 	if l.departureNotices > 0 {
 		l.departureNotices--
--- a/internal/slowstart/granter.go
+++ b/internal/slowstart/granter.go
@@ -25,15 +25,15 @@
 
 // Bound defines how far the requests of all nodes within Span may exceed an engine's rate.
 type Bound struct {
-	Overage float64 // factor
-	Slack   float64 // requests
+	RateFactor float64 // at least 1
+	Slack      float64 // requests
 }
 
 // Limit returns how many requests an engine that sustains a rate may get within Span.
-func (b Bound) Limit(rate float64) float64 { return rate*b.Overage + b.Slack }
+func (b Bound) Limit(rate float64) float64 { return rate*b.RateFactor + b.Slack }
 
 // Allowance returns how many permits one granter may grant within its window for an engine
-// that sustains a rate: half of the limit, as two may grant, and at most the rate. It is at
+// that sustains a rate: half of the limit, as maxGranters may grant, and at most the rate. It is at
 // least one if half of the limit is, even for rates below one request a second.
 func (b Bound) Allowance(rate float64) int {
 	half := b.Limit(rate) / maxGranters
@@ -137,11 +137,12 @@
 		span  time.Duration
 	}{{allowance, window}, {(allowance + subwindows - 1) / subwindows, window / subwindows}} {
 		if bound.limit <= 0 {
-			return now.Add(2 * maxRetryAfter)
+			return now.Add(2 * maxRetryAfter) // too late for reserve
 		}
 		if len(used) < bound.limit {
 			continue
 		}
+		// A permit leaves the window only when it is older than the span.
 		if next := used[len(used)-bound.limit].Add(bound.span + time.Millisecond); next.After(at) {
 			at = next
 		}
--- a/internal/slowstart/slowstart_test.go
+++ b/internal/slowstart/slowstart_test.go
@@ -32,7 +32,7 @@
 
 var (
 	start = time.Unix(1_000_000, 0)
-	bound = Bound{Overage: 1.5, Slack: 5}
+	bound = Bound{RateFactor: 1.5, Slack: 5}
 )
 
 const coldRate = 8.4
@@ -43,7 +43,7 @@
 	g.Expect(bound.Allowance(100)).To(gomega.Equal(77))
 	g.Expect(bound.Allowance(0.5)).To(gomega.Equal(1))
 	g.Expect(bound.Allowance(0)).To(gomega.Equal(0))
-	g.Expect(Bound{Overage: 1}.Allowance(1)).To(gomega.Equal(0), "two granters would grant two permits where the limit is one")
+	g.Expect(Bound{RateFactor: 1}.Allowance(1)).To(gomega.Equal(0), "two granters would grant two permits where the limit is one")
 }
 
 func TestGrantersPrefersEngineZone(t *testing.T) {
--- a/internal/system/core.go
+++ b/internal/system/core.go
@@ -92,7 +92,7 @@
 	c.registerPoisonHandlers(dataNode)
 	c.pool = upstream.NewPool(adapter.Engines)
 	c.balancer = balance.New(c.catalog.Snapshot)
-	c.pool.Connected = c.balancer.Connected
+	c.pool.Connected = c.balancer.RecordConnect
 	c.registerGauges(c.commonGauges())
 	c.registerPoisonMetrics()
 	if settings.Platform.Drain > 0 {
--- a/internal/system/front.go
+++ b/internal/system/front.go
@@ -47,11 +47,11 @@
 	quota        *quotaEnforcer
 	engineChosen chan struct{} // of capacity 1: an engine was chosen
 
-	choiceMutex sync.Mutex // guards the fields below; acquired before the balancer's
-	choice      *loadshare.Choice
-	lastReport  balance.Report    // the last load sent
-	relay       transport.Address // the data node that gets load reports
-	sumReceived chan struct{}     // closed when a sum arrives
+	pickerMutex    sync.Mutex // guards the fields below; acquired before the balancer's
+	receiverPicker *loadshare.ReceiverPicker
+	lastReport     balance.Report    // the last load sent
+	relay          transport.Address // the data node that gets load reports
+	sumReceived    chan struct{}     // closed when a sum arrives
 }
 
 func openFront(settings *config.Node, adapter *Adapter) (*front, error) {
@@ -59,7 +59,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &front{core: common, choice: loadshare.NewChoice(settings.Node.Zone), sumReceived: make(chan struct{}), engineChosen: make(chan struct{}, 1)}
+	f := &front{core: common, receiverPicker: loadshare.NewReceiverPicker(settings.Node.Zone), sumReceived: make(chan struct{}), engineChosen: make(chan struct{}, 1)}
 	noNodes := func() map[string]bool { return nil }
 	options := common.ledgerOptions(&members{self: common.self(), agent: common.agent, evacuating: noNodes})
 	options.Store = nil // a front node places no shards; it learns leaders from peers
--- a/internal/system/loadexchange.go
+++ b/internal/system/loadexchange.go
@@ -51,7 +51,7 @@
 
 // updatePeerLoad records a peer's load and preempts batch items if necessary.
 func (d *data) updatePeerLoad(from transport.Address, load balance.Report) {
-	d.balancer.PeerLoad(string(from), load)
+	d.balancer.SetPeerLoad(string(from), load)
 	d.yield()
 	select {
 	case d.shareDue <- struct{}{}:
@@ -65,7 +65,7 @@
 	d.exchangeMutex.Lock()
 	sum := loadshare.Sum{Fronts: d.exchange.Fronts(now), Complete: d.exchange.Complete(now)}
 	d.exchangeMutex.Unlock()
-	sum.Load = d.balancer.All()
+	sum.Load = d.balancer.TotalReport()
 	return sum.Marshal()
 }
 
@@ -92,13 +92,13 @@
 	urgent := d.balancer.AnyPreemptionNeeded()
 	regional := d.regionLeaders()
 	d.exchangeMutex.Lock()
-	share := d.exchange.OwnShare(d.balancer.Own(), now)
+	share := d.exchange.OwnShare(d.balancer.OwnReport(), now)
 	d.exchange.SetRegionLeaders(regional)
 	receivers := d.exchange.Due(nodes, leader, urgent, now)
 	lapsed := d.exchange.Lapsed(now)
 	d.exchangeMutex.Unlock()
 	for _, peer := range lapsed {
-		d.balancer.PeerGone(string(peer))
+		d.balancer.RemovePeer(string(peer))
 		eventShareExpired.Info("peer", peer)
 	}
 	if len(receivers) == 0 {
--- a/internal/system/loadreport.go
+++ b/internal/system/loadreport.go
@@ -67,7 +67,7 @@
 		case <-f.balancer.Preemptions():
 		}
 		f.quota.reportIfDue()
-		own := f.balancer.Own()
+		own := f.balancer.OwnReport()
 		if len(own) == 0 {
 			idle++
 		} else {
@@ -92,21 +92,21 @@
 func (f *front) sendReport(kind transport.Kind, own balance.Report) <-chan struct{} {
 	leader, _ := f.ledger.Leader(0)
 	nodes := f.agent.Nodes()
-	f.choiceMutex.Lock()
-	defer f.choiceMutex.Unlock()
+	f.pickerMutex.Lock()
+	defer f.pickerMutex.Unlock()
 	to, known := f.pickRelay(nodes, leader)
 	if !known {
 		return nil
 	}
 	f.lastReport = own
-	// An unsent report counts as lost: the choice detects the missing sum.
+	// An unsent report counts as lost: the picker detects the missing sum.
 	_ = f.peers.Datagram(to, kind, own.Marshal())
 	return f.sumReceived
 }
 
-// pickRelay chooses the data node to report to; the caller holds choiceMutex.
+// pickRelay chooses the data node to report to; the caller holds pickerMutex.
 func (f *front) pickRelay(nodes []mirror.Node, leader transport.Address) (transport.Address, bool) {
-	to, known := f.choice.Pick(nodes, leader, clock.Now())
+	to, known := f.receiverPicker.Pick(nodes, leader, clock.Now())
 	if known && to != f.relay {
 		f.relay = to
 		eventRelayChanged.Info("peer", to, "leads", to == leader)
@@ -118,8 +118,8 @@
 func (f *front) currentRelay() (transport.Address, bool) {
 	leader, _ := f.ledger.Leader(0)
 	nodes := f.agent.Nodes()
-	f.choiceMutex.Lock()
-	defer f.choiceMutex.Unlock()
+	f.pickerMutex.Lock()
+	defer f.pickerMutex.Unlock()
 	if f.relay != "" {
 		return f.relay, true
 	}
@@ -129,7 +129,7 @@
 // refreshLoad gets the current sum before an engine is chosen. With sums as old as
 // ReportInterval, many front nodes would choose the same least loaded engine.
 func (f *front) refreshLoad(ctx context.Context) {
-	received := f.sendReport(kindLoadQuery, f.balancer.Own())
+	received := f.sendReport(kindLoadQuery, f.balancer.OwnReport())
 	if received == nil {
 		return
 	}
@@ -166,7 +166,7 @@
 	case f.engineChosen <- struct{}{}:
 	default:
 	}
-	f.sendReport(kindLoadReport, f.balancer.Own())
+	f.sendReport(kindLoadReport, f.balancer.OwnReport())
 }
 
 // handleLoadSum updates the load of all other nodes and wakes the requests that wait for it.
@@ -176,10 +176,10 @@
 		eventMessageInvalid.Error(err, "peer", from)
 		return
 	}
-	f.choiceMutex.Lock()
-	defer f.choiceMutex.Unlock()
-	if f.choice.ReceiveSum(from, sum, clock.Now()) {
-		f.balancer.PeerLoad("others", sum.Load.Without(f.lastReport))
+	f.pickerMutex.Lock()
+	defer f.pickerMutex.Unlock()
+	if f.receiverPicker.ReceiveSum(from, sum, clock.Now()) {
+		f.balancer.SetPeerLoad("others", sum.Load.Without(f.lastReport))
 	}
 	close(f.sumReceived)
 	f.sumReceived = make(chan struct{})
--- a/internal/system/slowstart.go
+++ b/internal/system/slowstart.go
@@ -255,7 +255,7 @@
 
 func newPermitServer(settings *config.Node, peers transport.Sender, nodes func() []mirror.Node, snapshot func() *catalog.Snapshot) *permitServer {
 	return &permitServer{
-		self: settings.Node.Name, bound: slowstart.Bound{Overage: settings.SlowStart.Overage, Slack: settings.SlowStart.Slack},
+		self: settings.Node.Name, bound: slowstart.Bound{RateFactor: settings.SlowStart.Overage, Slack: settings.SlowStart.Slack},
 		peers: peers, nodes: nodes, snapshot: snapshot, granter: slowstart.NewGranter(clock.Now()),
 	}
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -41,7 +41,7 @@
 // Pool holds connections to engines. Its methods may be called concurrently.
 type Pool struct {
 	dialect Dialect
-	// Opened counts opened connections.
+	// Opened is the number of connections opened since the pool was created.
 	Opened atomic.Int64
 	// Connected is called with the engine's ID and the connect time; may be nil.
 	Connected func(engineID string, took time.Duration)
@@ -62,7 +62,7 @@
 	key    string
 	// idleDeadline is when the connection must be closed if it is idle.
 	idleDeadline time.Time
-	released     bool
+	wasIdle      bool // idleDeadline is set
 }
 
 func poolKey(address, engineID string) string { return address + "|" + engineID }
@@ -138,7 +138,7 @@
 		return
 	}
 	c.idleDeadline = clock.Now().Add(timeout)
-	c.released = true
+	c.wasIdle = true
 	_ = c.SetDeadline(time.Time{})
 	p.addIdle(c)
 }
@@ -146,7 +146,7 @@
 // releaseUnused keeps a connection on which nothing was sent since get; one that was idle
 // before keeps its idleDeadline.
 func (p *Pool) releaseUnused(c *connection) {
-	if !c.released {
+	if !c.wasIdle {
 		p.release(c, nil)
 		return
 	}
@@ -211,10 +211,10 @@
 	defer p.mutex.Unlock()
 	for key, idle := range p.idle {
 		address, engineID, _ := strings.Cut(key, "|")
-		keepAll := wanted(address, engineID)
+		engineWanted := wanted(address, engineID)
 		kept := idle[:0]
 		for _, c := range idle {
-			if keepAll && now.Before(c.idleDeadline) {
+			if engineWanted && now.Before(c.idleDeadline) {
 				kept = append(kept, c)
 			} else {
 				c.Close()
--- a/internal/upstream/types.go
+++ b/internal/upstream/types.go
@@ -44,9 +44,9 @@
 	Running int
 	Waiting int
 	Slots   int
-	// Stretch is the engine's current run time relative to its usual one, as engines share
+	// Slowdown is the engine's current run time relative to its usual one, as engines share
 	// machines; 1 if the engine doesn't report it, 0 if nothing is known.
-	Stretch float64
+	Slowdown float64
 }
 
 // Facts are the contents of a response's head.
