--- a/cmd/chutelock-lab/compare.go
+++ b/cmd/chutelock-lab/compare.go
@@ -15,7 +15,7 @@
 )
 
 func init() {
-	subcommands = append(subcommands, commandline.Verb{
+	subcommands = append(subcommands, commandline.Subcommand{
 		Name:    "compare",
 		Summary: "show summaries of load runs side by side",
 		Run:     runCompare,
--- a/cmd/chutelock-lab/engine.go
+++ b/cmd/chutelock-lab/engine.go
@@ -10,7 +10,7 @@
 )
 
 func init() {
-	subcommands = append(subcommands, commandline.Verb{
+	subcommands = append(subcommands, commandline.Subcommand{
 		Name:    "engine",
 		Summary: "run one stand-in of a model engine",
 		Run:     runEngine,
--- a/cmd/chutelock-lab/load.go
+++ b/cmd/chutelock-lab/load.go
@@ -19,7 +19,7 @@
 )
 
 func init() {
-	subcommands = append(subcommands, commandline.Verb{
+	subcommands = append(subcommands, commandline.Subcommand{
 		Name:    "load",
 		Summary: "send open-loop online traffic to nodes or engines and check every answer",
 		Run:     runLoad,
--- a/cmd/chutelock-lab/main.go
+++ b/cmd/chutelock-lab/main.go
@@ -17,7 +17,7 @@
 )
 
 // subcommands is filled by the init functions of this package's other files.
-var subcommands []commandline.Verb
+var subcommands []commandline.Subcommand
 
 func main() {
 	os.Exit(commandline.Dispatch("chutelock-lab", subcommands, os.Args[1:], os.Stderr))
--- a/cmd/chutelock-lab/overhead.go
+++ b/cmd/chutelock-lab/overhead.go
@@ -16,7 +16,7 @@
 )
 
 func init() {
-	subcommands = append(subcommands, commandline.Verb{
+	subcommands = append(subcommands, commandline.Subcommand{
 		Name:    "overhead",
 		Summary: "show what the gateway adds to engines called directly",
 		Run:     runOverhead,
--- a/cmd/chutelock-lab/platform.go
+++ b/cmd/chutelock-lab/platform.go
@@ -11,7 +11,7 @@
 )
 
 func init() {
-	subcommands = append(subcommands, commandline.Verb{
+	subcommands = append(subcommands, commandline.Subcommand{
 		Name:    "platform",
 		Summary: "run the stand-in of the platform's services",
 		Run:     runPlatform,
--- a/cmd/chutelock-lab/report.go
+++ b/cmd/chutelock-lab/report.go
@@ -10,7 +10,7 @@
 )
 
 func init() {
-	subcommands = append(subcommands, commandline.Verb{
+	subcommands = append(subcommands, commandline.Subcommand{
 		Name:    "report",
 		Summary: "summarise the recorded results of an experiment",
 		Run:     runReport,
--- a/cmd/chutelock-lab/run.go
+++ b/cmd/chutelock-lab/run.go
@@ -12,7 +12,7 @@
 )
 
 func init() {
-	subcommands = append(subcommands, commandline.Verb{
+	subcommands = append(subcommands, commandline.Subcommand{
 		Name:    "run",
 		Summary: "run an experiment file in virtual time and write its results",
 		Run:     runExperiment,
--- a/cmd/chutelock-lab/standin.go
+++ b/cmd/chutelock-lab/standin.go
@@ -22,8 +22,8 @@
 	truthLog  string
 }
 
-func newStandinFlags(verb string) *standinFlags {
-	flags := &standinFlags{set: flag.NewFlagSet(verb, flag.ContinueOnError)}
+func newStandinFlags(subcommand string) *standinFlags {
+	flags := &standinFlags{set: flag.NewFlagSet(subcommand, flag.ContinueOnError)}
 	flags.set.StringVar(&flags.config, "config", "", "settings `file` in YAML; without one the defaults hold")
 	flags.set.StringVar(&flags.readyFile, "ready-file", "", "`file` that gets the addresses as JSON once the stand-in serves")
 	flags.set.StringVar(&flags.name, "name", "", "name, over the settings file")
--- a/cmd/chutelock-lab/verify.go
+++ b/cmd/chutelock-lab/verify.go
@@ -14,7 +14,7 @@
 )
 
 func init() {
-	subcommands = append(subcommands, commandline.Verb{
+	subcommands = append(subcommands, commandline.Subcommand{
 		Name:    "verify",
 		Summary: "compare a job's input with its results and the engines' truth logs",
 		Run:     runVerify,
--- a/cmd/chutelock/main.go
+++ b/cmd/chutelock/main.go
@@ -52,7 +52,7 @@
 		return exitOK
 	}
 	output := telemetry.NewOutput(os.Stdout)
-	telemetry.LogJSON(output)
+	telemetry.SetJSONLogger(output)
 	defer output.Close()
 	if err := serve(settings, hangups, *readyFile, func() (*config.Node, error) { return config.Load(*settingsFile, overrides) }); err != nil {
 		fmt.Fprintln(os.Stderr, "chutelock:", err)
--- a/cmd/chutelockctl/apply.go
+++ b/cmd/chutelockctl/apply.go
@@ -16,7 +16,7 @@
 )
 
 func init() {
-	subcommands = append(subcommands, commandline.Verb{Name: "apply", Summary: "write settings from YAML files", Run: runApply})
+	subcommands = append(subcommands, commandline.Subcommand{Name: "apply", Summary: "write settings from YAML files", Run: runApply})
 }
 
 const applyUsage = `usage: chutelockctl apply -f FILE-OR-FOLDER [-f ...] [-dry-run] [-wait]
--- a/cmd/chutelockctl/cancel.go
+++ b/cmd/chutelockctl/cancel.go
@@ -9,7 +9,7 @@
 )
 
 func init() {
-	subcommands = append(subcommands, commandline.Verb{Name: "cancel", Summary: "cancel a batch job", Run: runCancel})
+	subcommands = append(subcommands, commandline.Subcommand{Name: "cancel", Summary: "cancel a batch job", Run: runCancel})
 }
 
 func runCancel(arguments []string) int {
--- a/cmd/chutelockctl/delete.go
+++ b/cmd/chutelockctl/delete.go
@@ -11,7 +11,7 @@
 )
 
 func init() {
-	subcommands = append(subcommands, commandline.Verb{Name: "delete", Summary: "delete nodes of the settings tree", Run: runDelete})
+	subcommands = append(subcommands, commandline.Subcommand{Name: "delete", Summary: "delete nodes of the settings tree", Run: runDelete})
 }
 
 const deleteUsage = `usage: chutelockctl delete [flags] PATH [PATH ...]
--- a/cmd/chutelockctl/events.go
+++ b/cmd/chutelockctl/events.go
@@ -15,7 +15,7 @@
 )
 
 func init() {
-	subcommands = append(subcommands, commandline.Verb{Name: "events", Summary: "show what a node decided lately, and why", Run: runEvents})
+	subcommands = append(subcommands, commandline.Subcommand{Name: "events", Summary: "show what a node decided lately, and why", Run: runEvents})
 }
 
 const eventsUsage = `usage: chutelockctl events [flags]
--- a/cmd/chutelockctl/explain.go
+++ b/cmd/chutelockctl/explain.go
@@ -11,7 +11,7 @@
 )
 
 func init() {
-	subcommands = append(subcommands, commandline.Verb{Name: "explain", Summary: "show a node's effective settings and where each comes from", Run: runExplain})
+	subcommands = append(subcommands, commandline.Subcommand{Name: "explain", Summary: "show a node's effective settings and where each comes from", Run: runExplain})
 }
 
 const explainUsage = `usage: chutelockctl explain [flags] PATH
--- a/cmd/chutelockctl/explainrequest.go
+++ b/cmd/chutelockctl/explainrequest.go
@@ -12,7 +12,7 @@
 )
 
 func init() {
-	subcommands = append(subcommands, commandline.Verb{
+	subcommands = append(subcommands, commandline.Subcommand{
 		Name: "explain-request", Summary: "the story of a request, item or job from log files or standard input", Run: runExplainRequest,
 	})
 }
--- a/cmd/chutelockctl/explainspan.go
+++ b/cmd/chutelockctl/explainspan.go
@@ -17,7 +17,7 @@
 )
 
 func init() {
-	subcommands = append(subcommands, commandline.Verb{
+	subcommands = append(subcommands, commandline.Subcommand{
 		Name: "explain-span", Summary: "what happened in each second, from log files or standard input", Run: runExplainSpan,
 	})
 }
--- a/cmd/chutelockctl/fleet.go
+++ b/cmd/chutelockctl/fleet.go
@@ -16,7 +16,7 @@
 )
 
 func init() {
-	subcommands = append(subcommands, commandline.Verb{Name: "fleet", Summary: "show nodes, engines, their homes and what leaves, as one node sees them", Run: runFleet})
+	subcommands = append(subcommands, commandline.Subcommand{Name: "fleet", Summary: "show nodes, engines, their homes and what leaves, as one node sees them", Run: runFleet})
 }
 
 const fleetUsage = `usage: chutelockctl fleet [flags] [nodes|engines|zones|shards|settings]
--- a/cmd/chutelockctl/get.go
+++ b/cmd/chutelockctl/get.go
@@ -13,7 +13,7 @@
 )
 
 func init() {
-	subcommands = append(subcommands, commandline.Verb{Name: "get", Summary: "show nodes of the settings tree as they are set", Run: runGet})
+	subcommands = append(subcommands, commandline.Subcommand{Name: "get", Summary: "show nodes of the settings tree as they are set", Run: runGet})
 }
 
 const getUsage = `usage: chutelockctl get [flags] [PATH]
--- a/cmd/chutelockctl/jobs.go
+++ b/cmd/chutelockctl/jobs.go
@@ -10,7 +10,7 @@
 )
 
 func init() {
-	subcommands = append(subcommands, commandline.Verb{Name: "jobs", Summary: "list batch jobs, or show or watch one", Run: runJobs})
+	subcommands = append(subcommands, commandline.Subcommand{Name: "jobs", Summary: "list batch jobs, or show or watch one", Run: runJobs})
 }
 
 const defaultListLimit = 20
--- a/cmd/chutelockctl/main.go
+++ b/cmd/chutelockctl/main.go
@@ -11,7 +11,7 @@
 const exitUsage = commandline.ExitUsage
 
 // subcommands is filled by the init functions of this package's other files.
-var subcommands []commandline.Verb
+var subcommands []commandline.Subcommand
 
 func main() {
 	os.Exit(commandline.Dispatch("chutelockctl", subcommands, os.Args[1:], os.Stderr))
--- a/cmd/chutelockctl/results.go
+++ b/cmd/chutelockctl/results.go
@@ -11,7 +11,7 @@
 )
 
 func init() {
-	subcommands = append(subcommands, commandline.Verb{Name: "results", Summary: "write the results of a batch job", Run: runResults})
+	subcommands = append(subcommands, commandline.Subcommand{Name: "results", Summary: "write the results of a batch job", Run: runResults})
 }
 
 func runResults(arguments []string) int {
--- a/cmd/chutelockctl/submit.go
+++ b/cmd/chutelockctl/submit.go
@@ -17,7 +17,7 @@
 )
 
 func init() {
-	subcommands = append(subcommands, commandline.Verb{Name: "submit", Summary: "submit a JSONL file as a batch job", Run: runSubmit})
+	subcommands = append(subcommands, commandline.Subcommand{Name: "submit", Summary: "submit a JSONL file as a batch job", Run: runSubmit})
 }
 
 // submitOptions holds the flags of submit.
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -56,7 +56,8 @@
 	Backends []Backend
 	// Completion is the time from a job's submission until its results are due.
 	Completion time.Duration
-	// Retention is the time from a job's submission until its items may be abandoned.
+	// Retention is the time from a job's submission after which its open items are given
+	// up. It doesn't say how long results are kept.
 	Retention time.Duration
 	// QueuedTokens bounds the tokens of each tenant's accepted unfinished items; 0 means no
 	// bound.
@@ -132,6 +133,8 @@
 
 func (r *Route) matchesHostname(name string) bool { return strings.EqualFold(r.Host, name) }
 
+// stripPort removes all from the last colon on. It doesn't handle an IPv6 address
+// without a port.
 func stripPort(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 {
 		return host[:colon]
@@ -175,8 +178,8 @@
 	// ColdUntil is when the engine can take its full rate, as far as this node knows; zero
 	// if it is not known to be cold.
 	ColdUntil time.Time
-	// PacedUntil is when requests to the engine stop needing permits, which is later than
-	// ColdUntil; zero if the service has no ColdRate.
+	// PacedUntil is when requests to the engine stop needing permits (see package slowstart),
+	// which is later than ColdUntil; zero if the service has no ColdRate.
 	PacedUntil time.Time
 	// ColdMaybePast is set if the cold time may be over because this node does not know how
 	// old the entry is.
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -31,8 +31,9 @@
 	// checkInterval is the interval of checks without such a change, as the wall clock may
 	// be set back by the duration of a suspension.
 	checkInterval = time.Second
-	// minSuspension is less than any suspension and more than the time between the readings
-	// of two clocks.
+	// minSuspension is the growth of the offset that counts as a suspension; it exceeds the
+	// time between the readings of two clocks. A shorter suspension stays uncounted until
+	// the offset has grown by this much.
 	minSuspension = 2 * time.Millisecond
 )
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
 // Package config reads a node's own settings file: its name, location, addresses
-// and folders. Settings shared by all nodes are in the settings tree instead.
+// and folders. Settings shared by all nodes are in package settings/tree instead.
 package config
 
 import (
@@ -167,7 +167,7 @@
 	Key         string `koanf:"key" validate:"required_with=Certificate"`
 }
 
-// Drain configures graceful shutdown.
+// Drain configures a node's graceful shutdown; Platform.Drain is about zones.
 type Drain struct {
 	Timeout time.Duration `koanf:"timeout" validate:"min=0"`
 }
@@ -213,8 +213,7 @@
 	"quota.overage":        0.1,
 	"quota.slack":          20,
 	"batch.keep":           "24h",
-	// Each stream costs the leader several messages per second (docs/CAPACITY.md).
-	"batch.local_runs": 100,
+	"batch.local_runs":     100,
 }
 
 // Overrides are the settings given by flags, by their path in the file.
--- a/internal/lab/sim/simulation.go
+++ b/internal/lab/sim/simulation.go
@@ -18,7 +18,8 @@
 // harmGoal is the allowed p99 latency with batch work, relative to that without.
 const harmGoal = 1.05
 
-// seedSimulation keeps random choices of the simulation independent of traffic.
+// seedSimulation, "sim" in ASCII, keeps random choices of the simulation independent of
+// traffic.
 const seedSimulation = 0x73696d
 
 // simulation is the state of one run. It is not safe for concurrent use.
@@ -29,7 +30,7 @@
 	random  *rand.Rand
 	engines []*simEngine
 	nodes   []*node
-	// homes has the home of each engine. Under FaultTwoHomes, duplicateHomes has
+	// homes has the home of each engine: a node's batch role for it. Under FaultTwoHomes, duplicateHomes has
 	// a second one, which gateways of odd-numbered nodes use; otherwise it has nil.
 	homes          []*home
 	duplicateHomes []*home
--- a/internal/ledger/replica/bootstrap.go
+++ b/internal/ledger/replica/bootstrap.go
@@ -248,7 +248,7 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	eventBootstrapped.Info("shard", id, "replica", shard.replica, "replicas", len(voters))
+	eventBootstrapped.Info("shard", id, "replica", shard.replicaID, "replicas", len(voters))
 	return nil
 }
 
--- a/internal/ledger/replica/calls.go
+++ b/internal/ledger/replica/calls.go
@@ -210,7 +210,7 @@
 	shard, holds := s.local(id)
 	if holds {
 		shard.mutex.Lock()
-		answer.Replica = shard.replica
+		answer.Replica = shard.replicaID
 		answer.Holds = true
 		shard.mutex.Unlock()
 		return encode(answer), nil
@@ -239,7 +239,7 @@
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
-		eventJoined.Info("shard", request.Shard, "replica", shard.replica, "peer", from)
+		eventJoined.Info("shard", request.Shard, "replica", shard.replicaID, "peer", from)
 	}
 	return s.describe(request.Shard)
 }
@@ -259,7 +259,7 @@
 
 func (s *Service) destroy(shard *Shard, replica replication.ReplicaID, from transport.Address) error {
 	shard.mutex.Lock()
-	matches := shard.replica == replica && !shard.stopped && shard.halted == nil
+	matches := shard.replicaID == replica && !shard.stopped && shard.halted == nil
 	shard.mutex.Unlock()
 	if !matches {
 		return nil
--- a/internal/ledger/replica/cluster_test.go
+++ b/internal/ledger/replica/cluster_test.go
@@ -432,5 +432,5 @@
 		return false
 	}
 	shard, found := n.service.local(id)
-	return found && shard.replica.String() == replica.Replica
+	return found && shard.replicaID.String() == replica.Replica
 }
--- a/internal/ledger/replica/followerread.go
+++ b/internal/ledger/replica/followerread.go
@@ -110,7 +110,7 @@
 	defer shard.mutex.Unlock()
 	var addresses []transport.Address
 	for _, voter := range shard.core.Status().Configuration.Voters {
-		if voter == shard.replica {
+		if voter == shard.replicaID {
 			addresses = append(addresses, s.self().Address)
 		} else if address, known := shard.addressOf(voter); known {
 			addresses = append(addresses, address)
--- a/internal/ledger/replica/immediate_test.go
+++ b/internal/ledger/replica/immediate_test.go
@@ -17,7 +17,7 @@
 	core, err := replication.New(replication.Config{ID: 1, Storage: replication.NewMemoryStorage(marker)})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	shard := &Shard{
-		service: &Service{outbox: newOutbox(nil)}, core: core, replica: 1, scheduled: true,
+		service: &Service{outbox: newOutbox(nil)}, core: core, replicaID: 1, scheduled: true,
 		learnedAddresses: map[replication.ReplicaID]transport.Address{},
 	}
 	shard.tick(time.Unix(1, 0))
--- a/internal/ledger/replica/process.go
+++ b/internal/ledger/replica/process.go
@@ -84,7 +84,7 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	eventSnapshotTaken.Info("shard", s.id, "replica", s.replica, "index", ready.Snapshot.Index)
+	eventSnapshotTaken.Info("shard", s.id, "replica", s.replicaID, "index", ready.Snapshot.Index)
 	return s.reload()
 }
 
@@ -174,11 +174,11 @@
 	leads, led := soft.Role == replication.RoleLeader, before.Role == replication.RoleLeader
 	switch {
 	case leads && !led:
-		eventLeading.Info("shard", s.id, "replica", s.replica, "term", status.Term)
+		eventLeading.Info("shard", s.id, "replica", s.replicaID, "term", status.Term)
 		s.repair = repairState{}
 		s.service.announce(s.id, status.Term)
 	case led && !leads:
-		eventFollowing.Info("shard", s.id, "replica", s.replica, "term", status.Term)
+		eventFollowing.Info("shard", s.id, "replica", s.replicaID, "term", status.Term)
 		s.leadershipLostAt = clock.Now()
 	}
 	if address, known := s.leaderAddress(); known {
--- a/internal/ledger/replica/publish.go
+++ b/internal/ledger/replica/publish.go
@@ -76,7 +76,7 @@
 func (s *Shard) publishable() (shardObject, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.stopped || s.halted != nil || s.softState.Leader != s.replica {
+	if s.stopped || s.halted != nil || s.softState.Leader != s.replicaID {
 		return shardObject{}, false
 	}
 	status := s.core.Status()
--- a/internal/ledger/replica/repair.go
+++ b/internal/ledger/replica/repair.go
@@ -150,7 +150,7 @@
 			replica:      id,
 			site:         site{node: s.roster[id].Node, zone: s.roster[id].Zone},
 			voter:        status.Configuration.HasVoter(id),
-			leader:       id == s.replica,
+			leader:       id == s.replicaID,
 			superseded:   superseded,
 			lost:         superseded || silence >= replaceAfter || leaving || misplaced,
 			presumedDead: silence >= presumedDeadFactor*replaceAfter || leaving || misplaced,
@@ -339,7 +339,7 @@
 // changeTowards proposes the next change towards the wanted voters.
 func (s *Shard) changeTowards(configuration replication.Configuration, wanted []replication.ReplicaID) error {
 	s.mutex.Lock()
-	change, needed := replication.NextChange(configuration, s.replica, wanted, s.core.CaughtUp)
+	change, needed := replication.NextChange(configuration, s.replicaID, wanted, s.core.CaughtUp)
 	s.mutex.Unlock()
 	if !needed || change.Type == replication.AddLearner {
 		return nil
@@ -431,7 +431,7 @@
 	ctx, cancel := context.WithTimeout(s.service.running, callTimeout)
 	defer cancel()
 	s.mutex.Lock()
-	replica := s.replica
+	replica := s.replicaID
 	s.mutex.Unlock()
 	request := encode(memberRequest{Shard: s.id, Replica: replica})
 	encoded, err := s.service.options.Sender.Call(ctx, leader, kindMember, request)
@@ -463,7 +463,7 @@
 	var best replication.ReplicaID
 	for _, id := range status.Configuration.Voters {
 		follower := status.Followers[id]
-		if id == s.replica || follower.Silent || s.leaving(id) || s.misplaced(s.roster[id].Node) {
+		if id == s.replicaID || follower.Silent || s.leaving(id) || s.misplaced(s.roster[id].Node) {
 			continue
 		}
 		if best == 0 || follower.Match > status.Followers[best].Match {
--- a/internal/ledger/replica/service.go
+++ b/internal/ledger/replica/service.go
@@ -312,7 +312,7 @@
 	for _, shard := range shards {
 		shard.tick(clock.Now())
 		shard.mutex.Lock()
-		if shard.softState.Leader == shard.replica {
+		if shard.softState.Leader == shard.replicaID {
 			leading++
 			if shard.repair.exposed {
 				exposed++
--- a/internal/ledger/replica/shard.go
+++ b/internal/ledger/replica/shard.go
@@ -26,11 +26,11 @@
 	// readIndexes batches a follower's read index requests to its leader.
 	readIndexes readIndexBatcher
 
-	// mutex guards the fields below.
+	// mutex guards the fields below, but not disk, which is set only by newShard.
 	mutex     sync.Mutex
 	disk      *storage.Shard
-	core      *replication.Replica
-	replica   replication.ReplicaID
+	core      *replication.Replica // the protocol state
+	replicaID replication.ReplicaID
 	scheduled bool  // submitted to the worker pool
 	stopped   bool  // refuses new uses
 	halted    error // the cause, if the replica halted
@@ -113,18 +113,18 @@
 	if err := s.reload(); err != nil {
 		return err
 	}
-	s.replica = replication.NewReplicaID(s.service.self().Name, s.disk.Incarnation())
+	s.replicaID = replication.NewReplicaID(s.service.self().Name, s.disk.Incarnation())
 	core, err := replication.New(replication.Config{
-		ID:                s.replica,
+		ID:                s.replicaID,
 		Shard:             uint32(s.id),
 		Storage:           s.disk,
-		Seed:              uint64(s.replica) ^ uint64(s.id),
+		Seed:              uint64(s.replicaID) ^ uint64(s.id),
 		ElectionTimeout:   s.service.options.ElectionTimeout,
 		HeartbeatInterval: s.service.options.HeartbeatInterval,
 		MaxApplyBytes:     maxApplyBytes,
 	})
 	if err != nil {
-		return trace.Wrap(err, "start replica %s of shard %d", s.replica, s.id)
+		return trace.Wrap(err, "start replica %s of shard %d", s.replicaID, s.id)
 	}
 	s.core = core
 	s.softState = replication.SoftState{}
@@ -201,7 +201,8 @@
 	return waiter.done, nil
 }
 
-// refusal converts a protocol error of a rejected proposal to a ledger error.
+// refusal converts a protocol error of a rejected proposal to a ledger error; the
+// caller holds the mutex.
 func (s *Shard) refusal(err error) error {
 	switch {
 	case errors.Is(err, replication.ErrNotLeader):
@@ -214,7 +215,7 @@
 }
 
 // notLeader returns a NotLeaderError with the leader's address, or ErrUnavailable if
-// no leader is known.
+// no leader is known; the caller holds the mutex.
 func (s *Shard) notLeader() error {
 	leader, known := s.leaderAddress()
 	if !known {
@@ -224,7 +225,7 @@
 }
 
 func (s *Shard) leaderAddress() (transport.Address, bool) {
-	if s.softState.Leader == 0 || s.softState.Leader == s.replica {
+	if s.softState.Leader == 0 || s.softState.Leader == s.replicaID {
 		return "", false
 	}
 	return s.addressOf(s.softState.Leader)
@@ -291,7 +292,7 @@
 func (s *Shard) step(message replication.Message, from transport.Address) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.stopped || s.halted != nil || message.To != s.replica {
+	if s.stopped || s.halted != nil || message.To != s.replicaID {
 		return
 	}
 	if _, known := s.roster[message.From]; !known && len(s.learnedAddresses) < maxLearnedAddresses {
@@ -310,6 +311,7 @@
 	s.stepCore(message)
 }
 
+// stepCore passes a message to the protocol; the caller holds the mutex.
 func (s *Shard) stepCore(message replication.Message) {
 	_ = s.core.Step(message) // on error the message was ignored
 	if err := s.core.Err(); err != nil {
@@ -349,7 +351,8 @@
 }
 
 // failStaleProposals fails with ErrUnknownOutcome the proposals of a former leader
-// that are still unresolved an election timeout after it lost leadership.
+// that are still unresolved an election timeout after it lost leadership; the caller
+// holds the mutex.
 func (s *Shard) failStaleProposals(now time.Time) {
 	if s.leadershipLostAt.IsZero() && len(s.waiters) > 0 && s.core.Status().Role != replication.RoleLeader {
 		s.leadershipLostAt = now // SoftState may be delayed by a hanging disk write
@@ -385,17 +388,18 @@
 		return
 	}
 	s.quorumLost = true
-	eventNoQuorum.Error(ledger.ErrUnavailable, "shard", s.id, "replica", s.replica, "members", s.describeMembers())
+	eventNoQuorum.Error(ledger.ErrUnavailable, "shard", s.id, "replica", s.replicaID, "members", s.describeMembers())
 }
 
 // halt stops the replica until the process restarts; the caller holds the mutex.
+// Service.replicaHalted, called under it, takes no lock and does not block.
 func (s *Shard) halt(cause error) {
 	if s.halted != nil {
 		return
 	}
 	s.halted = cause
 	s.progressed.Broadcast()
-	eventHalted.Error(cause, "shard", s.id, "replica", s.replica)
+	eventHalted.Error(cause, "shard", s.id, "replica", s.replicaID)
 	s.failAll()
 	s.service.replicaHalted(cause)
 }
--- a/internal/ledger/replica/transfer.go
+++ b/internal/ledger/replica/transfer.go
@@ -186,7 +186,7 @@
 	defer s.mutex.Unlock()
 	s.fetching = false
 	if err != nil {
-		eventSnapshotFailed.Error(err, "shard", s.id, "replica", s.replica, "peer", from)
+		eventSnapshotFailed.Error(err, "shard", s.id, "replica", s.replicaID, "peer", from)
 		return
 	}
 	if s.stopped || s.halted != nil {
@@ -200,7 +200,7 @@
 func (s *Shard) receive(from transport.Address) (*storage.Staging, error) {
 	ctx, cancel := context.WithTimeout(s.service.running, chunkTimeout)
 	defer cancel()
-	request := encode(snapshotOpenRequest{Shard: s.id, Replica: s.replica})
+	request := encode(snapshotOpenRequest{Shard: s.id, Replica: s.replicaID})
 	encoded, err := s.service.options.Sender.Call(ctx, from, kindSnapshotOpen, request)
 	if err != nil {
 		return nil, trace.Wrap(err, "open a snapshot at peer %s", from)
--- a/internal/ledger/replication/replica.go
+++ b/internal/ledger/replication/replica.go
@@ -26,7 +26,7 @@
 	ErrChangeRejected = errors.New("replication: configuration change rejected")
 )
 
-// Replica implements the protocol for one replica of one shard. It is not safe
+// Replica implements the Raft-like protocol for one replica of one shard. It is not safe
 // for concurrent use.
 type Replica struct {
 	config Config
@@ -39,7 +39,7 @@
 	vote   ReplicaID
 	leader ReplicaID
 
-	configurations configurationHistory
+	configurations configurationHistory // of the shard's members
 
 	electionDeadline  time.Time
 	lastLeaderContact time.Time
@@ -158,9 +158,9 @@
 func (r *Replica) advanceTerm(message Message) bool {
 	switch message.Type {
 	case MessagePreVote:
-		return !r.inLease(message)
+		return !r.heardFromLeaderRecently(message)
 	case MessageVote:
-		if r.inLease(message) {
+		if r.heardFromLeaderRecently(message) {
 			return false
 		}
 	case MessagePreVoteResponse:
@@ -172,9 +172,9 @@
 	return true
 }
 
-// inLease reports whether the leader was heard from within the election timeout,
+// heardFromLeaderRecently reports whether the leader was heard from within the election timeout,
 // in which case vote requests are ignored unless forced.
-func (r *Replica) inLease(message Message) bool {
+func (r *Replica) heardFromLeaderRecently(message Message) bool {
 	if message.Forced || r.leader == 0 {
 		return false
 	}
--- a/internal/ledger/storage/store.go
+++ b/internal/ledger/storage/store.go
@@ -55,7 +55,8 @@
 func (o Options) smallDisk() bool { return o.DiskBytes > 0 && o.DiskBytes < smallDiskBytes }
 
 // memTableSize returns the size of a memtable, which limits the size of a
-// write-ahead log; the disk holds up to five of these logs.
+// write-ahead log; with pebbleOptions' MemTableStopWritesThreshold, the disk holds up to
+// five of these logs.
 func (o Options) memTableSize() uint64 {
 	if o.DiskBytes == 0 {
 		return memTableBytes
@@ -71,7 +72,7 @@
 	healthChecks io.Closer
 	incarnation  uint64
 	committer    *committer
-	watermark    *watermark
+	watermark    *watermark // sequence of the last synced write
 	full         atomic.Bool
 	lowSpace     atomic.Bool
 	lastSlow     atomic.Int64 // UnixNano when an operation was last found slow
@@ -151,7 +152,7 @@
 	return binary.BigEndian.Uint64(value), nil
 }
 
-// advanceWatermark is called after each sync.
+// advanceWatermark records, after a sync, the sequence of the last synced write.
 func (s *Store) advanceWatermark(sequence uint64) {
 	if s.watermark != nil {
 		s.watermark.advance(sequence, s.incarnation)
@@ -235,6 +236,7 @@
 	randomBytes[7] |= 1    // never 0
 	batch := s.db.NewBatch()
 	incarnation := binary.BigEndian.Uint64(randomBytes[:])
+	// Incarnations are stored as the index of a position.
 	record, err := position{Index: incarnation}.encode()
 	if err != nil {
 		return err
@@ -273,8 +275,8 @@
 	return s.failure
 }
 
-// LastSlow returns when a disk operation was last found to take longer than two
-// seconds, or the zero time if none was.
+// LastSlow returns when a disk operation was last found to take longer than
+// slowThreshold, or the zero time if none was.
 func (s *Store) LastSlow() time.Time {
 	at := s.lastSlow.Load()
 	if at == 0 {
--- a/internal/logstory/span.go
+++ b/internal/logstory/span.go
@@ -16,7 +16,8 @@
 	Late   int `json:"late"`
 	// Refused counts the requests that the system itself refused, by cause.
 	Refused map[string]int `json:"refused,omitempty"`
-	// MaxHeld is the maximum time that a refused request was held.
+	// MaxHeld is the maximum time that a refused request was held; its JSON key and
+	// that of ItemsPreempted are part of the output format.
 	MaxHeld time.Duration `json:"held_most"`
 	// Aborted counts the streams that were aborted, and Left the callers that
 	// disconnected before their response was complete.
@@ -31,8 +32,8 @@
 	// ItemsOpen and ItemsRunning are the last values logged by the batch leader.
 	ItemsOpen    int `json:"items_open"`
 	ItemsRunning int `json:"items_running"`
-	// Drained lists the zones that were drained according to any process with
-	// counted lines.
+	// Drained lists the zones that a process with counted lines in the span had last
+	// reported as drained.
 	Drained []string `json:"drained_zones,omitempty"`
 }
 
@@ -53,14 +54,16 @@
 			s.Late++
 		}
 	},
+	// Requests are refused while being forwarded, and rejected before that.
 	"request-refused":  func(s *Span, e Entry) { s.addRefusal(e, "cause") },
 	"request-rejected": func(s *Span, e Entry) { s.addRefusal(e, "reason") },
 	"stream-aborted":   func(s *Span, _ Entry) { s.Aborted++ },
 	"caller-left":      func(s *Span, _ Entry) { s.Left++ },
 	"attempt-failed":   func(s *Span, _ Entry) { s.Failed++ },
 	"item-sent":        func(s *Span, _ Entry) { s.ItemsSent++ },
-	eventZoneDrains:    func(*Span, Entry) {},
-	"batch-yielded":    func(s *Span, e Entry) { s.ItemsPreempted += e.intField("cut") },
+	// Counts nothing, but the line's span is listed with its drained zones.
+	eventZoneDrains: func(*Span, Entry) {},
+	"batch-yielded": func(s *Span, e Entry) { s.ItemsPreempted += e.intField("cut") },
 	"batch-state": func(s *Span, e Entry) {
 		s.ItemsOpen, s.ItemsRunning = e.intField("open"), e.intField("running")
 	},
--- a/internal/membership/swim/config.go
+++ b/internal/membership/swim/config.go
@@ -66,9 +66,9 @@
 
 	// maxUpdateBytes limits the updates carried by one datagram.
 	maxUpdateBytes = 700
-	// maxLocalHealth is the maximum of the local health score, as in Lifeguard:
-	// 0 is healthy, and timeouts are multiplied by the score plus one.
-	maxLocalHealth = 3
+	// maxLocalHealthMultiplier is the maximum of Lifeguard's local health multiplier:
+	// 0 is healthy, and timeouts are multiplied by its value plus one.
+	maxLocalHealthMultiplier = 3
 	// omissionAge is the minimum age of a record before a member that its own
 	// zone no longer lists is declared dead.
 	omissionAge = 30 * time.Second
--- a/internal/membership/swim/node.go
+++ b/internal/membership/swim/node.go
@@ -36,22 +36,22 @@
 	table      *table
 	broadcasts broadcasts
 
-	lastTick    time.Time
-	localHealth int
-	superseded  bool
+	lastTick              time.Time
+	localHealthMultiplier int // from 0, healthy, to maxLocalHealthMultiplier
+	superseded            bool
 
 	sequence       uint32
 	outstanding    map[uint32]*probe
 	relayed        map[uint32]relay
 	shuffled       []string // members not yet probed in this shuffled round
-	probeSuccessor bool
+	probeSuccessor bool     // whether the last probe was of the successor; alternates
 
 	nextProbe  time.Time
-	nextDigest time.Time
-	nextRepair time.Time
-	nextJoin   time.Time
-	nextPush   time.Time
-	nextSync   time.Time
+	nextDigest time.Time           // sends digests to other zones, as a delegate
+	nextRepair time.Time           // sends digests to a random member and to a dead or unknown one
+	nextJoin   time.Time           // asks a contact for all records while all known members are dead
+	nextPush   time.Time           // earliest time to push changes to a few members
+	nextSync   time.Time           // earliest time of a sync call after different digests
 	contacts   []transport.Address // addresses at which members may be found
 
 	version    uint64
@@ -221,5 +221,5 @@
 
 // scaleTimeout lengthens a timeout while this node may itself be faulty.
 func (n *Node) scaleTimeout(timeout time.Duration) time.Duration {
-	return timeout * time.Duration(1+n.localHealth)
+	return timeout * time.Duration(1+n.localHealthMultiplier)
 }
--- a/internal/membership/swim/probe.go
+++ b/internal/membership/swim/probe.go
@@ -122,7 +122,7 @@
 // may be at fault, and its timeouts grow.
 func (n *Node) handleProbeFailure(now time.Time, pending *probe) {
 	if pending.relaysAsked > 0 && pending.relaysAccepted == 0 {
-		n.localHealth = min(n.localHealth+1, maxLocalHealth)
+		n.localHealthMultiplier = min(n.localHealthMultiplier+1, maxLocalHealthMultiplier)
 	}
 	known, exists := n.table.entries[pending.target]
 	if !exists || known.member.State == membership.StateDead || !known.suspectUntil.IsZero() {
@@ -249,6 +249,6 @@
 	pending, exists := n.outstanding[message.Sequence]
 	if exists && nameHash(pending.target) == message.Target {
 		delete(n.outstanding, message.Sequence)
-		n.localHealth = max(n.localHealth-1, 0)
+		n.localHealthMultiplier = max(n.localHealthMultiplier-1, 0)
 	}
 }
--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -14,8 +14,9 @@
 	// ScoreTolerance is the distance from the best score within which the picker
 	// chooses at random.
 	ScoreTolerance float64
-	// LoadHalfLife is the age at which a load report counts half.
-	LoadHalfLife time.Duration
+	// LoadHalfWeightAge is the age at which a load report counts half; its weight falls
+	// hyperbolically.
+	LoadHalfWeightAge time.Duration
 	// RemoteWeight is the weight, in the load score, of other nodes' streams
 	// beyond RemoteMargin × the mean over all endpoints + RemoteSlack. Weighting
 	// all of them would make the nodes oscillate together, as reports lag by
@@ -70,16 +71,16 @@
 // DefaultConfig returns the default settings.
 func DefaultConfig() Config {
 	return Config{
-		Weights:          Weights{Load: 1, KV: 0.3, Prefix: 1, Adapter: 0.5, Zone: 0.3, Health: 1.5},
-		ScoreTolerance:   0.01,
-		LoadHalfLife:     2 * time.Second,
-		RemoteWeight:     0.1,
-		RemoteMargin:     1.5,
-		RemoteSlack:      4,
-		PrefixHalfTokens: 1500,
-		LoadBoundFactor:  1.25,
-		LoadBoundSlack:   4,
-		PrefixEntries:    32768,
+		Weights:           Weights{Load: 1, KV: 0.3, Prefix: 1, Adapter: 0.5, Zone: 0.3, Health: 1.5},
+		ScoreTolerance:    0.01,
+		LoadHalfWeightAge: 2 * time.Second,
+		RemoteWeight:      0.1,
+		RemoteMargin:      1.5,
+		RemoteSlack:       4,
+		PrefixHalfTokens:  1500,
+		LoadBoundFactor:   1.25,
+		LoadBoundSlack:    4,
+		PrefixEntries:     32768,
 		Outliers: OutlierConfig{
 			ConsecutiveFailures: 3,
 			EjectionBase:        time.Second,
@@ -102,7 +103,7 @@
 		c.Weights = defaults.Weights
 	}
 	setDefault(&c.ScoreTolerance, defaults.ScoreTolerance)
-	setDefault(&c.LoadHalfLife, defaults.LoadHalfLife)
+	setDefault(&c.LoadHalfWeightAge, defaults.LoadHalfWeightAge)
 	setDefault(&c.RemoteWeight, defaults.RemoteWeight)
 	setDefault(&c.RemoteMargin, defaults.RemoteMargin)
 	setDefault(&c.RemoteSlack, defaults.RemoteSlack)
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -12,7 +12,8 @@
 	"chutelock.dev/chutelock/internal/fleet"
 )
 
-// Router picks endpoints for attempts and adapts to their outcomes.
+// Router picks endpoints for attempts and adapts to their outcomes. It is not
+// safe for concurrent use.
 type Router struct {
 	config Config
 	random *rand.Rand
@@ -213,7 +214,7 @@
 	if age <= 0 {
 		return 1
 	}
-	return 1 / (1 + float64(age)/float64(r.config.LoadHalfLife))
+	return 1 / (1 + float64(age)/float64(r.config.LoadHalfWeightAge))
 }
 
 func meanLoad(candidates []Candidate) float64 {
@@ -224,8 +225,8 @@
 	return sum / float64(len(candidates))
 }
 
-// pool returns the endpoints that may serve the request. It is cached for each
-// snapshot, as membership, models and regions don't change within one.
+// pool returns the endpoints that may serve the request. For each model
+// it is cached for the last snapshot and list of regions.
 func (r *Router) pool(now time.Time, request *Request, snapshot *fleet.Snapshot) *pool {
 	if r.sweptSnapshot != snapshot {
 		r.sweep(snapshot)
@@ -280,7 +281,8 @@
 }
 
 // sweep deletes the state of endpoints that are gone and have nothing in flight,
-// and the pools and prefixes of models that no endpoint serves any more.
+// and the pools and prefixes of models that no endpoint serves any more. It does
+// nothing while there are at most twice as many states as endpoints.
 func (r *Router) sweep(snapshot *fleet.Snapshot) {
 	r.sweptSnapshot = snapshot
 	if len(r.states) <= 2*len(snapshot.Endpoints) {
--- a/internal/routing/types.go
+++ b/internal/routing/types.go
@@ -108,9 +108,10 @@
 	Endpoint *fleet.Endpoint
 	// InFlight is the number of this node's own attempts on the endpoint.
 	InFlight int
-	// Load estimates the online streams of all nodes on the endpoint.
+	// Load estimates the online streams of all nodes on the endpoint; fillCandidates
+	// first stores those of other nodes in it.
 	Load float64
-	// Pressure is the input of the load score: own streams, waiting online
+	// Pressure is the input of the load score, in streams: own streams, waiting online
 	// requests, and other nodes' streams far above the mean, weighted.
 	Pressure float64
 	// Freshness of the endpoint's report: 1 if new, towards 0 with age, 0 if missing.
--- a/internal/standin/engine/scheduler/scheduler.go
+++ b/internal/standin/engine/scheduler/scheduler.go
@@ -16,10 +16,10 @@
 	running []*sequence
 	queue   waitingQueue
 	// retained holds the sequences that kept their blocks when suspended, the
-	// longest retained first.
-	retained  []*sequence
-	suspended int
-	serial    uint64
+	// longest retained first; resumed ones may still be in it.
+	retained       []*sequence
+	suspendedCount int
+	serial         uint64
 
 	load   Load
 	chunks []chunk
@@ -97,7 +97,7 @@
 	}
 	s.detach(target)
 	target.state = suspended
-	s.suspended++
+	s.suspendedCount++
 	if target.blockCount() > 0 && !slices.Contains(s.retained, target) {
 		s.retained = append(s.retained, target)
 	}
@@ -159,7 +159,7 @@
 	load := s.load
 	load.Running = len(s.running)
 	load.Waiting = len(s.queue)
-	load.Suspended = s.suspended
+	load.Suspended = s.suspendedCount
 	load.Blocks = s.config.Blocks
 	load.RunningBatch = s.countBatch(s.running)
 	load.WaitingBatch = s.countBatch(s.queue)
@@ -194,7 +194,7 @@
 		position := s.runningIndex(detached)
 		s.running = slices.Delete(s.running, position, position+1)
 	case suspended:
-		s.suspended--
+		s.suspendedCount--
 	}
 }
 
--- a/internal/system/core.go
+++ b/internal/system/core.go
@@ -36,8 +36,8 @@
 const (
 	// maxEvacuationStaleness bounds how late data nodes learn of an evacuation.
 	maxEvacuationStaleness = 8 * time.Second
-	// Intervals and timeouts of the ledger. A lost replica is replaced as soon as
-	// another node is available.
+	// Intervals and timeouts of the ledger. A lost replica is replaced after
+	// replaceAfter if another node is available.
 	replaceAfter      = 1500 * time.Millisecond
 	repairInterval    = 150 * time.Millisecond
 	bootstrapWait     = 3 * time.Second
@@ -62,8 +62,8 @@
 	pool     *upstream.Pool
 	balancer *balance.Balancer
 	guard    *poison.Guard
-	ledger   *replica.Service
-	// shardPorts separates the messages of the shards of batch work.
+	ledger   *replica.Service // set by openData and openFront
+	// shardPorts shares peers between the shards of batch work.
 	shardPorts *batchwork.Ports
 
 	metrics *http.Server // nil without an address
@@ -144,7 +144,7 @@
 		if !wasLoading {
 			return
 		}
-		kind = "" // the configuration may have been waiting for the records
+		kind = "" // no kind: the configuration may have been waiting for the records
 	}
 	c.catalog.changed(kind)
 }
--- a/internal/system/drains.go
+++ b/internal/system/drains.go
@@ -28,8 +28,9 @@
 	interval   time.Duration // until the next line; 0 while nothing is in flight
 }
 
-// due reports whether to log the number of requests in flight now.
-func (s *drainLogSchedule) due(inFlight int, now time.Time) bool {
+// advanceIfDue reports whether to log the number of requests in flight now, and if so
+// advances the schedule.
+func (s *drainLogSchedule) advanceIfDue(inFlight int, now time.Time) bool {
 	switch {
 	case inFlight == 0:
 		ended := s.interval > 0
@@ -57,7 +58,7 @@
 			online += counts[balance.ClassOnline]
 			batch += counts[balance.ClassBatch]
 		}
-		if schedule.due(online+batch, clock.Now()) {
+		if schedule.advanceIfDue(online+batch, clock.Now()) {
 			eventDrainProgress.Info("zones", zones, "online", online, "batch", batch, "by_zone", formatByZone(zones, inFlight))
 		}
 	}
--- a/internal/system/drains_test.go
+++ b/internal/system/drains_test.go
@@ -173,7 +173,7 @@
 		if second < 3 || second >= 150 {
 			inFlight = 0
 		}
-		if schedule.due(inFlight, start.Add(time.Duration(second)*time.Second)) {
+		if schedule.advanceIfDue(inFlight, start.Add(time.Duration(second)*time.Second)) {
 			logged = append(logged, second)
 		}
 	}
--- a/internal/telemetry/output.go
+++ b/internal/telemetry/output.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// Line queues a line, or drops it if the queue is full.
-func (o *Output) Line(line string) {
+// WriteLine queues a line, or drops it if the queue is full.
+func (o *Output) WriteLine(line string) {
 	select {
 	case o.lines <- append([]byte(line), '\n'):
 	default:
@@ -53,8 +53,8 @@
 // Dropped returns the number of lines dropped so far.
 func (o *Output) Dropped() int64 { return o.dropped.Load() }
 
-// Close waits until the queued lines are written, for closeTimeout at most. Line
-// must not be called after it.
+// Close waits until the queued lines are written, for closeTimeout at most. A
+// later call of WriteLine panics.
 func (o *Output) Close() {
 	o.closeOnce.Do(func() { close(o.lines) })
 	select {
@@ -63,9 +63,9 @@
 	}
 }
 
-// LogJSON makes klog write each event to the output as a JSON object on one line:
+// SetJSONLogger makes klog write each event to the output as a JSON object on one line:
 // ts, level or error, msg (the event's name) and the event's keys and values.
-func LogJSON(output *Output) {
+func SetJSONLogger(output *Output) {
 	options := funcr.Options{LogTimestamp: true, TimestampFormat: "2006-01-02T15:04:05.000000Z07:00"}
-	klog.SetLogger(logr.New(funcr.NewJSON(output.Line, options).GetSink()))
+	klog.SetLogger(logr.New(funcr.NewJSON(output.WriteLine, options).GetSink()))
 }
--- a/internal/telemetry/output_test.go
+++ b/internal/telemetry/output_test.go
@@ -32,11 +32,11 @@
 
 var eventTest = Define(9901, "output-test", "Only in tests.")
 
-func TestLogJSONWritesOneObjectPerEvent(t *testing.T) {
+func TestSetJSONLoggerWritesOneObjectPerEvent(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var buffer lockedBuffer
 	output := NewOutput(&buffer)
-	LogJSON(output)
+	SetJSONLogger(output)
 	defer klog.ClearLogger()
 	eventTest.Info("request", "r1", "age", 1500*time.Millisecond, "cause", io.EOF)
 	output.Close()
@@ -59,7 +59,7 @@
 	written := make(chan struct{})
 	go func() {
 		for range 3 * maxQueuedLines {
-			output.Line("line")
+			output.WriteLine("line")
 		}
 		close(written)
 	}()
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -39,14 +39,14 @@
 // connection is an established, authenticated TCP connection.
 type connection struct {
 	net.Conn
-	reader *bufio.Reader
-	writer *bufio.Writer
-	input  *session
-	output *session
-	peer   Address
-	// lastRead is when the last frame was read; nil before the first.
+	reader        *bufio.Reader
+	writer        *bufio.Writer
+	input         *session
+	output        *session
+	peer          Address
 	framesWritten atomic.Uint64
-	lastRead      atomic.Pointer[time.Time]
+	// lastRead is when the last frame was read; nil before the first.
+	lastRead atomic.Pointer[time.Time]
 }
 
 // handshake exchanges nonces in the clear. The first frame of each direction then
@@ -246,8 +246,8 @@
 	}
 }
 
-// failUnsent fails the call of a frame that was never sent, if it is one. A frameHello
-// as the answer stands for ErrNotSent.
+// failUnsent fails the call of a frame that was never sent, if it is one, by
+// answering it with a frameHello, which the caller reads as ErrNotSent.
 func (c *peerClient) failUnsent(f *frame) {
 	if f.header.Type != frameCall {
 		return
