--- a/internal/settings/agent/agent.go
+++ b/internal/settings/agent/agent.go
@@ -18,7 +18,7 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// Message kinds of settings.
+// Message kinds of settings dissemination.
 const (
 	KindDelta  = transport.KindSettings + 1 // one-way
 	KindDigest = transport.KindSettings + 2 // datagram
@@ -29,31 +29,31 @@
 )
 
 const (
-	inputQueue  = 1024 // inputs that wait for the loop
-	callWorkers = 4
-	callTimeout = 2 * time.Second
-	readTimeout = 8 * time.Second // of a probe or a listing
-	// noticeInterval is the shortest pause between two events of one notice.
-	noticeInterval = 30 * time.Second
+	inputQueueSize = 1024 // inputs queued for the run loop
+	callWorkers    = 4
+	callTimeout    = 2 * time.Second
+	readTimeout    = 8 * time.Second // for a store probe or listing
+	// minNoticeInterval is the minimum time between two events for the same notice.
+	minNoticeInterval = 30 * time.Second
 )
 
-// Config sets an Agent up.
+// Config configures an Agent.
 type Config struct {
 	Members  membership.Source
 	Sender   transport.Sender
 	Receiver transport.Receiver
 	Store    platform.Store
-	// Folder is where the disk cache lives; empty means no cache.
+	// Folder is the directory of the disk cache; empty disables the cache.
 	Folder string
-	// Seed feeds the choice of gossip partners; 0 takes one from the clock.
+	// Seed seeds the random choice of gossip peers; 0 derives it from the clock.
 	Seed uint64
-	// Protocol sets the machine's times; its Self and Seed are filled in.
+	// Protocol sets the state machine's timing; New sets its Self and Seed.
 	Protocol dissemination.Config
 	Registry prometheus.Registerer
 }
 
-// Agent keeps a node's settings. It implements settings.Source; all methods
-// may be called concurrently.
+// Agent maintains a node's settings. It implements settings.Source. All methods
+// are safe for concurrent use.
 type Agent struct {
 	config  Config
 	live    *tree.Live
@@ -61,34 +61,35 @@
 	inputs  chan func(now time.Time)
 	calls   pond.Pool
 	metrics *metrics
-	// version is the version in force plus one; 0 before the first.
+	// version is the version in force plus one; 0 means no version yet.
 	version atomic.Uint64
 
-	// The fields below belong to the loop.
-	machine   *dissemination.Machine
-	view      *membership.View
-	stopWatch context.CancelFunc
-	noticed   map[dissemination.Notice]time.Time
-	stale     bool
-	ctx       context.Context
-	stopped   chan struct{}
+	// The fields below are accessed only by the run loop.
+	machine      *dissemination.Machine
+	view         *membership.View
+	cancelWatch  context.CancelFunc
+	lastNotified map[dissemination.Notice]time.Time
+	stale        bool
+	ctx          context.Context
+	stopped      chan struct{}
 }
 
 var _ settings.Source = (*Agent)(nil)
 
-// New opens the disk cache and registers the handlers; Run starts the agent.
+// New returns an agent with its disk cache open and its message handlers
+// registered. Run starts it.
 func New(config Config) (*Agent, error) {
 	if config.Seed == 0 {
 		config.Seed = uint64(time.Now().UnixNano())
 	}
 	agent := &Agent{
-		config:  config,
-		live:    tree.NewLive(),
-		inputs:  make(chan func(time.Time), inputQueue),
-		calls:   pond.NewPool(callWorkers),
-		metrics: newMetrics(config.Registry),
-		noticed: make(map[dissemination.Notice]time.Time),
-		stopped: make(chan struct{}),
+		config:       config,
+		live:         tree.NewLive(),
+		inputs:       make(chan func(time.Time), inputQueueSize),
+		calls:        pond.NewPool(callWorkers),
+		metrics:      newMetrics(config.Registry),
+		lastNotified: make(map[dissemination.Notice]time.Time),
+		stopped:      make(chan struct{}),
 	}
 	restored, err := agent.openCache()
 	if err != nil {
@@ -100,8 +101,8 @@
 	return agent, nil
 }
 
-// openCache restores what the disk holds. A cache that can't be read is no
-// reason not to start: peers and the store have the settings.
+// openCache opens the disk cache and loads its state. An unreadable cache
+// doesn't prevent startup: peers and the store also hold the settings.
 func (a *Agent) openCache() (*dissemination.State, error) {
 	if a.config.Folder == "" {
 		return nil, nil
@@ -122,10 +123,10 @@
 // Current implements settings.Source.
 func (a *Agent) Current() *settings.Snapshot { return a.live.Current() }
 
-// Tree is the tree in force.
+// Tree returns the settings tree in force.
 func (a *Agent) Tree() *tree.Live { return a.live }
 
-// Version is the version in force; false before the first.
+// Version returns the version in force, or false if there is none yet.
 func (a *Agent) Version() (settings.Version, bool) {
 	version := a.version.Load()
 	if version == 0 {
@@ -134,7 +135,7 @@
 	return settings.Version(version - 1), true
 }
 
-// Run runs the agent until ctx ends.
+// Run runs the agent until ctx is done.
 func (a *Agent) Run(ctx context.Context) {
 	a.ctx = ctx
 	ticker := time.NewTicker(dissemination.TickInterval)
@@ -154,7 +155,7 @@
 
 func (a *Agent) close() {
 	close(a.stopped)
-	a.closeWatch()
+	a.endWatch()
 	a.calls.Stop()
 	if a.cache == nil {
 		return
@@ -167,16 +168,16 @@
 func (a *Agent) tick(now time.Time) {
 	if view := a.config.Members.View(); view != a.view {
 		a.view = view
-		a.do(a.machine.SetView(now, view))
+		a.execute(a.machine.SetView(now, view))
 	}
-	a.do(a.machine.Tick(now))
-	a.noteFreshness(now)
-	a.metrics.observe(a.machine, now)
+	a.execute(a.machine.Tick(now))
+	a.logStaleness(now)
+	a.metrics.recordState(a.machine, now)
 }
 
-// noteFreshness tells when the node loses or regains the certainty that its
-// settings are the newest.
-func (a *Agent) noteFreshness(now time.Time) {
+// logStaleness logs transitions between stale settings and settings confirmed
+// to be the newest.
+func (a *Agent) logStaleness(now time.Time) {
 	_, published := a.machine.InForce()
 	stale := published && a.machine.Stale(now)
 	if stale == a.stale {
@@ -191,8 +192,8 @@
 	eventFresh.Info("inForce", version)
 }
 
-// do executes the machine's actions in order.
-func (a *Agent) do(actions []dissemination.Action) {
+// execute performs the state machine's actions in order.
+func (a *Agent) execute(actions []dissemination.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
 		case dissemination.Persist:
@@ -202,13 +203,13 @@
 		case dissemination.Notify:
 			a.notify(action)
 		case dissemination.ProbeStore:
-			a.probe(action)
+			a.probeStore(action)
 		case dissemination.ListStore:
-			a.list(action)
+			a.listStore(action)
 		case dissemination.WatchStore:
-			a.watch(action)
+			a.watchStore(action)
 		case dissemination.StopWatch:
-			a.closeWatch()
+			a.endWatch()
 		default:
 			a.send(action)
 		}
@@ -237,28 +238,28 @@
 	}
 	if action.Replace {
 		a.live.Replace(action.Version, updates)
-		eventFirst.Info("version", action.Version, "nodes", len(updates))
+		eventFirstSettings.Info("version", action.Version, "nodes", len(updates))
 	} else {
 		a.live.Apply(action.Version, updates)
 	}
 	a.version.Store(uint64(action.Version) + 1)
-	a.metrics.published(action)
+	a.metrics.recordPublish(action)
 	if a.live.Faulty() {
 		eventProblems.Info("version", action.Version, "problems", len(a.live.Problems()))
 	}
 }
 
-// notify writes an event; repeated ones of a kind are thinned out.
+// notify logs a notice, at most once per minNoticeInterval and kind.
 func (a *Agent) notify(action dissemination.Notify) {
 	now := time.Now()
-	if now.Sub(a.noticed[action.Notice]) < noticeInterval {
+	if now.Sub(a.lastNotified[action.Notice]) < minNoticeInterval {
 		return
 	}
-	a.noticed[action.Notice] = now
+	a.lastNotified[action.Notice] = now
 	noticeEvents[action.Notice].Info("object", action.Name, "inForce", action.InForce, "found", action.Found)
 }
 
-// enqueue hands an input to the loop; it waits while the queue is full.
+// enqueue queues an input for the run loop and blocks while the queue is full.
 func (a *Agent) enqueue(input func(now time.Time)) {
 	select {
 	case a.inputs <- input:
@@ -266,8 +267,8 @@
 	}
 }
 
-// offer hands an input to the loop, or drops it while the queue is full.
-func (a *Agent) offer(input func(now time.Time)) {
+// tryEnqueue queues an input for the run loop, or drops it if the queue is full.
+func (a *Agent) tryEnqueue(input func(now time.Time)) {
 	select {
 	case a.inputs <- input:
 	default:
@@ -275,11 +276,11 @@
 	}
 }
 
-// ask runs a question in the loop and waits for it.
-func (a *Agent) ask(ctx context.Context, question func(now time.Time)) error {
+// runInLoop runs query in the run loop and waits for it to return.
+func (a *Agent) runInLoop(ctx context.Context, query func(now time.Time)) error {
 	done := make(chan struct{})
 	input := func(now time.Time) {
-		question(now)
+		query(now)
 		close(done)
 	}
 	select {
--- a/internal/settings/agent/agent_test.go
+++ b/internal/settings/agent/agent_test.go
@@ -21,22 +21,22 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-const patience = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
-// fastTimes shorten the waits; verdicts don't depend on them.
-var fastTimes = dissemination.Config{
+// fastConfig shortens intervals to speed up tests; no assertion depends on it.
+var fastConfig = dissemination.Config{
 	StartupWait: 300 * time.Millisecond, WatchDelay: 600 * time.Millisecond,
 	StopDelay: 100 * time.Millisecond, GossipInterval: 100 * time.Millisecond, WatchSilence: 5 * time.Second,
 }
 
-// testFleet is a few nodes over loopback, before the platform's stand-in.
+// testFleet is a set of nodes on loopback that share a fake platform store.
 type testFleet struct {
-	g      *gomega.WithT
-	t      *testing.T
-	nodes  []*testNode
-	store  string // address of the stand-in
-	views  atomic.Pointer[membership.View]
-	folder string
+	g            *gomega.WithT
+	t            *testing.T
+	nodes        []*testNode
+	storeAddress string // of the fake platform
+	views        atomic.Pointer[membership.View]
+	folder       string
 }
 
 type testNode struct {
@@ -61,7 +61,7 @@
 	server, err := platform.New(config, nil)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	listener := httptest.NewServer(server.Handler())
-	fleet := &testFleet{g: g, t: t, store: strings.TrimPrefix(listener.URL, "http://"), folder: t.TempDir()}
+	fleet := &testFleet{g: g, t: t, storeAddress: strings.TrimPrefix(listener.URL, "http://"), folder: t.TempDir()}
 	t.Cleanup(func() {
 		for _, node := range fleet.nodes {
 			node.stop()
@@ -71,7 +71,7 @@
 		g.Expect(server.Close()).To(gomega.Succeed())
 	})
 	for i, zone := range zones {
-		fleet.nodes = append(fleet.nodes, fleet.open(fmt.Sprintf("node-%d", i), zone))
+		fleet.nodes = append(fleet.nodes, fleet.openNode(fmt.Sprintf("node-%d", i), zone))
 	}
 	fleet.refreshView()
 	for _, node := range fleet.nodes {
@@ -80,17 +80,17 @@
 	return fleet
 }
 
-func (f *testFleet) open(name, zone string) *testNode {
+func (f *testFleet) openNode(name, zone string) *testNode {
 	keys, err := transport.NewKeyring([]byte("0123456789abcdef"))
 	f.g.Expect(err).NotTo(gomega.HaveOccurred())
 	peers, err := transport.Listen(transport.Options{Listen: "127.0.0.1:0", Keys: keys})
 	f.g.Expect(err).NotTo(gomega.HaveOccurred())
 	node := &testNode{fleet: f, peers: peers}
 	node.member = membership.Member{Name: name, Address: peers.Address(), Zone: zone, Region: "region"}
-	store := objecthttp.New(f.store, objecthttp.Options{})
+	store := objecthttp.New(f.storeAddress, objecthttp.Options{})
 	node.agent, err = New(Config{
 		Members: node, Sender: peers, Receiver: peers, Store: store,
-		Folder: filepath.Join(f.folder, name), Seed: 7, Protocol: fastTimes,
+		Folder: filepath.Join(f.folder, name), Seed: 7, Protocol: fastConfig,
 	})
 	f.g.Expect(err).NotTo(gomega.HaveOccurred())
 	node.writer = command.NewWriter(store, node.agent, time.Now)
@@ -121,27 +121,27 @@
 	n.peers.Close()
 }
 
-// restart replaces a node by a new process with the same disk.
-func (f *testFleet) restart(number int) {
-	old := f.nodes[number]
+// restart replaces a node by a new one with the same cache directory.
+func (f *testFleet) restart(index int) {
+	old := f.nodes[index]
 	old.stop()
-	f.nodes[number] = f.open(old.member.Name, old.member.Zone)
+	f.nodes[index] = f.openNode(old.member.Name, old.member.Zone)
 	f.refreshView()
-	f.nodes[number].start()
+	f.nodes[index].start()
 }
 
-func (f *testFleet) apply(number int, id, text string) *command.Result {
+func (f *testFleet) apply(index int, id, text string) *command.Result {
 	nodes, problems := tree.ParseFile("f.yaml", []byte(text))
 	f.g.Expect(problems).To(gomega.BeEmpty())
 	var result *command.Result
 	f.g.Eventually(func() (err error) {
-		result, err = f.nodes[number].writer.Apply(context.Background(), command.Change{ID: id, Nodes: nodes})
+		result, err = f.nodes[index].writer.Apply(context.Background(), command.Change{ID: id, Nodes: nodes})
 		return err
-	}, patience).Should(gomega.Succeed())
+	}, waitTimeout).Should(gomega.Succeed())
 	return result
 }
 
-// expectBurst waits until every node has a tenant's field in force.
+// expectBurst waits until every node has the tenant's burst in force.
 func (f *testFleet) expectBurst(want int) {
 	for _, node := range f.nodes {
 		f.g.Eventually(func() int {
@@ -154,19 +154,21 @@
 				return -1
 			}
 			return tenant.Burst
-		}, patience, 10*time.Millisecond).Should(gomega.Equal(want), node.member.Name)
+		}, waitTimeout, 10*time.Millisecond).Should(gomega.Equal(want), node.member.Name)
 	}
 }
 
-func callerWithBurst(burst int) string {
+func tenantYAML(burst int) string {
 	return fmt.Sprintf("path: fleet\nkind: folder\n---\npath: fleet/caller\nkind: tenant\nkeys: [k]\nburst: %d\n", burst)
 }
 
-func TestChangesReachAllNodesOverTheNetwork(t *testing.T) {
+// Guards against changes that miss a node or a zone, and against too many store
+// watchers.
+func TestAgentDisseminatesChangesToAllNodes(t *testing.T) {
 	fleet := newFleet(t, "a", "a", "a", "b", "b")
-	fleet.apply(0, "c1", callerWithBurst(1))
+	fleet.apply(0, "c1", tenantYAML(1))
 	fleet.expectBurst(1)
-	result := fleet.apply(4, "c2", callerWithBurst(2))
+	result := fleet.apply(4, "c2", tenantYAML(2))
 	fleet.expectBurst(2)
 	fleet.g.Eventually(func() bool {
 		zones, err := fleet.nodes[2].agent.Zones(context.Background())
@@ -175,7 +177,7 @@
 		}
 		version, _ := fleet.nodes[2].agent.Version()
 		return zones[0].InForceAt(version) && zones[1].InForceAt(version) && version.Revision() >= result.Revision
-	}, patience).Should(gomega.BeTrue())
+	}, waitTimeout).Should(gomega.BeTrue())
 	watching := 0
 	for _, node := range fleet.nodes {
 		status, err := node.agent.Status(context.Background())
@@ -187,11 +189,12 @@
 	fleet.g.Expect(watching).To(gomega.Equal(dissemination.WatchersPerRegion))
 }
 
-func TestRestartWithoutStoreAndPeersGoesOnFromDisk(t *testing.T) {
+// Guards against a restarted node that has no settings while the store is down.
+func TestAgentRestartUsesDiskCacheWithoutStoreOrPeers(t *testing.T) {
 	fleet := newFleet(t, "a")
-	fleet.apply(0, "c1", callerWithBurst(3))
+	fleet.apply(0, "c1", tenantYAML(3))
 	fleet.expectBurst(3)
-	fleet.store = "127.0.0.1:1" // nothing listens there
+	fleet.storeAddress = "127.0.0.1:1" // no listener
 	fleet.restart(0)
 	fleet.expectBurst(3)
 	status, err := fleet.nodes[0].agent.Status(context.Background())
@@ -201,12 +204,14 @@
 	fleet.g.Expect(err).To(gomega.HaveOccurred())
 }
 
-func TestCachedEntryEqualsTheStoredOne(t *testing.T) {
+// Guards against a cached entry that differs from the stored one, which would
+// make the node refuse the store as forked.
+func TestAgentRestartAcceptsStoreMatchingCache(t *testing.T) {
 	fleet := newFleet(t, "a", "b")
-	fleet.apply(0, "c1", callerWithBurst(3))
+	fleet.apply(0, "c1", tenantYAML(3))
 	fleet.expectBurst(3)
 	fleet.restart(0)
-	fleet.apply(0, "c2", callerWithBurst(4))
+	fleet.apply(0, "c2", tenantYAML(4))
 	fleet.expectBurst(4)
 	for _, node := range fleet.nodes {
 		status, err := node.agent.Status(context.Background())
--- a/internal/settings/agent/doc.go
+++ b/internal/settings/agent/doc.go
@@ -1,4 +1,4 @@
-// Package agent runs the dissemination of settings at one node: it carries the
-// pure machine's messages over the transport, reads the platform's store when
-// the machine says so, keeps the disk cache, and gives the snapshot in force.
+// Package agent runs the dissemination of settings at one node: it executes
+// the actions of the deterministic state machine (messages to peers, store
+// reads, disk cache writes) and publishes the snapshot in force.
 package agent
--- a/internal/settings/agent/events.go
+++ b/internal/settings/agent/events.go
@@ -7,18 +7,18 @@
 
 var (
 	eventStoreBehind = telemetry.Define(5101, "settings store went back",
-		"The store holds an older state of the settings than the one in force, as after the restore of an old copy. It is refused; see docs/operating/settings.md.")
+		"The store holds an older state of the settings than the one in force, as after a restore from an old backup. It is refused; see docs/operating/settings.md.")
 	eventStoreForked = telemetry.Define(5102, "settings store forked",
 		"The store lost or changed settings that are in force. It is refused; see docs/operating/settings.md.")
-	eventStoreRight = telemetry.Define(5103, "settings store is right again",
-		"A store that was refused holds what is in force again.")
+	eventStoreRecovered = telemetry.Define(5103, "settings store is right again",
+		"A refused store holds the settings in force again and is accepted.")
 	eventEpochRaised = telemetry.Define(5104, "settings epoch raised",
-		"An operator put the store's state in force after it had gone back.")
+		"An operator raised the epoch to accept a store that had gone back.")
 	eventDivergence = telemetry.Define(5105, "settings diverge",
-		"A peer has other settings in force at the same version or took a forked store. An operator must say which holds.")
+		"A peer has other settings in force at the same version or accepted a forked store. An operator must decide which one to keep.")
 	eventStoreRefusing = telemetry.Define(5106, "settings store refuses readers",
-		"The store's reader budget is spent; this node tries again later and gets changes from peers meanwhile.")
-	eventFirst = telemetry.Define(5107, "first settings in force",
+		"The store's limit of readers is reached; this node retries later and gets changes from peers meanwhile.")
+	eventFirstSettings = telemetry.Define(5107, "first settings in force",
 		"The node has settings in force for the first time since its start.")
 	eventProblems = telemetry.Define(5108, "settings with problems",
 		"The store holds nodes that can't be resolved as they are; the offending fields inherit instead.")
@@ -32,11 +32,11 @@
 		"A peer's message could not be decoded; it was dropped.")
 )
 
-// noticeEvents are the events of the machine's notices.
+// noticeEvents maps the state machine's notices to log events.
 var noticeEvents = map[dissemination.Notice]telemetry.Event{
 	dissemination.NoticeStoreBehind:   eventStoreBehind,
 	dissemination.NoticeStoreForked:   eventStoreForked,
-	dissemination.NoticeStoreRight:    eventStoreRight,
+	dissemination.NoticeStoreRight:    eventStoreRecovered,
 	dissemination.NoticeEpochRaised:   eventEpochRaised,
 	dissemination.NoticeDivergence:    eventDivergence,
 	dissemination.NoticeStoreRefusing: eventStoreRefusing,
--- a/internal/settings/agent/metrics.go
+++ b/internal/settings/agent/metrics.go
@@ -38,22 +38,22 @@
 	return result
 }
 
-func (m *metrics) published(action dissemination.Publish) {
+func (m *metrics) recordPublish(action dissemination.Publish) {
 	m.epoch.Set(float64(action.Version.Epoch()))
 	m.revision.Set(float64(action.Version.Revision()))
 	m.changes.Add(float64(len(action.Changes)))
 }
 
-func (m *metrics) observe(machine *dissemination.Machine, now time.Time) {
+func (m *metrics) recordState(machine *dissemination.Machine, now time.Time) {
 	if age, known := machine.Age(now); known {
 		m.age.Set(age.Seconds())
 	}
-	m.stale.Set(number(machine.Stale(now)))
-	m.watching.Set(number(machine.Watching()))
-	m.refused.Set(number(machine.StoreRefused()))
+	m.stale.Set(gaugeValue(machine.Stale(now)))
+	m.watching.Set(gaugeValue(machine.Watching()))
+	m.refused.Set(gaugeValue(machine.StoreRefused()))
 }
 
-func number(set bool) float64 {
+func gaugeValue(set bool) float64 {
 	if set {
 		return 1
 	}
--- a/internal/settings/agent/peers.go
+++ b/internal/settings/agent/peers.go
@@ -10,7 +10,7 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// register takes the peers' messages.
+// register installs the handlers of messages from peers.
 func (a *Agent) register() {
 	receiver := a.config.Receiver
 	receiver.HandleMessage(KindDelta, handle(a, dissemination.UnmarshalDelta,
@@ -29,11 +29,12 @@
 		func(now time.Time, _ transport.Address, report *dissemination.ZoneReport) []dissemination.Action {
 			return a.machine.HandleZoneReport(now, report)
 		}))
-	receiver.HandleCall(KindPull, a.answerPull)
-	receiver.HandleCall(KindZones, a.answerZones)
+	receiver.HandleCall(KindPull, a.handlePull)
+	receiver.HandleCall(KindZones, a.handleZones)
 }
 
-// handle decodes a message and hands it to the machine in the loop.
+// handle returns a handler that decodes a message and queues step for the run
+// loop.
 func handle[M any](a *Agent, decode func([]byte) (*M, error),
 	step func(time.Time, transport.Address, *M) []dissemination.Action) transport.MessageHandler {
 	return func(from transport.Address, payload []byte) {
@@ -42,68 +43,70 @@
 			eventBadMessage.Error(err, "peer", from)
 			return
 		}
-		a.offer(func(now time.Time) { a.do(step(now, from, message)) })
+		a.tryEnqueue(func(now time.Time) { a.execute(step(now, from, message)) })
 	}
 }
 
-func (a *Agent) answerPull(ctx context.Context, from transport.Address, payload []byte) ([]byte, error) {
+func (a *Agent) handlePull(ctx context.Context, from transport.Address, payload []byte) ([]byte, error) {
 	pull, err := dissemination.UnmarshalPull(payload)
 	if err != nil {
 		return nil, trace.Wrap(err, "settings pull of peer %s", from)
 	}
 	var answer *dissemination.PullAnswer
-	if err := a.ask(ctx, func(now time.Time) { answer = a.machine.HandlePull(now, pull) }); err != nil {
+	if err := a.runInLoop(ctx, func(now time.Time) { answer = a.machine.HandlePull(now, pull) }); err != nil {
 		return nil, err
 	}
 	return answer.Marshal()
 }
 
-func (a *Agent) answerZones(ctx context.Context, _ transport.Address, _ []byte) ([]byte, error) {
+func (a *Agent) handleZones(ctx context.Context, _ transport.Address, _ []byte) ([]byte, error) {
 	var zones []dissemination.ZoneStatus
-	if err := a.ask(ctx, func(now time.Time) { zones = a.machine.Zones(now) }); err != nil {
+	if err := a.runInLoop(ctx, func(now time.Time) { zones = a.machine.Zones(now) }); err != nil {
 		return nil, err
 	}
 	return dissemination.MarshalZones(zones)
 }
 
-// send carries a message to a peer.
+// send sends a message or starts a call to a peer.
 func (a *Agent) send(action dissemination.Action) {
 	switch action := action.(type) {
 	case dissemination.SendDelta:
-		if payload, ok := encoded(action.Delta.Marshal()); ok {
+		if payload, ok := checkEncoded(action.Delta.Marshal()); ok {
 			a.config.Sender.Send(action.To, KindDelta, payload)
 		}
 	case dissemination.SendDigest:
-		a.datagram(action.To, KindDigest)(action.Digest.Marshal())
+		a.datagramSender(action.To, KindDigest)(action.Digest.Marshal())
 	case dissemination.SendReport:
-		a.datagram(action.To, KindReport)(action.Report.Marshal())
+		a.datagramSender(action.To, KindReport)(action.Report.Marshal())
 	case dissemination.SendZoneReport:
-		a.datagram(action.To, KindZone)(action.Report.Marshal())
+		a.datagramSender(action.To, KindZone)(action.Report.Marshal())
 	case dissemination.CallPull:
 		a.callPull(action)
 	}
 }
 
-func encoded(payload []byte, err error) ([]byte, bool) {
+// checkEncoded logs an encoding error and reports whether there was none.
+func checkEncoded(payload []byte, err error) ([]byte, bool) {
 	if err != nil {
 		eventBadMessage.Error(err, "step", "encode")
 	}
 	return payload, err == nil
 }
 
-// datagram sends what is given to it; a datagram that can't be sent is lost
-// like any other.
-func (a *Agent) datagram(to transport.Address, kind transport.Kind) func([]byte, error) {
+// datagramSender returns a function that sends an encoded message as a
+// datagram. Send errors are ignored, as datagrams may be lost anyway.
+func (a *Agent) datagramSender(to transport.Address, kind transport.Kind) func([]byte, error) {
 	return func(payload []byte, err error) {
-		if payload, ok := encoded(payload, err); ok {
+		if payload, ok := checkEncoded(payload, err); ok {
 			_ = a.config.Sender.Datagram(to, kind, payload)
 		}
 	}
 }
 
-// callPull asks a peer; its failure is handed on as no answer.
+// callPull pulls from a peer in the background. The state machine gets a nil
+// answer if the call fails.
 func (a *Agent) callPull(action dissemination.CallPull) {
-	payload, ok := encoded(action.Pull.Marshal())
+	payload, ok := checkEncoded(action.Pull.Marshal())
 	if !ok {
 		return
 	}
@@ -112,7 +115,7 @@
 		ctx, cancel := context.WithTimeout(a.ctx, callTimeout)
 		defer cancel()
 		answer := a.pullOnce(ctx, action.To, payload)
-		a.enqueue(func(now time.Time) { a.do(a.machine.HandlePullAnswer(now, action.To, answer)) })
+		a.enqueue(func(now time.Time) { a.execute(a.machine.HandlePullAnswer(now, action.To, answer)) })
 	})
 }
 
--- a/internal/settings/agent/status.go
+++ b/internal/settings/agent/status.go
@@ -16,24 +16,24 @@
 
 var _ command.InForce = (*Agent)(nil)
 
-// Status is this node's own part in the dissemination.
+// Status is the state of settings dissemination at this node.
 type Status struct {
 	Version settings.Version `json:"version"`
 	Known   bool             `json:"known"`
-	// Heard is the highest version that any peer told of.
+	// Heard is the highest version reported by any peer.
 	Heard settings.Version `json:"heard"`
-	// Confirmed says for how long it has not been known that the version is
-	// the newest; meaningless while Stale and never confirmed.
+	// ConfirmedAge is the time since Version was last confirmed to be the
+	// newest; 0 if it never was.
 	ConfirmedAge time.Duration `json:"confirmedAge"`
 	Stale        bool          `json:"stale"`
 	Watching     bool          `json:"watching"`
 	StoreRefused bool          `json:"storeRefused"`
 }
 
-// Status tells of this node.
+// Status returns the state of this node.
 func (a *Agent) Status(ctx context.Context) (Status, error) {
 	var status Status
-	err := a.ask(ctx, func(now time.Time) { status = a.status(now) })
+	err := a.runInLoop(ctx, func(now time.Time) { status = a.status(now) })
 	return status, err
 }
 
@@ -49,12 +49,12 @@
 	return status
 }
 
-// Zones tells what each zone has in force; a node that is not its zone's head
-// asks the head.
+// Zones returns the settings status of each zone. A node that is not its
+// zone's head queries the head.
 func (a *Agent) Zones(ctx context.Context) ([]dissemination.ZoneStatus, error) {
 	var zones []dissemination.ZoneStatus
 	var head transport.Address
-	err := a.ask(ctx, func(now time.Time) { zones, head = a.machine.Zones(now), a.machine.Head() })
+	err := a.runInLoop(ctx, func(now time.Time) { zones, head = a.machine.Zones(now), a.machine.Head() })
 	if err != nil || head == "" {
 		return zones, err
 	}
@@ -65,19 +65,19 @@
 	return dissemination.UnmarshalZones(data)
 }
 
-// Objects lists the stored objects in force, without the epoch.
+// Objects returns the stored objects in force, except the epoch object.
 func (a *Agent) Objects(ctx context.Context) ([]platform.Object, error) {
 	return a.collect(ctx, func(entry dissemination.Entry) bool { return !entry.Deleted && entry.Name != tree.EpochObject })
 }
 
-// Traces lists the traces of deletions.
+// Traces returns the tombstones of deleted objects.
 func (a *Agent) Traces(ctx context.Context) ([]platform.Object, error) {
 	return a.collect(ctx, func(entry dissemination.Entry) bool { return entry.Deleted })
 }
 
 func (a *Agent) collect(ctx context.Context, wanted func(dissemination.Entry) bool) ([]platform.Object, error) {
 	var objects []platform.Object
-	err := a.ask(ctx, func(time.Time) {
+	err := a.runInLoop(ctx, func(time.Time) {
 		a.machine.State().Each(func(entry dissemination.Entry) {
 			if wanted(entry) {
 				objects = append(objects, platform.Object{Kind: platform.KindSetting, Name: entry.Name, Revision: entry.Revision, Spec: entry.Spec})
@@ -98,7 +98,7 @@
 // Standing implements command.InForce.
 func (a *Agent) Standing(ctx context.Context) (command.Standing, error) {
 	var standing command.Standing
-	err := a.ask(ctx, func(time.Time) {
+	err := a.runInLoop(ctx, func(time.Time) {
 		newest := a.machine.Newest()
 		standing = command.Standing{
 			Newest: platform.Object{Name: newest.Name, Revision: newest.Revision, Spec: newest.Spec},
