--- a/internal/settings/cache/cache.go
+++ b/internal/settings/cache/cache.go
@@ -1,5 +1,5 @@
-// Package cache keeps the settings in force on a node's disk, so that a node
-// that restarts while the store is down goes on with them.
+// Package cache persists the settings in force on a node's disk, so that a node
+// can restart with them while the store is down.
 package cache
 
 import (
@@ -15,11 +15,11 @@
 )
 
 const (
-	entryPrefix  = "e/"
-	entryLimit   = "e0" // the first key behind all entries
-	versionKey   = "version"
-	valueVersion = 1
-	memoryTable  = 1 << 20 // bytes
+	entryPrefix     = "e/"
+	entryUpperBound = "e0" // exclusive upper bound of entry keys
+	versionKey      = "version"
+	valueVersion    = 1
+	memTableSize    = 1 << 20 // bytes
 )
 
 type storedEntry struct {
@@ -29,15 +29,15 @@
 
 type storedVersion struct{ Version uint64 }
 
-// Cache is the settings on disk. Only one goroutine may use it.
+// Cache is an on-disk copy of the settings. It is not safe for concurrent use.
 type Cache struct {
 	database *pebble.DB
 }
 
-// Open opens the cache in a folder, which it creates. A nil filesystem is the
-// machine's own.
+// Open opens the cache in a folder, creating it if needed. A nil filesystem
+// means the operating system's.
 func Open(folder string, filesystem vfs.FS) (*Cache, error) {
-	options := &pebble.Options{MemTableSize: memoryTable, CacheSize: memoryTable, Logger: quiet{}}
+	options := &pebble.Options{MemTableSize: memTableSize, CacheSize: memTableSize, Logger: discardLogger{}}
 	if filesystem != nil {
 		options.FS = filesystem
 	}
@@ -51,7 +51,7 @@
 // Close closes the cache.
 func (c *Cache) Close() error { return trace.Wrap(c.database.Close(), "close the settings cache") }
 
-// Load reads the state; nil if there is none.
+// Load returns the cached state, or nil if there is none.
 func (c *Cache) Load() (*dissemination.State, error) {
 	value, closer, err := c.database.Get([]byte(versionKey))
 	if errors.Is(err, pebble.ErrNotFound) {
@@ -68,15 +68,15 @@
 	if err != nil {
 		return nil, trace.Wrap(err, "read the cached settings version")
 	}
-	entries, err := c.entries()
+	entries, err := c.loadEntries()
 	if err != nil {
 		return nil, trace.Wrap(err, "read the cached settings")
 	}
 	return dissemination.NewState(settings.Version(version.Version), entries), nil
 }
 
-func (c *Cache) entries() ([]dissemination.Entry, error) {
-	iterator, err := c.database.NewIter(&pebble.IterOptions{LowerBound: []byte(entryPrefix), UpperBound: []byte(entryLimit)})
+func (c *Cache) loadEntries() ([]dissemination.Entry, error) {
+	iterator, err := c.database.NewIter(&pebble.IterOptions{LowerBound: []byte(entryPrefix), UpperBound: []byte(entryUpperBound)})
 	if err != nil {
 		return nil, err
 	}
@@ -95,25 +95,25 @@
 	return entries, iterator.Close()
 }
 
-// Write makes changes and their version durable together. With replace, the
-// changes are the whole content.
+// Write atomically persists changes and their version, synced to disk. With
+// replace, the changes replace all previous entries.
 func (c *Cache) Write(version settings.Version, changes []dissemination.Entry, replace bool) error {
 	batch := c.database.NewBatch()
 	defer func() { _ = batch.Close() }()
-	if err := fill(batch, version, changes, replace); err != nil {
+	if err := fillBatch(batch, version, changes, replace); err != nil {
 		return trace.Wrap(err, "write the settings cache")
 	}
 	return trace.Wrap(batch.Commit(pebble.Sync), "write the settings cache")
 }
 
-func fill(batch *pebble.Batch, version settings.Version, changes []dissemination.Entry, replace bool) error {
+func fillBatch(batch *pebble.Batch, version settings.Version, changes []dissemination.Entry, replace bool) error {
 	if replace {
-		if err := batch.DeleteRange([]byte(entryPrefix), []byte(entryLimit), nil); err != nil {
+		if err := batch.DeleteRange([]byte(entryPrefix), []byte(entryUpperBound), nil); err != nil {
 			return err
 		}
 	}
 	for _, entry := range changes {
-		if err := put(batch, entry); err != nil {
+		if err := putEntry(batch, entry); err != nil {
 			return err
 		}
 	}
@@ -124,7 +124,7 @@
 	return batch.Set([]byte(versionKey), value, nil)
 }
 
-func put(batch *pebble.Batch, entry dissemination.Entry) error {
+func putEntry(batch *pebble.Batch, entry dissemination.Entry) error {
 	key := []byte(entryPrefix + entry.Name)
 	if entry.Gone() {
 		return batch.Delete(key, nil)
@@ -140,9 +140,9 @@
 	return batch.Set(key, value, nil)
 }
 
-// quiet drops pebble's own log; failures come back as errors.
-type quiet struct{}
+// discardLogger discards pebble's log output; failures are returned as errors.
+type discardLogger struct{}
 
-func (quiet) Infof(string, ...any)  {}
-func (quiet) Errorf(string, ...any) {}
-func (quiet) Fatalf(string, ...any) {}
+func (discardLogger) Infof(string, ...any)  {}
+func (discardLogger) Errorf(string, ...any) {}
+func (discardLogger) Fatalf(string, ...any) {}
--- a/internal/settings/cache/cache_test.go
+++ b/internal/settings/cache/cache_test.go
@@ -10,7 +10,9 @@
 	"chutelock.dev/chutelock/internal/settings/dissemination"
 )
 
-func TestCacheSurvivesACrash(t *testing.T) {
+// Guards against writes that are lost in a crash, and against deleted entries
+// that reappear.
+func TestCacheRestoresStateAfterCrash(t *testing.T) {
 	g := gomega.NewWithT(t)
 	disk := vfs.NewCrashableMem()
 	cache, err := Open("settings", disk)
@@ -29,15 +31,15 @@
 	} {
 		g.Expect(cache.Write(write.version, write.changes, write.replace)).To(gomega.Succeed())
 	}
-	survivor, err := Open("settings", disk.CrashClone(vfs.CrashCloneCfg{}))
+	reopened, err := Open("settings", disk.CrashClone(vfs.CrashCloneCfg{}))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	state, err = survivor.Load()
+	state, err = reopened.Load()
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	version, _ := state.Version()
 	g.Expect(version).To(gomega.Equal(settings.Version(7)))
 	var names []string
 	state.Each(func(entry dissemination.Entry) { names = append(names, entry.Name) })
 	g.Expect(names).To(gomega.Equal([]string{"a"}))
-	g.Expect(survivor.Close()).To(gomega.Succeed())
+	g.Expect(reopened.Close()).To(gomega.Succeed())
 	g.Expect(cache.Close()).To(gomega.Succeed())
 }
