--- a/internal/settings/operator/api.go
+++ b/internal/settings/operator/api.go
@@ -10,7 +10,7 @@
 	"chutelock.dev/chutelock/internal/settings/tree"
 )
 
-// Paths on the operator port.
+// URL paths on the operator port.
 const (
 	PathApply   = "/operator/settings/apply"
 	PathNodes   = "/operator/settings/nodes"
@@ -19,7 +19,7 @@
 	PathRecover = "/operator/settings/recover"
 )
 
-// Codes of refusals.
+// Error codes.
 const (
 	CodeInvalid        = "invalid_settings"
 	CodeConflict       = "conflict"
@@ -31,51 +31,52 @@
 	CodeStoreFailed    = "store_failed"
 )
 
-// NodeBody is a node of the tree as it travels.
+// NodeBody is the JSON form of a tree node.
 type NodeBody struct {
 	Path     string          `json:"path"`
 	Revision uint64          `json:"revision,omitempty"`
 	Spec     json.RawMessage `json:"spec"`
 }
 
-// ApplyRequest asks for a change.
+// ApplyRequest is the body of a request to change settings.
 type ApplyRequest struct {
 	command.Change
 	Nodes []NodeBody `json:"nodes,omitempty"`
 }
 
-// RecoverRequest asks to write what is in force to a store that went back.
+// RecoverRequest is the body of a request to write the settings in force to a
+// store that went back in revision.
 type RecoverRequest struct {
 	ID string `json:"id"`
 	By string `json:"by,omitempty"`
 }
 
-// NodesAnswer lists nodes.
+// NodesAnswer is the response to a request for nodes.
 type NodesAnswer struct {
 	Nodes []NodeBody `json:"nodes"`
 }
 
-// StatusAnswer tells what is in force at the node and in each zone.
+// StatusAnswer reports the settings in force at the node and in each zone.
 type StatusAnswer struct {
 	At    time.Time                  `json:"at"`
 	Node  agent.Status               `json:"node"`
 	Zones []dissemination.ZoneStatus `json:"zones"`
-	// ZonesError says why the zones are not known.
+	// ZonesError is set if the status of the zones could not be read.
 	ZonesError string         `json:"zonesError,omitempty"`
 	Problems   []tree.Problem `json:"problems,omitempty"`
 }
 
-// ErrorAnswer is a refusal in the shape of the callers' API.
+// ErrorAnswer is an error response in the format of the public API.
 type ErrorAnswer struct {
 	Error ErrorBody `json:"error"`
 }
 
-// ErrorBody says why, and carries what helps to go on.
+// ErrorBody holds the error code, the message and details for its resolution.
 type ErrorBody struct {
 	Code     string                 `json:"code"`
 	Message  string                 `json:"message"`
 	Problems []tree.Problem         `json:"problems,omitempty"`
 	Conflict *command.ConflictError `json:"conflict,omitempty"`
-	// Result says what was written before the change stopped.
+	// Result reports what was written before the change failed.
 	Result *command.Result `json:"result,omitempty"`
 }
--- a/internal/settings/operator/doc.go
+++ b/internal/settings/operator/doc.go
@@ -1,3 +1,3 @@
 // Package operator serves the settings tree on a node's operator port, for
-// chutelockctl: changes, reading, explaining, and what is in force where.
+// chutelockctl: apply, read, explain, status and recovery.
 package operator
--- a/internal/settings/operator/handler.go
+++ b/internal/settings/operator/handler.go
@@ -13,10 +13,10 @@
 	"chutelock.dev/chutelock/internal/settings/tree"
 )
 
-// maxBody bounds a change, in bytes: 50,000 tenants with some room.
-const maxBody = 64 << 20
+// maxBodyBytes limits a request body; it leaves room for 50,000 tenants.
+const maxBodyBytes = 64 << 20
 
-// Settings is what the handlers need of the node's settings agent.
+// Settings is the part of the settings agent that the handlers use.
 type Settings interface {
 	Nodes(path string, recursive bool) ([]*tree.Node, error)
 	Status(ctx context.Context) (agent.Status, error)
@@ -24,7 +24,7 @@
 	Tree() *tree.Live
 }
 
-// Writer makes changes.
+// Writer applies changes to the settings store.
 type Writer interface {
 	Apply(ctx context.Context, change command.Change) (*command.Result, error)
 	RecoverStore(ctx context.Context, id, by string) (*command.Recovery, error)
@@ -35,7 +35,7 @@
 	writer   Writer
 }
 
-// Register adds the handlers to the operator port.
+// Register registers the handlers on the mux of the operator port.
 func Register(mux *http.ServeMux, settings Settings, writer Writer) {
 	h := &handler{settings: settings, writer: writer}
 	mux.HandleFunc("POST "+PathApply, h.apply)
@@ -47,14 +47,14 @@
 
 func (h *handler) apply(writer http.ResponseWriter, request *http.Request) {
 	var body ApplyRequest
-	if !read(writer, request, &body) {
+	if !decodeBody(writer, request, &body) {
 		return
 	}
 	change := body.Change
 	for _, node := range body.Nodes {
 		decoded, err := tree.Decode(node.Path, node.Spec)
 		if err != nil {
-			fail(writer, &command.BadRequestError{Reason: err.Error()}, nil)
+			writeError(writer, &command.BadRequestError{Reason: err.Error()}, nil)
 			return
 		}
 		decoded.Revision = node.Revision
@@ -62,84 +62,86 @@
 	}
 	result, err := h.writer.Apply(request.Context(), change)
 	if err != nil {
-		fail(writer, err, result)
+		writeError(writer, err, result)
 		return
 	}
-	answer(writer, http.StatusOK, result)
+	writeJSON(writer, http.StatusOK, result)
 }
 
 func (h *handler) recover(writer http.ResponseWriter, request *http.Request) {
 	var body RecoverRequest
-	if !read(writer, request, &body) {
+	if !decodeBody(writer, request, &body) {
 		return
 	}
 	recovery, err := h.writer.RecoverStore(request.Context(), body.ID, body.By)
 	if err != nil {
-		fail(writer, err, nil)
+		writeError(writer, err, nil)
 		return
 	}
-	answer(writer, http.StatusOK, recovery)
+	writeJSON(writer, http.StatusOK, recovery)
 }
 
 func (h *handler) nodes(writer http.ResponseWriter, request *http.Request) {
 	query := request.URL.Query()
 	nodes, err := h.settings.Nodes(query.Get("path"), query.Get("recursive") != "")
 	if err != nil {
-		fail(writer, err, nil)
+		writeError(writer, err, nil)
 		return
 	}
 	list := NodesAnswer{Nodes: []NodeBody{}}
 	for _, node := range nodes {
 		spec, err := tree.Encode(node)
 		if err != nil {
-			fail(writer, err, nil)
+			writeError(writer, err, nil)
 			return
 		}
 		list.Nodes = append(list.Nodes, NodeBody{Path: node.Path, Revision: node.Revision, Spec: spec})
 	}
-	answer(writer, http.StatusOK, list)
+	writeJSON(writer, http.StatusOK, list)
 }
 
 func (h *handler) explain(writer http.ResponseWriter, request *http.Request) {
 	explanation, err := h.settings.Tree().Explain(request.URL.Query().Get("path"))
 	if err != nil {
-		fail(writer, err, nil)
+		writeError(writer, err, nil)
 		return
 	}
-	answer(writer, http.StatusOK, explanation)
+	writeJSON(writer, http.StatusOK, explanation)
 }
 
 func (h *handler) status(writer http.ResponseWriter, request *http.Request) {
 	status := StatusAnswer{At: time.Now(), Problems: h.settings.Tree().Problems()}
 	var err error
 	if status.Node, err = h.settings.Status(request.Context()); err != nil {
-		fail(writer, err, nil)
+		writeError(writer, err, nil)
 		return
 	}
 	if status.Zones, err = h.settings.Zones(request.Context()); err != nil {
 		status.ZonesError = err.Error()
 	}
-	answer(writer, http.StatusOK, status)
+	writeJSON(writer, http.StatusOK, status)
 }
 
-func read(writer http.ResponseWriter, request *http.Request, into any) bool {
-	decoder := json.NewDecoder(http.MaxBytesReader(writer, request.Body, maxBody))
+// decodeBody decodes the JSON body, or writes an error response and returns
+// false.
+func decodeBody(writer http.ResponseWriter, request *http.Request, into any) bool {
+	decoder := json.NewDecoder(http.MaxBytesReader(writer, request.Body, maxBodyBytes))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(into); err != nil {
-		fail(writer, &command.BadRequestError{Reason: "malformed request: " + err.Error()}, nil)
+		writeError(writer, &command.BadRequestError{Reason: "malformed request: " + err.Error()}, nil)
 		return false
 	}
 	return true
 }
 
-func answer(writer http.ResponseWriter, status int, body any) {
+func writeJSON(writer http.ResponseWriter, status int, body any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
 	_ = json.NewEncoder(writer).Encode(body)
 }
 
-// fail answers with the code and status of an error.
-func fail(writer http.ResponseWriter, err error, result *command.Result) {
+// writeError maps an error to its code and HTTP status and writes the response.
+func writeError(writer http.ResponseWriter, err error, result *command.Result) {
 	body := ErrorBody{Message: err.Error(), Result: result}
 	status := http.StatusBadGateway
 	var invalid *tree.InvalidError
@@ -167,5 +169,5 @@
 	default:
 		body.Code = CodeStoreFailed
 	}
-	answer(writer, status, ErrorAnswer{Error: body})
+	writeJSON(writer, status, ErrorAnswer{Error: body})
 }
--- a/internal/settings/operator/handler_test.go
+++ b/internal/settings/operator/handler_test.go
@@ -18,7 +18,7 @@
 	"chutelock.dev/chutelock/internal/settings/tree"
 )
 
-// fakeNode answers with what a test sets.
+// fakeNode implements Settings and Writer with canned results.
 type fakeNode struct {
 	live   *tree.Live
 	change command.Change
@@ -43,7 +43,7 @@
 	return &command.Recovery{Epoch: 2}, f.err
 }
 
-func serve(t *testing.T) (*fakeNode, func(method, path, body string) (int, string)) {
+func newTestServer(t *testing.T) (*fakeNode, func(method, path, body string) (int, string)) {
 	t.Helper()
 	g := gomega.NewWithT(t)
 	nodes, problems := tree.ParseFile("f.yaml", []byte("path: fleet\nkind: folder\nburst: 3\n---\npath: fleet/a\nkind: tenant\nkeys: [k]\n"))
@@ -67,9 +67,10 @@
 	}
 }
 
-func TestRequestsReachTheTree(t *testing.T) {
+// Guards against requests that are decoded, routed or answered wrongly.
+func TestHandlersReadAndChangeSettings(t *testing.T) {
 	g := gomega.NewWithT(t)
-	fake, call := serve(t)
+	fake, call := newTestServer(t)
 	for _, test := range []struct {
 		method, path, body string
 		status             int
@@ -93,9 +94,11 @@
 	g.Expect(fake.change.Nodes[0].Revision).To(gomega.Equal(uint64(4)))
 }
 
-func TestRefusalsSayWhatToDo(t *testing.T) {
+// Guards against errors with a wrong code or status, or without the partial
+// result.
+func TestErrorsMapToCodeAndStatus(t *testing.T) {
 	g := gomega.NewWithT(t)
-	fake, call := serve(t)
+	fake, call := newTestServer(t)
 	for code, test := range map[string]struct {
 		err    error
 		status int
@@ -113,6 +116,6 @@
 		var answer ErrorAnswer
 		g.Expect(json.Unmarshal([]byte(body), &answer)).To(gomega.Succeed())
 		g.Expect(answer.Error.Code).To(gomega.Equal(code))
-		g.Expect(answer.Error.Result.Revision).To(gomega.Equal(uint64(7)), "what was written is told")
+		g.Expect(answer.Error.Result.Revision).To(gomega.Equal(uint64(7)), "partial result is reported")
 	}
 }
