--- a/internal/settings/index.go
+++ b/internal/settings/index.go
@@ -1,10 +1,10 @@
 package settings
 
 // indexShards is the number of shards of an index. A change copies the table
-// of shards and the shards it touches, nothing else.
+// of shards and only the modified shards.
 const indexShards = 1024
 
-// index is an immutable map that is cheap to derive a changed copy from.
+// index is an immutable sharded map whose modified copies share unchanged shards.
 type index[K comparable, V any] struct {
 	shards []map[K]V
 	hash   func(K) uint64
@@ -20,18 +20,18 @@
 	return value, ok
 }
 
-// edit returns a copy that carries the changes of apply.
+// edit returns a copy modified by apply.
 func (i *index[K, V]) edit(apply func(editor *indexEditor[K, V])) *index[K, V] {
 	editor := &indexEditor[K, V]{
 		result: &index[K, V]{shards: make([]map[K]V, indexShards), hash: i.hash, size: i.size},
-		owned:  make(map[uint64]bool),
+		copied: make(map[uint64]bool),
 	}
 	copy(editor.result.shards, i.shards)
 	apply(editor)
 	return editor.result
 }
 
-// each visits all entries in no order.
+// each visits all entries in unspecified order.
 func (i *index[K, V]) each(visit func(K, V)) {
 	for _, shard := range i.shards {
 		for key, value := range shard {
@@ -40,19 +40,19 @@
 	}
 }
 
-// indexEditor changes an index that nobody else sees yet.
+// indexEditor modifies an index before it is shared.
 type indexEditor[K comparable, V any] struct {
 	result *index[K, V]
-	owned  map[uint64]bool
+	copied map[uint64]bool
 }
 
-// own copies the shard of key before its first change.
-func (e *indexEditor[K, V]) own(key K) map[K]V {
+// mutableShard returns the shard of key, copied on its first modification.
+func (e *indexEditor[K, V]) mutableShard(key K) map[K]V {
 	number := e.result.hash(key) % indexShards
-	if e.owned[number] {
+	if e.copied[number] {
 		return e.result.shards[number]
 	}
-	e.owned[number] = true
+	e.copied[number] = true
 	old := e.result.shards[number]
 	fresh := make(map[K]V, len(old)+1)
 	for k, v := range old {
@@ -63,7 +63,7 @@
 }
 
 func (e *indexEditor[K, V]) set(key K, value V) {
-	shard := e.own(key)
+	shard := e.mutableShard(key)
 	if _, present := shard[key]; !present {
 		e.result.size++
 	}
@@ -71,7 +71,7 @@
 }
 
 func (e *indexEditor[K, V]) remove(key K) {
-	shard := e.own(key)
+	shard := e.mutableShard(key)
 	if _, present := shard[key]; present {
 		e.result.size--
 	}
--- a/internal/settings/version.go
+++ b/internal/settings/version.go
@@ -6,26 +6,26 @@
 // bits above it hold the epoch.
 const revisionBits = 48
 
-// Version orders all states of the tree that were ever in force: the epoch
-// first, then the store's revision. An operator raises the epoch to put a
-// store in force again that had gone back in revision.
+// Version orders all states of the tree that were ever in force, by epoch, then
+// by store revision. An operator raises the epoch to accept a store whose
+// revision went back.
 type Version uint64
 
-// MakeVersion joins an epoch and a store revision.
+// MakeVersion combines an epoch and a store revision.
 func MakeVersion(epoch uint16, revision uint64) Version {
 	return Version(uint64(epoch)<<revisionBits | revision&(1<<revisionBits-1))
 }
 
-// Epoch is the operator's generation of the store.
+// Epoch returns the epoch, which operators raise.
 func (v Version) Epoch() uint16 { return uint16(v >> revisionBits) }
 
-// Revision is the store's revision.
+// Revision returns the store's revision.
 func (v Version) Revision() uint64 { return uint64(v) & (1<<revisionBits - 1) }
 
-// String shows epoch and revision, as operators read them.
+// String returns "epoch.revision" in decimal.
 func (v Version) String() string { return fmt.Sprintf("%d.%d", v.Epoch(), v.Revision()) }
 
-// MarshalText implements encoding.TextMarshaler: epoch and revision.
+// MarshalText implements encoding.TextMarshaler in the format of String.
 func (v Version) MarshalText() ([]byte, error) { return []byte(v.String()), nil }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -39,5 +39,5 @@
 	return nil
 }
 
-// MaxEpoch is the last epoch.
+// MaxEpoch is the largest epoch.
 const MaxEpoch = 1<<16 - 1
