--- a/internal/settings/agent/events.go
+++ b/internal/settings/agent/events.go
@@ -17,7 +17,7 @@
 	eventDivergence = telemetry.Define(5105, "settings diverge",
 		"A peer has other settings in force at the same version or accepted a forked store. An operator must decide which one to keep.")
 	eventStoreRefusing = telemetry.Define(5106, "settings store refuses readers",
-		"The store's limit of readers is reached; this node retries later and gets changes from peers meanwhile.")
+		"The store's limit of watches or requests is reached; this node retries later and gets changes from peers meanwhile.")
 	eventFirstSettings = telemetry.Define(5107, "first settings in force",
 		"The node has settings in force for the first time since its start.")
 	eventProblems = telemetry.Define(5108, "settings with problems",
