--- a/internal/settings/dissemination/action.go
+++ b/internal/settings/dissemination/action.go
@@ -5,7 +5,7 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// Action is something that the caller does for the machine.
+// Action is an operation that the caller executes for the Machine.
 type Action interface{ action() }
 
 // SendDelta sends an ordered message to a peer.
@@ -14,25 +14,25 @@
 	Delta *Delta
 }
 
-// SendDigest, SendReport and SendZoneReport send datagrams.
+// SendDigest sends a digest to a peer as a datagram.
 type SendDigest struct {
 	To     transport.Address
 	Digest Digest
 }
 
-// SendReport sends a subtree's report to its parent.
+// SendReport sends a subtree's report to its parent as a datagram.
 type SendReport struct {
 	To     transport.Address
 	Report Report
 }
 
-// SendZoneReport sends a zone's report to the heads of another zone.
+// SendZoneReport sends a zone's report to a head of another zone as a datagram.
 type SendZoneReport struct {
 	To     transport.Address
 	Report ZoneReport
 }
 
-// CallPull asks a peer; its answer or failure goes to HandlePullAnswer.
+// CallPull sends a pull to a peer; the answer or failure goes to HandlePullAnswer.
 type CallPull struct {
 	To   transport.Address
 	Pull Pull
@@ -46,7 +46,8 @@
 	Replace bool
 }
 
-// Publish puts changes in force. With Replace, Changes are the whole content.
+// Publish makes changes take effect at this node. With Replace, Changes are the
+// whole content.
 type Publish struct {
 	Version settings.Version
 	Changes []Entry
@@ -70,10 +71,10 @@
 	After  uint64
 }
 
-// StopWatch closes the watch. Nothing of it needs to be reported any more.
+// StopWatch closes the watch; later events need not be reported.
 type StopWatch struct{}
 
-// Notify tells operators of something.
+// Notify reports a condition to operators.
 type Notify struct {
 	Notice Notice
 	// Name is the object concerned, if any.
@@ -82,17 +83,17 @@
 	InForce, Found settings.Version
 }
 
-// Notice is what a Notify tells.
+// Notice is the kind of a Notify.
 type Notice uint8
 
 // Notices.
 const (
-	NoticeStoreBehind   Notice = iota + 1 // the store went back; it is refused
-	NoticeStoreForked                     // the store lost or changed what is in force; it is refused
-	NoticeStoreRight                      // a store that was refused is right again
-	NoticeEpochRaised                     // an operator put the store in force again
-	NoticeDivergence                      // a peer has other content at the same version
-	NoticeStoreRefusing                   // the store's reader budget is spent
+	NoticeStoreBehind   Notice = iota + 1 // the store was rolled back; it is refused
+	NoticeStoreForked                     // the store lost or changed entries in force; it is refused
+	NoticeStoreRight                      // a refused store matches the version in force again
+	NoticeEpochRaised                     // an operator raised the epoch
+	NoticeDivergence                      // a peer's content conflicts with this node's
+	NoticeStoreRefusing                   // the store's read budget is exhausted
 )
 
 func (SendDelta) action()      {}
--- a/internal/settings/dissemination/bench_test.go
+++ b/internal/settings/dissemination/bench_test.go
@@ -10,7 +10,7 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// benchmarkEntries is the number of nodes of the tree that the design is for.
+// benchmarkEntries is the number of settings in the benchmarked tree.
 const benchmarkEntries = 50_000
 
 func benchmarkState() *State {
--- a/internal/settings/dissemination/config.go
+++ b/internal/settings/dissemination/config.go
@@ -12,24 +12,24 @@
 // WatchersPerRegion bounds the nodes of a region that read the store.
 const WatchersPerRegion = 2
 
-// Config sets a Machine up. Zero durations take the defaults.
+// Config configures a Machine. Zero durations select the defaults.
 type Config struct {
 	Self membership.Member
-	// Seed feeds the choice of gossip partners and the jitter of retries.
+	// Seed seeds the choice of gossip partners and the jitter of retries.
 	Seed uint64
 	// StartupWait is how long a starting node waits for its peers' answers.
 	StartupWait time.Duration
-	// WatchDelay is how long a node must have been chosen before it opens a
-	// watch; it exceeds StopDelay, so that the old watcher has closed its own.
+	// WatchDelay is how long a node must have been selected before it opens a
+	// watch; it exceeds StopDelay, so that the old watcher has closed its watch.
 	WatchDelay time.Duration
-	// StopDelay is how long a watcher that is no longer chosen goes on.
+	// StopDelay is how long a watcher that is no longer selected keeps its watch.
 	StopDelay time.Duration
-	// WatchSilence is how long a watch may bring neither event nor bookmark.
+	// WatchSilence is how long a watch may deliver neither event nor bookmark.
 	WatchSilence time.Duration
 	// GossipInterval is the pause between two digests to peers of the zone.
 	GossipInterval time.Duration
 	// StaleAfter is the age of the last confirmation by the store from which
-	// a node calls itself stale.
+	// a node reports itself stale.
 	StaleAfter time.Duration
 }
 
@@ -63,20 +63,20 @@
 }
 
 const (
-	relayFanOut      = 6                // children of a node in its zone's tree
-	relayRoots       = 2                // nodes of each zone that a watcher sends to
-	startupPeers     = 3                // peers that a starting node asks in a round
-	pullTimeout      = time.Second      // until another peer is asked
-	retryFirst       = time.Second      // pause after the first failure of the store
-	retryLast        = 8 * time.Second  // longest pause between tries of the store
-	divergencePause  = 5 * time.Second  // without pulls after a peer proved to diverge
-	reportInterval   = time.Second      // between reports up the zone's tree
-	reportLifetime   = 4 * time.Second  // of a child's report
-	zoneInterval     = 2 * time.Second  // between reports to other zones
-	zoneLifetime     = 10 * time.Second // of another zone's report
-	logLength        = 512              // deltas kept for peers that lag a little
-	answerBytes      = 512 << 10        // soft bound of one pull answer
-	foreignEvery     = 4                // every so many digests goes outside the zone
-	maxEntriesOfLog  = 4096             // entries kept in the log in all
-	headRegionPeriod = 2                // a head's every so many digests goes to another region
+	relayFanOut        = 6                // children of a node in its zone's tree
+	relayRoots         = 2                // nodes of each zone that a watcher sends to
+	startupPeers       = 3                // peers that a starting node queries per round
+	pullTimeout        = time.Second      // before another peer may be asked
+	retryMin           = time.Second      // pause after the first failure of the store
+	retryMax           = 8 * time.Second  // longest pause between store retries
+	divergencePause    = 5 * time.Second  // pause of pulls after a peer diverged
+	reportInterval     = time.Second      // between reports to the parent
+	reportLifetime     = 4 * time.Second  // of a child's report
+	zoneInterval       = 2 * time.Second  // between reports to other zones
+	zoneLifetime       = 10 * time.Second // of another zone's report
+	maxLogDeltas       = 512              // deltas kept for peers slightly behind
+	maxAnswerBytes     = 512 << 10        // soft limit of one pull answer
+	regionGossipPeriod = 4                // one digest in this many goes outside the zone
+	maxLogEntries      = 4096             // total entries kept in the log
+	headRegionPeriod   = 2                // one of a head's digests in this many goes to another region
 )
--- a/internal/settings/dissemination/log.go
+++ b/internal/settings/dissemination/delta_log.go
@@ -2,7 +2,7 @@
 
 import "chutelock.dev/chutelock/internal/settings"
 
-// deltaLog keeps the newest deltas for peers that lag a little.
+// deltaLog keeps the newest deltas for peers slightly behind.
 type deltaLog struct {
 	deltas  []Delta
 	entries int
@@ -11,7 +11,7 @@
 func (l *deltaLog) append(delta Delta) {
 	l.deltas = append(l.deltas, delta)
 	l.entries += len(delta.Entries)
-	for len(l.deltas) > logLength || l.entries > maxEntriesOfLog && len(l.deltas) > 0 {
+	for len(l.deltas) > maxLogDeltas || l.entries > maxLogEntries && len(l.deltas) > 0 {
 		l.entries -= len(l.deltas[0].Entries)
 		l.deltas = l.deltas[1:]
 	}
@@ -19,8 +19,8 @@
 
 func (l *deltaLog) clear() { *l = deltaLog{} }
 
-// after gives the deltas that lead from a version onwards, of at most
-// answerBytes but for the first; false if the log does not reach back.
+// after returns the deltas that follow a version, limited to maxAnswerBytes
+// except for the first. It reports false if the log does not reach back.
 func (l *deltaLog) after(have settings.Version) ([]Delta, bool) {
 	for i := range l.deltas {
 		delta := &l.deltas[i]
@@ -31,16 +31,16 @@
 		if !joins {
 			return nil, false
 		}
-		return bounded(l.deltas[i:]), true
+		return limitSize(l.deltas[i:]), true
 	}
 	return nil, false
 }
 
-func bounded(deltas []Delta) []Delta {
+func limitSize(deltas []Delta) []Delta {
 	size := 0
 	for i := range deltas {
 		size += deltas[i].size()
-		if size > answerBytes && i > 0 {
+		if size > maxAnswerBytes && i > 0 {
 			return deltas[:i]
 		}
 	}
--- a/internal/settings/dissemination/rules_test.go
+++ b/internal/settings/dissemination/handlers_test.go
@@ -26,8 +26,8 @@
 	return Entry{Name: name, Revision: revision, Deleted: true, Spec: []byte("deleted")}
 }
 
-// runningMachine is a lone node that has entries in force and watches the
-// store; it has just begun the phase that asked for.
+// runningMachine returns the Machine of a single node that has entries in force
+// and has just begun to probe or list the store.
 func runningMachine(version settings.Version, entries ...Entry) (*Machine, time.Time) {
 	now := time.Unix(1_800_000_000, 0)
 	self := membership.Member{Name: "self", Address: selfAddress, Zone: "z", Region: "r"}
@@ -39,7 +39,7 @@
 	return machine, now
 }
 
-// versions lists what actions publish.
+// versions returns the versions that actions publish.
 func versions(actions []Action) []string {
 	var published []string
 	for _, action := range actions {
@@ -60,7 +60,7 @@
 	return found
 }
 
-// deltaFor gives a delta with the digest of the state that it leads to.
+// deltaFor returns a delta with the digest of the state that it leads to.
 func deltaFor(from, to settings.Version, exact bool, base []Entry, changes ...Entry) *Delta {
 	state := NewState(from, base)
 	delta := &Delta{From: from, To: to, Exact: exact, Entries: changes}
@@ -68,7 +68,8 @@
 	return delta
 }
 
-func TestDeltasAreAppliedOnlyWhereTheyJoin(t *testing.T) {
+// Guards against applying a delta across a gap or epoch change.
+func TestHandleDeltaRequiresContiguousVersion(t *testing.T) {
 	base := []Entry{live("a", 3), live("b", 5)}
 	wrongDigest := deltaFor(5, 6, false, base, live("a", 6))
 	wrongDigest.Digest++
@@ -78,15 +79,15 @@
 		want  []string
 		pulls int
 	}{
-		"next":                     {deltaFor(5, 6, false, base, live("a", 6)), []string{"0.6"}, 0},
-		"overlapping":              {deltaFor(4, 6, false, base, live("b", 5), live("a", 6)), []string{"0.6"}, 0},
-		"the same again":           {deltaFor(4, 5, false, base, live("b", 5)), nil, 0},
-		"older":                    {deltaFor(2, 3, false, nil, live("a", 3)), nil, 0},
-		"behind a gap":             {deltaFor(6, 7, false, base, live("a", 7)), nil, 1},
-		"of another content":       {wrongDigest, nil, 1},
-		"new epoch, exact":         {deltaFor(5, nextEpoch, true, base, live("c", 2)), []string{"1.2"}, 0},
-		"new epoch, another start": {deltaFor(4, nextEpoch, true, base, live("c", 2)), nil, 1},
-		"new epoch, not exact":     {deltaFor(5, nextEpoch, false, base, live("c", 2)), nil, 1},
+		"next":                   {deltaFor(5, 6, false, base, live("a", 6)), []string{"0.6"}, 0},
+		"overlapping":            {deltaFor(4, 6, false, base, live("b", 5), live("a", 6)), []string{"0.6"}, 0},
+		"duplicate":              {deltaFor(4, 5, false, base, live("b", 5)), nil, 0},
+		"older":                  {deltaFor(2, 3, false, nil, live("a", 3)), nil, 0},
+		"behind a gap":           {deltaFor(6, 7, false, base, live("a", 7)), nil, 1},
+		"digest mismatch":        {wrongDigest, nil, 1},
+		"new epoch, exact":       {deltaFor(5, nextEpoch, true, base, live("c", 2)), []string{"1.2"}, 0},
+		"new epoch, wrong start": {deltaFor(4, nextEpoch, true, base, live("c", 2)), nil, 1},
+		"new epoch, not exact":   {deltaFor(5, nextEpoch, false, base, live("c", 2)), nil, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
@@ -102,14 +103,15 @@
 			g.Expect(pulls).To(gomega.Equal(test.pulls))
 			for _, action := range actions {
 				if publish, ok := action.(Publish); ok {
-					g.Expect(publish.Changes).To(gomega.HaveLen(1), "what is in force already is not published again")
+					g.Expect(publish.Changes).To(gomega.HaveLen(1), "unchanged entries are not published again")
 				}
 			}
 		})
 	}
 }
 
-func TestListingsAreTakenOnlyIfTheyFollowWhatIsInForce(t *testing.T) {
+// Guards against adopting a store that was rolled back or forked.
+func TestHandleListedRequiresSameHistory(t *testing.T) {
 	base := []Entry{live("a", 3), deleted("b", 4), live("c", 5)}
 	other := live("c", 5)
 	other.Spec = []byte("other")
@@ -121,35 +123,35 @@
 		want   []string
 		notice []Notice
 	}{
-		"the same":                  {base, nil, nil},
-		"newer":                     {[]Entry{live("a", 3), deleted("b", 4), live("c", 7), live("d", 6)}, []string{"0.7"}, nil},
-		"trace swept":               {[]Entry{live("a", 3), live("c", 6)}, []string{"0.6"}, nil},
-		"deleted properly":          {[]Entry{deleted("a", 6), live("c", 5)}, []string{"0.6"}, nil},
-		"older":                     {[]Entry{live("a", 3), live("b", 2)}, nil, []Notice{NoticeStoreBehind}},
-		"forked, entry lost":        {[]Entry{live("a", 9)}, nil, []Notice{NoticeStoreForked}},
-		"forked, entry older":       {[]Entry{live("a", 9), live("c", 4)}, nil, []Notice{NoticeStoreForked}},
-		"forked, entry other":       {[]Entry{live("a", 9), other}, nil, []Notice{NoticeStoreForked}},
-		"forked, deletion undone":   {[]Entry{live("a", 9), live("b", 2), live("c", 5)}, nil, []Notice{NoticeStoreForked}},
-		"forked, unknown entry old": {[]Entry{live("a", 3), live("c", 9), live("x", 2)}, nil, []Notice{NoticeStoreForked}},
-		"forked, unknown trace old": {[]Entry{live("a", 3), live("c", 9), deleted("x", 2)}, nil, []Notice{NoticeStoreForked}},
-		"epoch raised":              {[]Entry{live("a", 1), epoch(1, 2)}, []string{"1.2"}, []Notice{NoticeEpochRaised}},
+		"the same":                      {base, nil, nil},
+		"newer":                         {[]Entry{live("a", 3), deleted("b", 4), live("c", 7), live("d", 6)}, []string{"0.7"}, nil},
+		"tombstone purged":              {[]Entry{live("a", 3), live("c", 6)}, []string{"0.6"}, nil},
+		"deleted":                       {[]Entry{deleted("a", 6), live("c", 5)}, []string{"0.6"}, nil},
+		"older":                         {[]Entry{live("a", 3), live("b", 2)}, nil, []Notice{NoticeStoreBehind}},
+		"forked, entry lost":            {[]Entry{live("a", 9)}, nil, []Notice{NoticeStoreForked}},
+		"forked, entry older":           {[]Entry{live("a", 9), live("c", 4)}, nil, []Notice{NoticeStoreForked}},
+		"forked, entry differs":         {[]Entry{live("a", 9), other}, nil, []Notice{NoticeStoreForked}},
+		"forked, deletion undone":       {[]Entry{live("a", 9), live("b", 2), live("c", 5)}, nil, []Notice{NoticeStoreForked}},
+		"forked, old unknown entry":     {[]Entry{live("a", 3), live("c", 9), live("x", 2)}, nil, []Notice{NoticeStoreForked}},
+		"forked, old unknown tombstone": {[]Entry{live("a", 3), live("c", 9), deleted("x", 2)}, nil, []Notice{NoticeStoreForked}},
+		"epoch raised":                  {[]Entry{live("a", 1), epoch(1, 2)}, []string{"1.2"}, []Notice{NoticeEpochRaised}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			machine, now := runningMachine(5, base...)
 			machine.list(now)
-			machine.take()
+			machine.takeActions()
 			actions := machine.HandleListed(now, machine.watch.ticket, test.listed, 9, nil)
 			g.Expect(versions(actions)).To(gomega.Equal(test.want))
 			g.Expect(notices(actions)).To(gomega.Equal(test.notice))
 			if test.want != nil {
 				want := NewState(machine.state.version, test.listed)
-				g.Expect(machine.state.digest()).To(gomega.Equal(want.digest()), "also without swept traces")
+				g.Expect(machine.state.digest()).To(gomega.Equal(want.digest()), "purged tombstones are dropped")
 			}
 			g.Expect(machine.Watching()).To(gomega.Equal(!machine.StoreRefused()))
 		})
 	}
-	t.Run("newest trace swept", func(t *testing.T) {
+	t.Run("newest tombstone purged", func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		machine, now := runningMachine(5, live("a", 3), deleted("c", 5))
 		machine.HandleProbed(now, machine.watch.ticket, Probe{}, nil)
@@ -157,7 +159,7 @@
 		machine.HandleListed(now, machine.watch.ticket, []Entry{live("a", 3)}, 8, nil)
 		g.Expect(machine.Watching()).To(gomega.BeTrue())
 	})
-	t.Run("newest trace lost", func(t *testing.T) {
+	t.Run("newest tombstone lost", func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		machine, now := runningMachine(5, live("a", 3), deleted("c", 5))
 		machine.list(now)
@@ -172,7 +174,7 @@
 		g.Expect(versions(actions)).To(gomega.BeEmpty())
 		g.Expect(notices(actions)).To(gomega.Equal([]Notice{NoticeStoreBehind}))
 	})
-	t.Run("crossed by a newer version", func(t *testing.T) {
+	t.Run("newer version applied meanwhile", func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		machine, now := runningMachine(5, base...)
 		machine.list(now)
@@ -183,7 +185,8 @@
 	})
 }
 
-func TestProbesOpenTheWatchOnlyOnTheStoreInForce(t *testing.T) {
+// Guards against watching a store whose newest change differs.
+func TestHandleProbedOpensWatchOnlyOnMatchingStore(t *testing.T) {
 	base := []Entry{live("a", 3), live("c", 5)}
 	changed := live("c", 5)
 	changed.Spec = []byte("other")
@@ -196,7 +199,7 @@
 		"the same, refused before":    {Probe{Found: true, Newest: live("c", 5)}, true, phaseListing},
 		"newer":                       {Probe{Found: true, Newest: live("c", 8)}, false, phaseListing},
 		"older":                       {Probe{Found: true, Newest: live("c", 4)}, false, phaseWaiting},
-		"another content":             {Probe{Found: true, Newest: changed}, false, phaseWaiting},
+		"content differs":             {Probe{Found: true, Newest: changed}, false, phaseWaiting},
 		"lost":                        {Probe{}, false, phaseWaiting},
 		"epoch raised, newest is old": {Probe{Found: true, Newest: live("c", 1), Epoch: 1}, false, phaseListing},
 	} {
@@ -211,7 +214,8 @@
 	}
 }
 
-func TestWatchEventsComeInForceOnlyWhenTheyRise(t *testing.T) {
+// Guards against applying events of old revisions or of a closed watch.
+func TestHandleWatchEventIgnoresOldRevisions(t *testing.T) {
 	g := gomega.NewWithT(t)
 	machine, now := verifiedMachine([]Entry{live("a", 3), live("c", 5)})
 	ticket := machine.watch.ticket
@@ -229,14 +233,15 @@
 		actions := machine.HandleWatchEvent(now, ticket, step.bookmark, step.entry)
 		g.Expect(versions(actions)).To(gomega.Equal(step.want))
 	}
-	trace, present := machine.state.get("c")
-	g.Expect(present && trace.Deleted).To(gomega.BeTrue(), "a deletion behind our back leaves a trace")
+	tombstone, present := machine.state.get("c")
+	g.Expect(present && tombstone.Deleted).To(gomega.BeTrue(), "a deletion made directly in the store leaves a tombstone")
 	g.Expect(machine.HandleWatchEvent(now, ticket-1, false, live("a", 9))).To(gomega.BeEmpty())
 	epoch := Entry{Name: tree.EpochObject, Revision: 2, Spec: []byte(`{"epoch":1}`)}
 	g.Expect(machine.HandleWatchEvent(now, ticket, false, epoch)).To(gomega.ContainElement(gomega.BeAssignableToTypeOf(ListStore{})))
 }
 
-func TestReportsOfChildrenExpire(t *testing.T) {
+// Guards against counting children that no longer report.
+func TestChildReportsExpire(t *testing.T) {
 	g := gomega.NewWithT(t)
 	machine, now := runningMachine(5, live("a", 5))
 	peer := membership.Member{Name: "peer", Address: peerAddress, Zone: "z", Region: "r"}
@@ -249,10 +254,11 @@
 	g.Expect([]any{zone.Reported, zone.Members, zone.Minimum}).To(gomega.Equal([]any{2, 2, settings.Version(4)}))
 	zone = machine.Zones(now.Add(reportLifetime + time.Second))[0]
 	g.Expect([]any{zone.Reported, zone.Minimum}).To(gomega.Equal([]any{1, settings.Version(5)}))
-	g.Expect(zone.InForceAt(5)).To(gomega.BeFalse(), "a node does not report")
+	g.Expect(zone.InForceAt(5)).To(gomega.BeFalse(), "one node has not reported")
 }
 
-func TestWatchOfAnotherHistoryIsDoubted(t *testing.T) {
+// Guards against following a watch that skips or alters changes in force.
+func TestWatchOfDifferentHistoryIsRelisted(t *testing.T) {
 	base := []Entry{live("a", 3), live("c", 5)}
 	fromPeers := deltaFor(5, 7, false, base, live("d", 6), live("e", 7))
 	nextEpoch := settings.MakeVersion(1, 2)
@@ -261,12 +267,12 @@
 		events []Entry
 		want   watchPhase
 	}{
-		"brings what peers brought":      {fromPeers, []Entry{live("d", 6), live("e", 7), live("f", 8)}, phaseWatching},
-		"brings what was replaced since": {fromPeers, []Entry{live("e", 6), live("d", 6), live("e", 7)}, phaseWatching},
-		"lacks what peers brought":       {fromPeers, []Entry{live("d", 6), live("f", 8)}, phaseListing},
-		"brings another change":          {fromPeers, []Entry{live("a", 6)}, phaseListing},
-		"passes it by a bookmark":        {fromPeers, []Entry{{Revision: 7}}, phaseListing},
-		"brings an unknown old change":   {nil, []Entry{live("a", 4)}, phaseListing},
+		"delivers changes from peers":    {fromPeers, []Entry{live("d", 6), live("e", 7), live("f", 8)}, phaseWatching},
+		"delivers replaced changes":      {fromPeers, []Entry{live("e", 6), live("d", 6), live("e", 7)}, phaseWatching},
+		"skips a change from peers":      {fromPeers, []Entry{live("d", 6), live("f", 8)}, phaseListing},
+		"delivers a different change":    {fromPeers, []Entry{live("a", 6)}, phaseListing},
+		"bookmark skips changes":         {fromPeers, []Entry{{Revision: 7}}, phaseListing},
+		"delivers an unknown old change": {nil, []Entry{live("a", 4)}, phaseListing},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
@@ -290,12 +296,12 @@
 		machine, now := verifiedMachine(base)
 		machine.HandleDelta(now, peerAddress, deltaFor(5, nextEpoch, true, base, live("c", 2)))
 		actions := machine.HandleWatchEvent(now, machine.watch.ticket, false, live("a", 6))
-		g.Expect(versions(actions)).To(gomega.BeEmpty(), "the store may be of the epoch before")
+		g.Expect(versions(actions)).To(gomega.BeEmpty(), "the store may still be at the previous epoch")
 		g.Expect(machine.watch.verified).To(gomega.BeFalse())
 	})
 }
 
-// verifiedMachine watches the store, which was seen to hold entries.
+// verifiedMachine returns a Machine with a verified watch.
 func verifiedMachine(entries []Entry) (*Machine, time.Time) {
 	machine, now := runningMachine(5, entries...)
 	probe := Probe{Found: true, Newest: machine.state.newest}
@@ -305,15 +311,16 @@
 	return machine, now
 }
 
-func TestEventsAreHeldUntilTheStoreIsSeenToHoldWhatIsInForce(t *testing.T) {
+// Guards against a store restored between the probe and the watch.
+func TestWatchEventsAreHeldUntilStoreVerified(t *testing.T) {
 	for name, test := range map[string]struct {
 		event  Entry
 		probe  Probe
 		listed []Entry
 		want   []string
 	}{
-		"probe right":              {live("a", 6), Probe{Found: true, Newest: live("c", 5)}, nil, []string{"0.6"}},
-		"put back meanwhile":       {live("a", 6), Probe{Found: true, Newest: live("c", 4)}, []Entry{live("a", 6), live("c", 4)}, nil},
+		"probe matches":            {live("a", 6), Probe{Found: true, Newest: live("c", 5)}, nil, []string{"0.6"}},
+		"store restored meanwhile": {live("a", 6), Probe{Found: true, Newest: live("c", 4)}, []Entry{live("a", 6), live("c", 4)}, nil},
 		"newest changes":           {live("c", 6), Probe{}, []Entry{live("a", 3), live("c", 6)}, []string{"0.6"}},
 		"newest changes on a fork": {live("c", 6), Probe{}, []Entry{live("a", 4), live("c", 6)}, nil},
 	} {
@@ -336,10 +343,10 @@
 	}
 }
 
-// exchange lets one machine pull from another until it stops.
-func exchange(asker, peer *Machine, now time.Time, between func(round int)) ([]Action, int) {
+// pullUntilDone runs pulls from peer until requester sends no more.
+func pullUntilDone(requester, peer *Machine, now time.Time, beforeAnswer func(round int)) ([]Action, int) {
 	var all []Action
-	pending := asker.HandleDigest(now, peerAddress, &Digest{Version: peer.state.version, Known: true, Digest: peer.state.digest()})
+	pending := requester.HandleDigest(now, peerAddress, &Digest{Version: peer.state.version, Known: true, Digest: peer.state.digest()})
 	for round := 0; ; round++ {
 		var call *CallPull
 		for _, action := range pending {
@@ -351,13 +358,13 @@
 		if call == nil {
 			return all, round
 		}
-		between(round)
+		beforeAnswer(round)
 		answer := peer.HandlePull(now, &call.Pull)
-		pending = asker.HandlePullAnswer(now, peerAddress, answer)
+		pending = requester.HandlePullAnswer(now, peerAddress, answer)
 	}
 }
 
-func bulk(count int, revision uint64) []Entry {
+func manyEntries(count int, revision uint64) []Entry {
 	var entries []Entry
 	for i := range count {
 		entries = append(entries, Entry{Name: fmt.Sprintf("name-%05d", i), Revision: revision, Spec: make([]byte, 300)})
@@ -365,12 +372,13 @@
 	return entries
 }
 
-func TestPullCopiesALargeStateInRoundsWhileItChanges(t *testing.T) {
+// Guards against a bucket pull that never completes while the peer changes.
+func TestPullCopiesLargeChangingState(t *testing.T) {
 	g := gomega.NewWithT(t)
-	peer, now := runningMachine(7, bulk(8000, 7)...)
-	asker, _ := runningMachine(5, live("old", 5))
+	peer, now := runningMachine(7, manyEntries(8000, 7)...)
+	requester, _ := runningMachine(5, live("old", 5))
 	peer.state.put(live("old", 5))
-	actions, rounds := exchange(asker, peer, now, func(round int) {
+	actions, rounds := pullUntilDone(requester, peer, now, func(round int) {
 		if round < 4 {
 			version := settings.Version(8 + round)
 			peer.HandleDelta(now, "x", deltaFor(version-1, version, false, peer.state.all(), live("name-00001", uint64(version))))
@@ -378,28 +386,29 @@
 	})
 	g.Expect(rounds).To(gomega.BeNumerically(">", 4))
 	g.Expect(versions(actions)).To(gomega.Equal([]string{"0.11"}))
-	g.Expect(asker.state.digest()).To(gomega.Equal(peer.state.digest()))
+	g.Expect(requester.state.digest()).To(gomega.Equal(peer.state.digest()))
 }
 
-func TestPullRefusesAPeerThatTookAForkedStore(t *testing.T) {
+// Guards against adopting a forked history from a peer.
+func TestPullRefusesForkedPeer(t *testing.T) {
 	base := []Entry{live("a", 3), live("b", 5)}
 	for name, test := range map[string]struct {
 		version settings.Version
 		theirs  []Entry
 		want    []string
 	}{
-		"entry lost":          {9, []Entry{live("a", 9)}, nil},
-		"entry older":         {9, []Entry{live("a", 9), live("b", 4)}, nil},
-		"deleted":             {9, []Entry{live("a", 9), deleted("b", 8)}, []string{"0.9"}},
-		"epoch raised":        {settings.MakeVersion(1, 2), []Entry{live("a", 1)}, []string{"1.2"}},
-		"older":               {4, []Entry{live("a", 3)}, nil},
-		"same, other content": {5, []Entry{live("a", 4), live("b", 5)}, nil},
+		"entry lost":                    {9, []Entry{live("a", 9)}, nil},
+		"entry older":                   {9, []Entry{live("a", 9), live("b", 4)}, nil},
+		"deleted":                       {9, []Entry{live("a", 9), deleted("b", 8)}, []string{"0.9"}},
+		"epoch raised":                  {settings.MakeVersion(1, 2), []Entry{live("a", 1)}, []string{"1.2"}},
+		"older":                         {4, []Entry{live("a", 3)}, nil},
+		"same version, content differs": {5, []Entry{live("a", 4), live("b", 5)}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			peer, now := runningMachine(test.version, test.theirs...)
-			asker, _ := runningMachine(5, base...)
-			actions, _ := exchange(asker, peer, now, func(int) {})
+			requester, _ := runningMachine(5, base...)
+			actions, _ := pullUntilDone(requester, peer, now, func(int) {})
 			g.Expect(versions(actions)).To(gomega.Equal(test.want))
 			if test.want == nil && test.version >= 5 {
 				g.Expect(notices(actions)).To(gomega.ContainElement(NoticeDivergence))
@@ -408,16 +417,17 @@
 	}
 }
 
-func TestAnswerOlderThanWhatCameMeanwhileIsDropped(t *testing.T) {
+// Guards against a regression by a late pull answer.
+func TestPullDropsOutdatedAnswer(t *testing.T) {
 	g := gomega.NewWithT(t)
 	base := []Entry{live("a", 5)}
 	peer, now := runningMachine(6, live("a", 6))
-	asker, _ := runningMachine(5, base...)
-	actions, _ := exchange(asker, peer, now, func(round int) {
+	requester, _ := runningMachine(5, base...)
+	actions, _ := pullUntilDone(requester, peer, now, func(round int) {
 		if round == 1 {
-			asker.HandleDelta(now, "x", deltaFor(5, 7, false, base, live("a", 7)))
+			requester.HandleDelta(now, "x", deltaFor(5, 7, false, base, live("a", 7)))
 		}
 	})
 	g.Expect(versions(actions)).To(gomega.BeEmpty())
-	g.Expect(asker.state.version).To(gomega.Equal(settings.Version(7)))
+	g.Expect(requester.state.version).To(gomega.Equal(settings.Version(7)))
 }
--- a/internal/settings/dissemination/listing.go
+++ b/internal/settings/dissemination/listing.go
@@ -7,41 +7,39 @@
 	"chutelock.dev/chutelock/internal/settings/tree"
 )
 
-// This file takes listings of the store.
-
-// HandleListed takes the answer to a ListStore: all objects, deleted ones with
+// HandleListed processes the answer to a ListStore: all objects, deleted ones with
 // Deleted set, and the revision of the listing.
 func (m *Machine) HandleListed(now time.Time, ticket uint64, listed []Entry, revision uint64, err error) []Action {
 	if ticket == m.watch.ticket && m.watch.phase == phaseWatching {
 		m.verifyByListing(now, listed, revision, err)
-		return m.take()
+		return m.takeActions()
 	}
 	if ticket != m.watch.ticket || m.watch.phase != phaseListing {
-		return m.take()
+		return m.takeActions()
 	}
 	if err != nil {
 		m.storeFailed(now, err)
-		return m.take()
+		return m.takeActions()
 	}
 	found := versionOf(listed)
 	switch {
-	case m.watch.began != m.state.version:
+	case m.watch.basisVersion != m.state.version:
 		m.tryStore(now)
 	case !m.state.known:
-		fresh := NewState(found, listed)
-		m.storeRight(now)
+		next := NewState(found, listed)
+		m.acceptStore(now)
 		m.open(now, revision)
-		m.install(now, fresh)
+		m.install(now, next)
 	case found.Epoch() > m.state.version.Epoch():
 		m.raiseEpoch(now, found, listed)
 		m.open(now, revision)
 	default:
-		m.takeListing(now, found, listed, revision)
+		m.applyListingAndWatch(now, found, listed, revision)
 	}
-	return m.take()
+	return m.takeActions()
 }
 
-// versionOf is the version of a listing.
+// versionOf returns the version of a listing.
 func versionOf(listed []Entry) settings.Version {
 	var epoch uint16
 	var head uint64
@@ -54,7 +52,7 @@
 	return settings.MakeVersion(epoch, head)
 }
 
-// epochOf reads the epoch object; one that can't be read raises nothing.
+// epochOf returns the epoch of the epoch object, or 0 if it is invalid.
 func epochOf(entry *Entry) uint16 {
 	epoch, err := tree.EpochOf(entry.Spec)
 	if err != nil {
@@ -63,31 +61,31 @@
 	return epoch
 }
 
-// raiseEpoch takes the store's whole state, as an operator ordered.
+// raiseEpoch adopts the store's whole state after an operator raised the epoch.
 func (m *Machine) raiseEpoch(now time.Time, found settings.Version, listed []Entry) {
-	m.do(Notify{Notice: NoticeEpochRaised, InForce: m.state.version, Found: found})
-	fresh := NewState(found, listed)
-	m.storeRight(now)
-	m.announceDelta(now, &Delta{From: m.state.version, To: found, Exact: true, Entries: m.state.difference(fresh)})
+	m.emit(Notify{Notice: NoticeEpochRaised, InForce: m.state.version, Found: found})
+	next := NewState(found, listed)
+	m.acceptStore(now)
+	m.announceDelta(now, &Delta{From: m.state.version, To: found, Exact: true, Entries: m.state.difference(next)})
 }
 
-// takeListing takes a listing of the epoch in force, if it holds everything
-// that is in force.
-func (m *Machine) takeListing(now time.Time, found settings.Version, listed []Entry, revision uint64) {
-	if !m.bringListing(now, found, listed, revision) {
+// applyListingAndWatch applies a listing of the epoch in force and opens the
+// watch, unless the listing is refused.
+func (m *Machine) applyListingAndWatch(now time.Time, found settings.Version, listed []Entry, revision uint64) {
+	if !m.applyListing(now, found, listed, revision) {
 		return
 	}
 	m.open(now, revision)
 }
 
-// bringListing brings a listing in force that follows what is in force, and
-// refuses another.
-func (m *Machine) bringListing(now time.Time, found settings.Version, listed []Entry, revision uint64) bool {
+// applyListing applies a listing that continues the history in force and
+// refuses any other. It reports whether the listing was accepted.
+func (m *Machine) applyListing(now time.Time, found settings.Version, listed []Entry, revision uint64) bool {
 	if revision < m.state.version.Revision() {
 		m.refuse(now, NoticeStoreBehind, "", settings.MakeVersion(found.Epoch(), revision))
 		return false
 	}
-	if name, ok := m.state.follows(NewState(found, listed)); !ok {
+	if name, ok := m.state.precedes(NewState(found, listed)); !ok {
 		notice := NoticeStoreForked
 		if found < m.state.version {
 			notice = NoticeStoreBehind
@@ -95,15 +93,15 @@
 		m.refuse(now, notice, name, found)
 		return false
 	}
-	m.storeRight(now)
+	m.acceptStore(now)
 	if found > m.state.version {
 		m.announceDelta(now, m.deltaTo(found, listed))
 	}
 	return true
 }
 
-// deltaTo is what leads to a listing. A trace of a deletion that the listing
-// lacks was swept.
+// deltaTo returns the delta from the state in force to a listing. A tombstone
+// that the listing lacks was purged.
 func (m *Machine) deltaTo(found settings.Version, listed []Entry) *Delta {
 	delta := &Delta{From: m.state.version, To: found}
 	names := make(map[string]struct{}, len(listed))
--- a/internal/settings/dissemination/machine_test.go
+++ b/internal/settings/dissemination/machine_test.go
@@ -7,14 +7,14 @@
 	"github.com/onsi/gomega"
 )
 
-// expectConverged heals nothing; it checks that all nodes have the store's
-// state in force, and that no promise was broken on the way.
+// expectConverged checks that all running nodes have the store's state in force
+// and that no invariant was violated.
 func expectConverged(g *gomega.WithT, s *sim) {
-	g.Expect(s.faults).To(gomega.BeEmpty())
+	g.Expect(s.violations).To(gomega.BeEmpty())
 	for _, node := range s.nodes {
 		if node.up {
-			// A listing does not show the revision of a sweep, so that the
-			// version may be the one before; the last change makes it equal.
+			// A listing does not show the revision of a purge, so the version may
+			// lag by one until the next change.
 			g.Expect(node.published).To(gomega.Equal(s.store.version()), node.member.Name)
 			g.Expect(digestOf(node.content)).To(gomega.Equal(digestOf(s.store.objects)), node.member.Name)
 		}
@@ -24,7 +24,7 @@
 	}
 }
 
-func (s *sim) writeSome(g *gomega.WithT, names ...string) {
+func (s *sim) mustWrite(g *gomega.WithT, names ...string) {
 	for i, name := range names {
 		g.Expect(s.store.write(s.nodes[i%len(s.nodes)], name, i, false)).To(gomega.BeTrue(), name)
 		s.run(time.Second)
@@ -34,12 +34,13 @@
 func startedFleet(g *gomega.WithT, seed uint64) *sim {
 	s := newSim(seed, 2, 2, 4)
 	s.run(10 * time.Second)
-	s.writeSome(g, "a", "b", "c")
+	s.mustWrite(g, "a", "b", "c")
 	expectConverged(g, s)
 	return s
 }
 
-func TestChangesComeInForceEverywhereByFewWatchers(t *testing.T) {
+// Guards against nodes that miss changes and against excess watches.
+func TestChangesReachAllNodesWithLimitedWatchers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := startedFleet(g, 1)
 	g.Expect(s.store.maxOpen).To(gomega.Equal(4))
--- a/internal/settings/dissemination/measure_test.go
+++ b/internal/settings/dissemination/measure_test.go
@@ -26,7 +26,7 @@
 	measureSpec     = 250             // bytes of a changed node
 )
 
-// measurement follows the changes of one run.
+// measurement records the latency of the changes of one run.
 type measurement struct {
 	*sim
 	writes []measuredWrite
@@ -55,11 +55,11 @@
 	return m
 }
 
-// observe notes how long the changes took that are new to a node.
+// observe records the latency of the changes that are new to a node.
 func (m *measurement) observe(node *simNode, version settings.Version) {
 	for ; m.next[node] < len(m.writes) && m.writes[m.next[node]].version <= version; m.next[node]++ {
 		write := m.writes[m.next[node]]
-		if node.startedAt.After(write.at) || m.next[node] == 0 {
+		if node.startTime.After(write.at) || m.next[node] == 0 {
 			continue // the node was down, or the fleet was starting
 		}
 		kind := "near"
@@ -68,7 +68,7 @@
 		}
 		latency := m.now.Sub(write.at).Microseconds()
 		if err := m.byKind[kind].RecordValue(max(latency, 1)); err != nil {
-			m.fault("latency: %v", err)
+			m.addViolation("latency: %v", err)
 		}
 	}
 }
@@ -87,7 +87,7 @@
 	}
 }
 
-// traffic is the mean and greatest number of bytes that a node sent.
+// traffic returns the mean and maximum bytes per second that a node sent.
 func (m *measurement) traffic(since map[*simNode]int, duration time.Duration) (mean, greatest float64) {
 	for _, node := range m.nodes {
 		rate := float64(node.sentBytes-since[node]) / duration.Seconds()
@@ -158,7 +158,7 @@
 	perSecond := float64(m.store.requests-requests) / m.now.Sub(began).Seconds()
 	m.loss = 0
 	m.run(20 * time.Second)
-	g.Expect(m.faults).To(gomega.BeEmpty())
+	g.Expect(m.violations).To(gomega.BeEmpty())
 	for _, node := range m.nodes {
 		g.Expect(node.published).To(gomega.Equal(m.store.version()), node.member.Name)
 	}
--- a/internal/settings/dissemination/message.go
+++ b/internal/settings/dissemination/message.go
@@ -12,13 +12,13 @@
 
 const messageVersion = 1
 
-// Delta is every change after From up to To.
+// Delta holds every change after From up to To.
 type Delta struct {
 	From, To settings.Version
-	// Exact says that the delta joins only exactly From, as it does across a
-	// change of epoch.
+	// Exact restricts the delta to a state at exactly From, as a change of
+	// epoch requires.
 	Exact bool
-	// Digest is of the whole content at To.
+	// Digest covers the whole content at To.
 	Digest uint64
 	// Age is the time since the store confirmed To to be its newest.
 	Age     time.Duration
@@ -33,22 +33,22 @@
 	return size
 }
 
-// Digest says briefly what its sender has in force.
+// Digest summarizes what its sender has in force.
 type Digest struct {
 	Version settings.Version
 	Known   bool
-	// Answer asks for no digest in return.
+	// Answer marks a reply, which is not answered with a digest.
 	Answer bool
 	Digest uint64
 	Age    time.Duration
 }
 
-// Pull asks a peer for what it has beyond Have.
+// Pull asks a peer for its changes after Have.
 type Pull struct {
 	Have  settings.Version
 	Known bool
-	// Buckets are the asker's bucket digests; without them only the log of
-	// deltas is asked for.
+	// Buckets are the requester's bucket digests; without them only logged
+	// deltas are requested.
 	Buckets []uint64
 }
 
@@ -69,7 +69,7 @@
 	Entries []Entry
 }
 
-// Report sums up what a subtree of a zone has in force.
+// Report summarizes what a subtree of a zone has in force.
 type Report struct {
 	Minimum, Maximum settings.Version
 	Nodes, Stale     uint16
@@ -81,7 +81,7 @@
 type ZoneReport struct {
 	Zone, Region string
 	Report       Report
-	// Age is the time since the zone's head gathered it.
+	// Age is the time since the zone's head created it.
 	Age time.Duration
 }
 
@@ -353,7 +353,7 @@
 // zoneStatusFields is the number of variable fields of one ZoneStatus.
 const zoneStatusFields = 3
 
-// MarshalZones encodes the answer of a zone's head.
+// MarshalZones encodes the zone statuses that a head returns.
 func MarshalZones(zones []ZoneStatus) ([]byte, error) {
 	fields := make([][]byte, 0, len(zones)*zoneStatusFields)
 	for i := range zones {
@@ -373,7 +373,7 @@
 	return wire.Marshal(messageVersion, struct{ Zones uint16 }{uint16(len(zones))}, fields...)
 }
 
-// UnmarshalZones decodes the answer of a zone's head.
+// UnmarshalZones decodes the zone statuses that a head returns.
 func UnmarshalZones(data []byte) ([]ZoneStatus, error) {
 	var header struct{ Zones uint16 }
 	fields, err := wire.Unmarshal(data, messageVersion, &header, -1)
--- a/internal/settings/dissemination/message_test.go
+++ b/internal/settings/dissemination/message_test.go
@@ -21,7 +21,8 @@
 	}
 }
 
-func TestMessagesKeepTheirContent(t *testing.T) {
+// Guards against fields lost in encoding and truncated input accepted in decoding.
+func TestMessageRoundTrip(t *testing.T) {
 	g := gomega.NewWithT(t)
 	check := func(want any, data []byte, err error, decode func([]byte) (any, error)) {
 		g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -56,7 +57,7 @@
 	check(sampleZones(), data, err, func(data []byte) (any, error) { return UnmarshalZones(data) })
 }
 
-// fuzzDecoder feeds a decoder; what it accepts must encode to itself.
+// fuzzDecoder checks that every message that decode accepts can be encoded.
 func fuzzDecoder(f *testing.F, decode func([]byte) (interface{ Marshal() ([]byte, error) }, error)) {
 	f.Fuzz(func(t *testing.T, data []byte) {
 		message, err := decode(data)
--- a/internal/settings/dissemination/plan.go
+++ b/internal/settings/dissemination/plan.go
@@ -11,8 +11,8 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// plan is who does what, as this node's view of the members has it. Nodes
-// with the same view derive the same plan.
+// plan holds this node's roles and peers, derived from its membership view.
+// Nodes with the same view derive consistent plans.
 type plan struct {
 	watcher bool
 	// position is this node's place in its zone's tree; 0 is the head.
@@ -24,13 +24,13 @@
 	roots []transport.Address
 	// otherHeads are the first nodes of all other zones.
 	otherHeads []transport.Address
-	// zone, region and elsewhere are gossip partners by distance.
-	zone, region, elsewhere []transport.Address
+	// zonePeers, regionPeers and otherRegions are gossip partners by distance.
+	zonePeers, regionPeers, otherRegions []transport.Address
 	// zoneSizes counts the live members of each zone.
 	zoneSizes map[string]int
 }
 
-// planFor derives the plan of self.
+// planFor returns the plan of self.
 func planFor(self membership.Member, view *membership.View) plan {
 	zones := liveZones(self, view)
 	result := plan{zoneSizes: make(map[string]int, len(zones))}
@@ -44,8 +44,8 @@
 	return result
 }
 
-// leaving says whether this node has announced its planned stop; the others
-// choose another reader then.
+// leaving reports whether self has announced its shutdown; the others then
+// choose another watcher.
 func leaving(self membership.Member, view *membership.View) bool {
 	return slices.ContainsFunc(view.Members, func(member membership.Member) bool {
 		return member.Address == self.Address && member.State == membership.StateLeaving
@@ -90,14 +90,14 @@
 		p.placeSelf(self, addresses)
 		return
 	case sameRegion:
-		p.region = append(p.region, addresses...)
+		p.regionPeers = append(p.regionPeers, addresses...)
 	default:
-		p.elsewhere = append(p.elsewhere, first...)
+		p.otherRegions = append(p.otherRegions, first...)
 	}
 	p.otherHeads = append(p.otherHeads, first...)
 }
 
-// placeSelf finds this node's neighbours in its zone's tree.
+// placeSelf sets this node's position, parent and children in its zone's tree.
 func (p *plan) placeSelf(self membership.Member, addresses []transport.Address) {
 	p.position = slices.Index(addresses, self.Address)
 	p.head = addresses[0]
@@ -109,13 +109,13 @@
 	p.children = addresses[from:to]
 	for _, address := range addresses {
 		if address != self.Address {
-			p.zone = append(p.zone, address)
+			p.zonePeers = append(p.zonePeers, address)
 		}
 	}
 }
 
-// watchers chooses the region's readers of the store: the first member, and
-// the first one of another zone if there is one.
+// watchers returns the region's watchers of the store: the first-ranked member,
+// and the first one of another zone if there is one.
 func watchers(self membership.Member, zones map[string][]membership.Member) []transport.Address {
 	var members []membership.Member
 	for _, zone := range zones {
--- a/internal/settings/dissemination/plan_test.go
+++ b/internal/settings/dissemination/plan_test.go
@@ -23,7 +23,8 @@
 	return all
 }
 
-func TestEveryNodeIsInItsZonesTreeAndTwoReadEachRegion(t *testing.T) {
+// Guards against nodes without exactly one parent and regions with excess watchers.
+func TestPlanBuildsZoneTreesAndLimitsWatchers(t *testing.T) {
 	for _, size := range [][2]int{{1, 1}, {1, 2}, {2, 1}, {4, 3}, {13, 38}} {
 		g := gomega.NewWithT(t)
 		view := &membership.View{Members: members(size[0], size[1])}
@@ -46,27 +47,28 @@
 		for region, zones := range readers {
 			g.Expect(len(zones)).To(gomega.BeNumerically("<=", WatchersPerRegion), region)
 			if len(zones) == 2 && size[0] > 1 {
-				g.Expect(zones[0] != zones[1] || region == "r6").To(gomega.BeTrue(), "readers in different zones")
+				g.Expect(zones[0] != zones[1] || region == "r6").To(gomega.BeTrue(), "watchers in different zones")
 			}
 		}
 	}
 }
 
-func TestLeavingReaderIsReplaced(t *testing.T) {
+// Guards against a region that loses a watcher when a node shuts down.
+func TestPlanReplacesLeavingWatcher(t *testing.T) {
 	g := gomega.NewWithT(t)
 	all := members(1, 5)
-	count := func() (readers int, first int) {
+	count := func() (watcherCount int, first int) {
 		for i, member := range all {
 			if planFor(member, &membership.View{Members: all}).watcher {
-				readers, first = readers+1, i
+				watcherCount, first = watcherCount+1, i
 			}
 		}
-		return readers, first
+		return watcherCount, first
 	}
-	readers, first := count()
-	g.Expect(readers).To(gomega.Equal(2))
+	watcherCount, first := count()
+	g.Expect(watcherCount).To(gomega.Equal(2))
 	all[first].State = membership.StateLeaving
-	readers, again := count()
-	g.Expect(readers).To(gomega.Equal(2))
-	g.Expect(again).NotTo(gomega.Equal(first))
+	watcherCount, replacement := count()
+	g.Expect(watcherCount).To(gomega.Equal(2))
+	g.Expect(replacement).NotTo(gomega.Equal(first))
 }
--- a/internal/settings/dissemination/pull.go
+++ b/internal/settings/dissemination/pull.go
@@ -6,13 +6,13 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// pull is the one exchange in progress that fetches what this node lacks.
+// pull is the state of the single pull in progress.
 type pull struct {
 	active bool
 	peer   transport.Address
 	began  time.Time
 	// staging becomes equal to the peer's state bucket by bucket; nil while
-	// only the peer's log is asked for.
+	// only logged deltas are requested.
 	staging *State
 }
 
@@ -26,7 +26,7 @@
 		return
 	}
 	m.pull = pull{active: true, peer: peer, began: now}
-	m.do(CallPull{To: peer, Pull: Pull{Have: m.state.version, Known: true}})
+	m.emit(CallPull{To: peer, Pull: Pull{Have: m.state.version, Known: true}})
 }
 
 // startBucketPull compares buckets with a peer.
@@ -37,7 +37,7 @@
 
 func (m *Machine) callForBuckets() {
 	digests := m.pull.staging.digests
-	m.do(CallPull{To: m.pull.peer, Pull: Pull{Have: m.state.version, Known: m.state.known, Buckets: digests[:]}})
+	m.emit(CallPull{To: m.pull.peer, Pull: Pull{Have: m.state.version, Known: m.state.known, Buckets: digests[:]}})
 }
 
 // tickPull gives up on a peer that does not answer.
@@ -61,20 +61,20 @@
 	return answer
 }
 
-// differingBuckets gives the buckets whose digests differ, of at most
-// answerBytes but for the first.
-func (m *Machine) differingBuckets(theirs []uint64) []Bucket {
+// differingBuckets returns the buckets whose digests differ, limited to
+// maxAnswerBytes except for the first.
+func (m *Machine) differingBuckets(peerDigests []uint64) []Bucket {
 	var buckets []Bucket
 	size := 0
 	for number, digest := range m.state.digests {
-		if digest == theirs[number] {
+		if digest == peerDigests[number] {
 			continue
 		}
 		bucket := Bucket{Number: uint8(number), Entries: m.state.bucket(uint8(number))}
 		for i := range bucket.Entries {
 			size += bucket.Entries[i].size()
 		}
-		if size > answerBytes && len(buckets) > 0 {
+		if size > maxAnswerBytes && len(buckets) > 0 {
 			return buckets
 		}
 		buckets = append(buckets, bucket)
@@ -82,29 +82,29 @@
 	return buckets
 }
 
-// HandlePullAnswer takes the answer to a CallPull; nil stands for a failure.
+// HandlePullAnswer processes the answer to a CallPull; nil means failure.
 func (m *Machine) HandlePullAnswer(now time.Time, from transport.Address, answer *PullAnswer) []Action {
 	if !m.pull.active || m.pull.peer != from {
-		return m.take()
+		return m.takeActions()
 	}
 	staging := m.pull.staging
 	if answer == nil || !answer.Known {
 		m.pull = pull{}
-		return m.take()
+		return m.takeActions()
 	}
 	if staging == nil {
 		m.pull = pull{}
-		m.takeLog(now, from, answer)
+		m.applyDeltas(now, from, answer)
 	} else {
-		m.takeBuckets(now, staging, answer)
+		m.applyBuckets(now, staging, answer)
 	}
-	m.hear(now, answer.Version, answer.Age)
-	return m.take()
+	m.observePeerVersion(now, answer.Version, answer.Age)
+	return m.takeActions()
 }
 
-func (m *Machine) takeLog(now time.Time, from transport.Address, answer *PullAnswer) {
+func (m *Machine) applyDeltas(now time.Time, from transport.Address, answer *PullAnswer) {
 	for i := range answer.Deltas {
-		m.offer(now, from, &answer.Deltas[i])
+		m.applyOrPull(now, from, &answer.Deltas[i])
 	}
 	if m.pull.active || answer.Version <= m.state.version {
 		return
@@ -116,7 +116,7 @@
 	m.startBucketPull(now, from)
 }
 
-func (m *Machine) takeBuckets(now time.Time, staging *State, answer *PullAnswer) {
+func (m *Machine) applyBuckets(now time.Time, staging *State, answer *PullAnswer) {
 	if m.state.known && answer.Version <= m.state.version {
 		m.pull = pull{}
 		return
@@ -135,10 +135,10 @@
 	}
 	m.pull = pull{}
 	staging.version, staging.known = answer.Version, true
-	if name, ok := m.state.follows(staging); !ok && answer.Version.Epoch() == m.state.version.Epoch() {
-		// The peer took writes to a store that had gone back. Only an
-		// operator can say which side holds.
-		m.do(Notify{Notice: NoticeDivergence, Name: name, InForce: m.state.version, Found: answer.Version})
+	if name, ok := m.state.precedes(staging); !ok && answer.Version.Epoch() == m.state.version.Epoch() {
+		// The peer applied writes of a store that was rolled back. An
+		// operator must decide which history is kept.
+		m.emit(Notify{Notice: NoticeDivergence, Name: name, InForce: m.state.version, Found: answer.Version})
 		m.avoidPullsUntil = now.Add(divergencePause)
 		return
 	}
--- a/internal/settings/dissemination/report.go
+++ b/internal/settings/dissemination/report.go
@@ -9,11 +9,11 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// reports gathers what the zone, and at its head the fleet, has in force.
+// reports holds the reports of children and, at a zone's head, of other zones.
 type reports struct {
 	next, nextZone time.Time
 	children       map[transport.Address]childReport
-	zones          map[string]zoneRow
+	zones          map[string]receivedZoneReport
 }
 
 type childReport struct {
@@ -21,17 +21,17 @@
 	at     time.Time
 }
 
-type zoneRow struct {
+type receivedZoneReport struct {
 	report ZoneReport
-	at     time.Time // when the head gathered it, by this node's clock
+	at     time.Time // when the head created it, by this node's clock
 }
 
-// reportSoon is how soon a change is reported, so that several share a report.
-const reportSoon = 100 * time.Millisecond
+// expeditedDelay batches several changes into one early report.
+const expeditedDelay = 100 * time.Millisecond
 
-// hurry brings the next reports forward, because they tell something new.
-func (r *reports) hurry(now time.Time) {
-	soon := now.Add(reportSoon)
+// expedite schedules the next reports early after a change.
+func (r *reports) expedite(now time.Time) {
+	soon := now.Add(expeditedDelay)
 	if r.next.After(soon) {
 		r.next = soon
 	}
@@ -41,10 +41,10 @@
 }
 
 func newReports() reports {
-	return reports{children: make(map[transport.Address]childReport), zones: make(map[string]zoneRow)}
+	return reports{children: make(map[transport.Address]childReport), zones: make(map[string]receivedZoneReport)}
 }
 
-// keepChildren forgets nodes that are no longer children.
+// keepChildren drops the reports of nodes that are no longer children.
 func (r *reports) keepChildren(children []transport.Address) {
 	for address := range r.children {
 		if !slices.Contains(children, address) {
@@ -58,24 +58,24 @@
 	if !now.Before(m.reports.next) {
 		m.reports.next = now.Add(reportInterval)
 		if m.plan.position > 0 {
-			m.do(SendReport{To: m.plan.parent, Report: m.subtree(now)})
+			m.emit(SendReport{To: m.plan.parent, Report: m.subtree(now)})
 		}
 	}
 	if m.plan.position == 0 && !now.Before(m.reports.nextZone) {
 		m.reports.nextZone = now.Add(zoneInterval)
 		own := m.ownZone(now)
 		for _, head := range m.plan.otherHeads {
-			m.do(SendZoneReport{To: head, Report: own})
+			m.emit(SendZoneReport{To: head, Report: own})
 		}
 	}
 }
 
-// subtree sums up this node and its children's reports.
+// subtree merges the reports of this node and its children.
 func (m *Machine) subtree(now time.Time) Report {
 	sum := m.ownReport(now)
 	for _, child := range m.reports.children {
 		if now.Sub(child.at) <= reportLifetime {
-			sum = join(sum, child.report)
+			sum = mergeReports(sum, child.report)
 		}
 	}
 	return sum
@@ -92,8 +92,8 @@
 	return own
 }
 
-// join adds two reports; nodes without settings have no say in the versions.
-func join(a, b Report) Report {
+// mergeReports adds two reports; nodes without settings don't affect the versions.
+func mergeReports(a, b Report) Report {
 	sum := Report{Nodes: a.Nodes + b.Nodes, Stale: a.Stale + b.Stale, Unset: a.Unset + b.Unset}
 	switch {
 	case a.Nodes == a.Unset:
@@ -110,21 +110,21 @@
 	return ZoneReport{Zone: m.config.Self.Zone, Region: m.config.Self.Region, Report: m.subtree(now)}
 }
 
-// HandleReport takes a child's report.
+// HandleReport stores a child's report.
 func (m *Machine) HandleReport(now time.Time, from transport.Address, report *Report) []Action {
 	if slices.Contains(m.plan.children, from) {
 		if m.reports.children[from].report != *report {
-			m.reports.hurry(now)
+			m.reports.expedite(now)
 		}
 		m.reports.children[from] = childReport{report: *report, at: now}
 	}
-	return m.take()
+	return m.takeActions()
 }
 
-// HandleZoneReport takes another zone's report.
+// HandleZoneReport stores another zone's report.
 func (m *Machine) HandleZoneReport(now time.Time, report *ZoneReport) []Action {
-	m.reports.zones[report.Zone] = zoneRow{report: *report, at: now.Add(-report.Age)}
-	return m.take()
+	m.reports.zones[report.Zone] = receivedZoneReport{report: *report, at: now.Add(-report.Age)}
+	return m.takeActions()
 }
 
 // ZoneStatus is what a zone has in force, as far as this node knows.
@@ -143,13 +143,13 @@
 	Age   time.Duration `json:"age"`
 }
 
-// InForceAt says whether the whole zone has a version or a later one in force.
+// InForceAt reports whether the whole zone has version or a later one in force.
 func (z *ZoneStatus) InForceAt(version settings.Version) bool {
 	return z.Known && z.Unset == 0 && z.Reported >= z.Members && z.Minimum >= version
 }
 
-// Zones lists the zones with live members, in order. It is complete only at
-// the first nodes of a zone; others ask Head.
+// Zones returns the zones with live members, by region and name. It is
+// complete only at the first nodes of a zone; others query Head.
 func (m *Machine) Zones(now time.Time) []ZoneStatus {
 	var zones []ZoneStatus
 	for name, members := range m.plan.zoneSizes {
@@ -164,7 +164,7 @@
 func (m *Machine) zoneStatus(now time.Time, name string, members int) ZoneStatus {
 	row, known := m.reports.zones[name]
 	if name == m.config.Self.Zone && m.plan.position == 0 {
-		row, known = zoneRow{report: m.ownZone(now), at: now}, true
+		row, known = receivedZoneReport{report: m.ownZone(now), at: now}, true
 	}
 	age := now.Sub(row.at)
 	report := row.report.Report
@@ -176,7 +176,7 @@
 	}
 }
 
-// Head is the node of the own zone that knows all zones; empty for oneself.
+// Head returns the node of this zone that knows all zones, or "" for self.
 func (m *Machine) Head() transport.Address {
 	if m.plan.position == 0 {
 		return ""
--- a/internal/settings/dissemination/scenario_test.go
+++ b/internal/settings/dissemination/scenario_test.go
@@ -10,7 +10,7 @@
 	"chutelock.dev/chutelock/internal/settings"
 )
 
-// watcherOf finds a node of the region that reads the store.
+// watcherOf returns a node of the region that watches the store, or nil.
 func (s *sim) watcherOf(region string) *simNode {
 	for _, node := range s.nodes {
 		if node.member.Region == region && node.up && node.machine.Watching() {
@@ -20,39 +20,40 @@
 	return nil
 }
 
-func TestFaultsOneByOne(t *testing.T) {
+// Guards against a fleet that does not converge after one fault.
+func TestFleetConvergesAfterSingleFault(t *testing.T) {
 	for name, fault := range map[string]func(g *gomega.WithT, s *sim){
 		"deltas are lost": func(g *gomega.WithT, s *sim) {
 			s.loss = 1
-			s.writeSome(g, "a", "b")
+			s.mustWrite(g, "a", "b")
 			s.loss = 0
 		},
-		"a watcher is paused and comes back": func(g *gomega.WithT, s *sim) {
+		"a watcher is paused": func(g *gomega.WithT, s *sim) {
 			s.watcherOf("region-0").pause(9 * time.Second)
 			s.run(5 * time.Second)
 			g.Expect(s.store.write(s.watcherOf("region-1"), "a", 7, false)).To(gomega.BeTrue())
 			s.run(10 * time.Second)
 		},
-		"a watcher dies": func(g *gomega.WithT, s *sim) {
+		"a watcher stops": func(g *gomega.WithT, s *sim) {
 			s.watcherOf("region-0").stop()
 			s.run(5 * time.Second)
 		},
-		"both watchers die": func(g *gomega.WithT, s *sim) {
+		"both watchers stop": func(g *gomega.WithT, s *sim) {
 			s.watcherOf("region-0").stop()
 			s.watcherOf("region-0").stop()
 			g.Expect(s.store.write(s.watcherOf("region-1"), "a", 7, false)).To(gomega.BeTrue())
 			s.run(5 * time.Second)
 		},
 		"watches go silent": func(g *gomega.WithT, s *sim) {
-			s.store.killWatches()
+			s.store.silenceWatches()
 			g.Expect(s.store.write(s.nodes[0], "a", 7, false)).To(gomega.BeTrue())
 			s.run(25 * time.Second)
 		},
 		"one watch goes silent": func(g *gomega.WithT, s *sim) {
-			s.store.watches[0].dead = true
-			s.writeSome(g, "a", "b")
+			s.store.watches[0].silent = true
+			s.mustWrite(g, "a", "b")
 			s.run(10 * time.Second)
-			g.Expect(s.store.watches[0].dead).To(gomega.BeFalse())
+			g.Expect(s.store.watches[0].silent).To(gomega.BeFalse())
 		},
 		"the store is down and compacts": func(g *gomega.WithT, s *sim) {
 			s.store.setDown(true)
@@ -62,15 +63,15 @@
 			s.store.compacted = s.store.revision
 			s.run(15 * time.Second)
 		},
-		"a long time is quiet": func(g *gomega.WithT, s *sim) {
+		"no changes for a long time": func(g *gomega.WithT, s *sim) {
 			before := s.store.requests
 			s.run(2 * time.Minute)
-			g.Expect(s.store.requests).To(gomega.Equal(before), "quiet watches stay open")
+			g.Expect(s.store.requests).To(gomega.Equal(before), "idle watches stay open")
 		},
-		"a region is cut off": func(g *gomega.WithT, s *sim) {
-			s.cutRegion = "region-1"
-			s.writeSome(g, "a", "b")
-			s.cutRegion = ""
+		"a region is isolated": func(g *gomega.WithT, s *sim) {
+			s.isolatedRegion = "region-1"
+			s.mustWrite(g, "a", "b")
+			s.isolatedRegion = ""
 		},
 		"all nodes restart": func(g *gomega.WithT, s *sim) {
 			for _, node := range s.nodes {
@@ -104,29 +105,30 @@
 	}
 }
 
-func TestRestartDuringAnOutageTakesTheNewestOfDiskAndPeers(t *testing.T) {
+// Guards against a restarted node that publishes an older version.
+func TestRestartPublishesNewestOfDiskAndPeers(t *testing.T) {
 	for name, test := range map[string]struct {
 		node    int // even ones have a disk
 		restore bool
 		down    bool
 	}{
-		"disk, store down":          {0, false, true},
-		"no disk, store down":       {1, false, true},
-		"disk, old copy restored":   {0, true, false},
-		"no disk, old copy":         {1, true, false},
-		"disk, nothing else at all": {0, false, false},
+		"disk, store down":         {0, false, true},
+		"no disk, store down":      {1, false, true},
+		"disk, backup restored":    {0, true, false},
+		"no disk, backup restored": {1, true, false},
+		"disk, no fault":           {0, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			s := startedFleet(g, 3)
-			s.store.keepCopy()
+			s.store.backUp()
 			node := s.nodes[test.node]
 			node.stop()
 			g.Expect(s.store.write(s.nodes[5], "a", 8, false)).To(gomega.BeTrue())
 			s.run(2 * time.Second)
 			newest := s.store.version()
 			if test.restore {
-				s.store.restoreCopy(0)
+				s.store.restoreBackup(0)
 			}
 			s.store.setDown(test.down)
 			var first settings.Version
@@ -138,22 +140,23 @@
 			node.start()
 			s.run(10 * time.Second)
 			g.Expect(first).To(gomega.Equal(newest))
-			g.Expect(s.faults).To(gomega.BeEmpty())
+			g.Expect(s.violations).To(gomega.BeEmpty())
 		})
 	}
 }
 
-func TestStoreThatWentBackIsRefusedUntilTheEpochRises(t *testing.T) {
+// Guards against settings that regress after the store is restored from a backup.
+func TestRolledBackStoreIsRefusedUntilEpochRaised(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := startedFleet(g, 5)
-	s.store.keepCopy()
-	s.writeSome(g, "a", "b", "new")
+	s.store.backUp()
+	s.mustWrite(g, "a", "b", "new")
 	inForce := s.store.version()
-	s.store.restoreCopy(0)
+	s.store.restoreBackup(0)
 	s.run(15 * time.Second)
 	g.Expect(s.notices[NoticeStoreBehind]).To(gomega.BeNumerically(">=", 2))
-	g.Expect(s.store.write(s.nodes[0], "a", 99, false)).To(gomega.BeFalse(), "operators are told")
-	for range 9 { // somebody writes to the store all the same
+	g.Expect(s.store.write(s.nodes[0], "a", 99, false)).To(gomega.BeFalse(), "writes are refused")
+	for range 9 { // writes made directly in the store
 		s.store.put("a", false, fmt.Appendf(nil, "outside %d", s.store.revision))
 		s.run(2 * time.Second)
 	}
@@ -169,12 +172,13 @@
 	s.run(15 * time.Second)
 	expectConverged(g, s)
 	g.Expect(s.nodes[0].published.Epoch()).To(gomega.Equal(uint16(1)))
-	s.writeSome(g, "a")
+	s.mustWrite(g, "a")
 	s.run(2 * time.Second)
 	expectConverged(g, s)
 }
 
-func TestZonesAreReportedInForce(t *testing.T) {
+// Guards against wrong versions and staleness in zone reports.
+func TestZoneReportsVersionAndStaleness(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := startedFleet(g, 9)
 	s.run(8 * time.Second)
--- a/internal/settings/dissemination/sim_test.go
+++ b/internal/settings/dissemination/sim_test.go
@@ -13,8 +13,8 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// This file is a fleet in virtual time: machines, a lossy network, a store
-// that fails, and disks. One seed gives one run.
+// This file simulates a fleet in virtual time: machines, a lossy network, a
+// failing store, and disks. Runs are deterministic for a seed.
 
 const (
 	simTick        = TickInterval
@@ -57,44 +57,44 @@
 	byAddr map[transport.Address]*simNode
 	store  *simStore
 	loss   float64
-	// cutRegion, if not empty, is cut off from all others, but not the store.
-	cutRegion string
-	duplicate bool
-	faults    []string // broken promises
-	notices   map[Notice]int
+	// isolatedRegion, if not empty, reaches the store but no other region.
+	isolatedRegion string
+	duplicate      bool
+	violations     []string // violated invariants
+	notices        map[Notice]int
 	// maxWatchers is the most watchers that a region had at once.
 	maxWatchers map[string]int
 	onPublish   func(node *simNode, version settings.Version)
-	truths      []simTruth
+	snapshots   []membershipSnapshot
 	// pausedUntil and badNetworkUntil are until when peers may not answer.
 	pausedUntil, badNetworkUntil time.Time
 }
 
-// simTruth is which nodes were up and running at a time.
-type simTruth struct {
+// membershipSnapshot holds the nodes that were running at a time.
+type membershipSnapshot struct {
 	at      time.Time
 	members []membership.Member
 }
 
 type simNode struct {
-	sim     *sim
-	member  membership.Member
-	machine *Machine
-	life    int
-	up      bool
-	paused  bool
-	backlog []func()
-	view    []membership.Member
-	hasDisk bool
-	disk    map[string]Entry
-	diskAt  settings.Version
-	// highest is the newest version that this node and its disk had in force.
-	highest settings.Version
-	// published and content are what this life has in force.
-	published settings.Version
-	hasAny    bool
-	startedAt time.Time
-	witnesses []witness
+	sim         *sim
+	member      membership.Member
+	machine     *Machine
+	incarnation int
+	up          bool
+	paused      bool
+	backlog     []func()
+	view        []membership.Member
+	hasDisk     bool
+	disk        map[string]Entry
+	diskVersion settings.Version
+	// maxPublished is the newest version that this node and its disk had in force.
+	maxPublished settings.Version
+	// published and content are what this incarnation has in force.
+	published    settings.Version
+	hasVersion   bool
+	startTime    time.Time
+	peersAtStart []peerVersion
 	// crashAfter, if not zero, counts down the actions to a crash.
 	crashAfter int
 	content    map[string]Entry
@@ -102,7 +102,7 @@
 	receivedBytes int
 }
 
-// newSim makes a fleet of equal zones and starts it.
+// newSim returns a fleet of equal zones and starts it.
 func newSim(seed uint64, regions, zonesPerRegion, nodesPerZone int) *sim {
 	s := emptySim(seed)
 	for region := range regions {
@@ -130,7 +130,7 @@
 	for _, node := range s.nodes {
 		node.start()
 	}
-	s.trackTruth()
+	s.recordMembership()
 }
 
 func (s *sim) addNode(region, zone, number int) {
@@ -151,7 +151,7 @@
 	heap.Push(&s.queue, simEvent{at: s.now.Add(delay), seq: s.seq, run: run})
 }
 
-// run lets virtual time pass.
+// run advances virtual time.
 func (s *sim) run(duration time.Duration) {
 	end := s.now.Add(duration)
 	for len(s.queue) > 0 && !s.queue[0].at.After(end) {
@@ -162,35 +162,35 @@
 	s.now = end
 }
 
-func (s *sim) fault(format string, arguments ...any) {
-	s.faults = append(s.faults, fmt.Sprintf(format, arguments...))
+func (s *sim) addViolation(format string, arguments ...any) {
+	s.violations = append(s.violations, fmt.Sprintf(format, arguments...))
 }
 
-// trackTruth records who is up, for views that lag.
-func (s *sim) trackTruth() {
+// recordMembership records the running nodes, for delayed views.
+func (s *sim) recordMembership() {
 	var members []membership.Member
 	for _, node := range s.nodes {
 		if node.up && !node.paused {
 			members = append(members, node.member)
 		}
 	}
-	s.truths = append(s.truths, simTruth{at: s.now, members: members})
-	if len(s.truths) > 20 {
-		s.truths = s.truths[1:]
+	s.snapshots = append(s.snapshots, membershipSnapshot{at: s.now, members: members})
+	if len(s.snapshots) > 20 {
+		s.snapshots = s.snapshots[1:]
 	}
-	s.at(200*time.Millisecond, s.trackTruth)
+	s.at(200*time.Millisecond, s.recordMembership)
 }
 
-// viewOf is what a node knows of the others: the truth of a while ago, less
-// those that it can't reach.
+// viewOf returns a node's membership view: the snapshot of simViewLag ago without
+// unreachable nodes.
 func (s *sim) viewOf(node *simNode) *membership.View {
 	view := &membership.View{}
-	for i := len(s.truths) - 1; i >= 0; i-- {
-		if s.now.Sub(s.truths[i].at) < simViewLag {
+	for i := len(s.snapshots) - 1; i >= 0; i-- {
+		if s.now.Sub(s.snapshots[i].at) < simViewLag {
 			continue
 		}
-		for _, member := range s.truths[i].members {
-			if !s.cutBetween(node, s.byAddr[member.Address]) {
+		for _, member := range s.snapshots[i].members {
+			if !s.partitioned(node, s.byAddr[member.Address]) {
 				view.Members = append(view.Members, member)
 			}
 		}
@@ -199,8 +199,8 @@
 	return view
 }
 
-func (s *sim) cutBetween(a, b *simNode) bool {
-	return (a.member.Region == s.cutRegion) != (b.member.Region == s.cutRegion)
+func (s *sim) partitioned(a, b *simNode) bool {
+	return (a.member.Region == s.isolatedRegion) != (b.member.Region == s.isolatedRegion)
 }
 
 func (s *sim) latency(a, b *simNode) time.Duration {
@@ -226,51 +226,51 @@
 	}
 }
 
-// start begins a life of the node, from its disk if it has one.
+// start begins a new incarnation of the node, from its disk if it has one.
 func (n *simNode) start() {
-	n.life++
-	n.startedAt, n.witnesses = n.sim.now, n.sim.witnessesFor(n)
+	n.incarnation++
+	n.startTime, n.peersAtStart = n.sim.now, n.sim.peerVersions(n)
 	n.up, n.paused, n.backlog, n.view = true, false, nil, nil
-	n.hasAny, n.published, n.content = false, 0, make(map[string]Entry)
+	n.hasVersion, n.published, n.content = false, 0, make(map[string]Entry)
 	var restored *State
-	if n.hasDisk && n.diskAt > 0 {
+	if n.hasDisk && n.diskVersion > 0 {
 		var entries []Entry
 		for _, entry := range n.disk {
 			entries = append(entries, entry)
 		}
-		restored = NewState(n.diskAt, entries)
+		restored = NewState(n.diskVersion, entries)
 	}
 	config := Config{Self: n.member, Seed: n.sim.random.Uint64()}
 	n.machine = New(config, n.sim.now, restored)
-	n.later(time.Duration(n.sim.random.Int64N(int64(simTick))), n.tick)
-	n.later(time.Duration(n.sim.random.Int64N(int64(simViewTick))), n.refreshView)
+	n.schedule(time.Duration(n.sim.random.Int64N(int64(simTick))), n.tick)
+	n.schedule(time.Duration(n.sim.random.Int64N(int64(simViewTick))), n.refreshView)
 }
 
-// witness is what another node had in force when this one started.
-type witness struct {
-	node    *simNode
-	life    int
-	version settings.Version
+// peerVersion is what another node had in force when this one started.
+type peerVersion struct {
+	node        *simNode
+	incarnation int
+	version     settings.Version
 }
 
-// witnessesFor are the nodes that a starting one could ask.
-func (s *sim) witnessesFor(starting *simNode) []witness {
-	var witnesses []witness
+// peerVersions returns the versions of the nodes that a starting one could query.
+func (s *sim) peerVersions(starting *simNode) []peerVersion {
+	var versions []peerVersion
 	for _, node := range s.nodes {
-		if node != starting && node.up && node.hasAny {
-			witnesses = append(witnesses, witness{node, node.life, node.published})
+		if node != starting && node.up && node.hasVersion {
+			versions = append(versions, peerVersion{node, node.incarnation, node.published})
 		}
 	}
-	return witnesses
+	return versions
 }
 
-// leastWitnessed is the lowest version of the witnesses that are still there,
-// or zero if none is.
-func (n *simNode) leastWitnessed() settings.Version {
+// minPeerVersion returns the lowest version of the peers at start that still
+// run, or zero if none does.
+func (n *simNode) minPeerVersion() settings.Version {
 	var versions []settings.Version
-	for _, witness := range n.witnesses {
-		if witness.node.up && witness.node.life == witness.life {
-			versions = append(versions, witness.version)
+	for _, peer := range n.peersAtStart {
+		if peer.node.up && peer.node.incarnation == peer.incarnation {
+			versions = append(versions, peer.version)
 		}
 	}
 	if len(versions) == 0 {
@@ -279,27 +279,27 @@
 	return slices.Min(versions)
 }
 
-// wellSince says that peers could answer all the time since.
-func (s *sim) wellSince(since time.Time) bool {
+// peersReachableSince reports whether peers could answer all the time since.
+func (s *sim) peersReachableSince(since time.Time) bool {
 	return s.pausedUntil.Before(since) && s.badNetworkUntil.Before(since)
 }
 
-// trouble notes that questions may stay unanswered for a while.
-func (s *sim) trouble(duration time.Duration) {
+// markUnreachable records that queries may stay unanswered for a while.
+func (s *sim) markUnreachable(duration time.Duration) {
 	if until := s.now.Add(duration); until.After(s.pausedUntil) {
 		s.pausedUntil = until
 	}
 }
 
-// later runs in this life only, and waits while the node is paused.
-func (n *simNode) later(delay time.Duration, run func()) {
-	life := n.life
+// schedule calls run in this incarnation only, and after any pause of the node.
+func (n *simNode) schedule(delay time.Duration, run func()) {
+	life := n.incarnation
 	n.sim.at(delay, func() { n.deliver(life, run) })
 }
 
 func (n *simNode) deliver(life int, run func()) {
 	switch {
-	case life != n.life || !n.up:
+	case life != n.incarnation || !n.up:
 	case n.paused:
 		n.backlog = append(n.backlog, run)
 	default:
@@ -308,18 +308,18 @@
 }
 
 func (n *simNode) tick() {
-	n.do(n.machine.Tick(n.sim.now))
+	n.execute(n.machine.Tick(n.sim.now))
 	n.sim.countWatchers()
-	n.later(simTick, n.tick)
+	n.schedule(simTick, n.tick)
 }
 
 func (n *simNode) refreshView() {
 	view := n.sim.viewOf(n)
 	if !slices.Equal(view.Members, n.view) {
 		n.view = view.Members
-		n.do(n.machine.SetView(n.sim.now, view))
+		n.execute(n.machine.SetView(n.sim.now, view))
 	}
-	n.later(simViewTick, n.refreshView)
+	n.schedule(simViewTick, n.refreshView)
 }
 
 func (n *simNode) stop() {
@@ -331,27 +331,27 @@
 	if !n.up || n.paused {
 		return
 	}
-	n.sim.trouble(duration)
+	n.sim.markUnreachable(duration)
 	n.paused = true
-	life := n.life
+	life := n.incarnation
 	n.sim.at(duration, func() {
-		if n.life != life || !n.up {
+		if n.incarnation != life || !n.up {
 			return
 		}
 		n.paused = false
 		backlog := n.backlog
 		n.backlog = nil
-		n.do(n.machine.Tick(n.sim.now)) // timers fire before queued input
+		n.execute(n.machine.Tick(n.sim.now)) // timers fire before queued input
 		for _, run := range backlog {
 			run()
 		}
 	})
 }
 
-// do executes actions in order.
-func (n *simNode) do(actions []Action) {
+// execute executes actions in order.
+func (n *simNode) execute(actions []Action) {
 	for _, action := range actions {
-		if n.crashes(action) {
+		if n.crashIfDue(action) {
 			return
 		}
 		switch action := action.(type) {
@@ -365,22 +365,22 @@
 			data, _ := action.Digest.Marshal()
 			n.send(action.To, data, func(to *simNode, data []byte) {
 				digest, err := UnmarshalDigest(data)
-				n.sim.must(err)
-				to.do(to.machine.HandleDigest(n.sim.now, n.member.Address, digest))
+				n.sim.checkDecode(err)
+				to.execute(to.machine.HandleDigest(n.sim.now, n.member.Address, digest))
 			})
 		case SendReport:
 			data, _ := action.Report.Marshal()
 			n.send(action.To, data, func(to *simNode, data []byte) {
 				report, err := UnmarshalReport(data)
-				n.sim.must(err)
-				to.do(to.machine.HandleReport(n.sim.now, n.member.Address, report))
+				n.sim.checkDecode(err)
+				to.execute(to.machine.HandleReport(n.sim.now, n.member.Address, report))
 			})
 		case SendZoneReport:
 			data, _ := action.Report.Marshal()
 			n.send(action.To, data, func(to *simNode, data []byte) {
 				report, err := UnmarshalZoneReport(data)
-				n.sim.must(err)
-				to.do(to.machine.HandleZoneReport(n.sim.now, report))
+				n.sim.checkDecode(err)
+				to.execute(to.machine.HandleZoneReport(n.sim.now, report))
 			})
 		case CallPull:
 			n.callPull(action)
@@ -398,8 +398,9 @@
 	}
 }
 
-// crashes counts the actions that matter, and stops the node at the last.
-func (n *simNode) crashes(action Action) bool {
+// crashIfDue counts down crashAfter, stops the node at zero, and reports whether
+// the node is down.
+func (n *simNode) crashIfDue(action Action) bool {
 	switch action.(type) {
 	case Persist, Publish, SendDelta:
 	default:
@@ -416,28 +417,27 @@
 	return true
 }
 
-func (s *sim) must(err error) {
+func (s *sim) checkDecode(err error) {
 	if err != nil {
-		s.fault("decode: %v", err)
+		s.addViolation("decode: %v", err)
 	}
 }
 
 func (n *simNode) sendDelta(action SendDelta) {
 	data, err := action.Delta.Marshal()
-	n.sim.must(err)
+	n.sim.checkDecode(err)
 	n.send(action.To, data, func(to *simNode, data []byte) {
 		delta, err := UnmarshalDelta(data)
-		n.sim.must(err)
-		to.do(to.machine.HandleDelta(n.sim.now, n.member.Address, delta))
+		n.sim.checkDecode(err)
+		to.execute(to.machine.HandleDelta(n.sim.now, n.member.Address, delta))
 	})
 }
 
-// send delivers a message, unless the network loses it; it may come twice and
-// out of order.
+// send delivers a message, which the network may lose, duplicate or reorder.
 func (n *simNode) send(to transport.Address, data []byte, handle func(to *simNode, data []byte)) {
 	target := n.sim.byAddr[to]
 	n.count(target, data)
-	if n.sim.cutBetween(n, target) || n.sim.random.Float64() < n.sim.loss {
+	if n.sim.partitioned(n, target) || n.sim.random.Float64() < n.sim.loss {
 		return
 	}
 	copies := 1
@@ -449,7 +449,7 @@
 		if n.sim.duplicate {
 			delay += time.Duration(n.sim.random.IntN(300)) * time.Millisecond
 		}
-		target.later(delay, func() { handle(target, data) })
+		target.schedule(delay, func() { handle(target, data) })
 	}
 }
 
@@ -461,24 +461,24 @@
 
 func (n *simNode) callPull(action CallPull) {
 	data, err := action.Pull.Marshal()
-	n.sim.must(err)
+	n.sim.checkDecode(err)
 	peer := n.sim.byAddr[action.To]
 	answered := false
 	finish := func(answer *PullAnswer) {
 		if !answered {
 			answered = true
-			n.do(n.machine.HandlePullAnswer(n.sim.now, action.To, answer))
+			n.execute(n.machine.HandlePullAnswer(n.sim.now, action.To, answer))
 		}
 	}
-	n.later(simCallTimeout, func() { finish(nil) })
+	n.schedule(simCallTimeout, func() { finish(nil) })
 	n.send(action.To, data, func(peer *simNode, data []byte) {
 		pull, err := UnmarshalPull(data)
-		n.sim.must(err)
+		n.sim.checkDecode(err)
 		answer, err := peer.machine.HandlePull(n.sim.now, pull).Marshal()
-		n.sim.must(err)
+		n.sim.checkDecode(err)
 		peer.send(n.member.Address, answer, func(_ *simNode, data []byte) {
 			decoded, err := UnmarshalPullAnswer(data)
-			n.sim.must(err)
+			n.sim.checkDecode(err)
 			finish(decoded)
 		})
 	})
@@ -489,11 +489,11 @@
 	if !n.hasDisk {
 		return
 	}
-	if action.Version < n.diskAt {
-		n.sim.fault("%s: disk goes back from %s to %s", n.member.Name, n.diskAt, action.Version)
+	if action.Version < n.diskVersion {
+		n.sim.addViolation("%s: version on disk regresses from %s to %s", n.member.Name, n.diskVersion, action.Version)
 	}
 	merge(n.disk, action.Changes, (*Entry).Gone)
-	n.diskAt = action.Version
+	n.diskVersion = action.Version
 }
 
 func isDeleted(entry *Entry) bool { return entry.Deleted }
@@ -509,36 +509,36 @@
 }
 
 func (n *simNode) publish(action Publish) {
-	if n.hasAny && action.Version <= n.published {
-		n.sim.fault("%s: in force goes from %s to %s", n.member.Name, n.published, action.Version)
+	if n.hasVersion && action.Version <= n.published {
+		n.sim.addViolation("%s: version in force does not increase from %s to %s", n.member.Name, n.published, action.Version)
 	}
-	if n.hasDisk && action.Version < n.highest {
-		n.sim.fault("%s: in force goes from %s to %s over a restart", n.member.Name, n.highest, action.Version)
+	if n.hasDisk && action.Version < n.maxPublished {
+		n.sim.addViolation("%s: version in force regresses from %s to %s after a restart", n.member.Name, n.maxPublished, action.Version)
 	}
-	if floor := n.leastWitnessed(); !n.hasAny && n.sim.wellSince(n.startedAt) && action.Version < floor {
-		n.sim.fault("%s: restarted with %s, below all others' %s", n.member.Name, action.Version, floor)
+	if floor := n.minPeerVersion(); !n.hasVersion && n.sim.peersReachableSince(n.startTime) && action.Version < floor {
+		n.sim.addViolation("%s: restarted with %s, older than the lowest peer version %s", n.member.Name, action.Version, floor)
 	}
-	n.highest = action.Version
+	n.maxPublished = action.Version
 	if action.Replace {
 		n.content = make(map[string]Entry)
 	}
 	n.checkEntries(action)
 	merge(n.content, action.Changes, isDeleted)
-	n.hasAny, n.published = true, action.Version
+	n.hasVersion, n.published = true, action.Version
 	n.sim.store.checkContent(n)
 	if n.sim.onPublish != nil {
 		n.sim.onPublish(n, action.Version)
 	}
 }
 
-// checkEntries: within an epoch, no entry in force goes back.
+// checkEntries checks that no entry regresses within an epoch.
 func (n *simNode) checkEntries(action Publish) {
-	if !n.hasAny || action.Version.Epoch() != n.published.Epoch() {
+	if !n.hasVersion || action.Version.Epoch() != n.published.Epoch() {
 		return
 	}
 	for _, entry := range action.Changes {
 		if old, present := n.content[entry.Name]; present && old.Revision > entry.Revision {
-			n.sim.fault("%s: %s goes from revision %d to %d", n.member.Name, entry.Name, old.Revision, entry.Revision)
+			n.sim.addViolation("%s: %s regresses from revision %d to %d", n.member.Name, entry.Name, old.Revision, entry.Revision)
 		}
 	}
 }
--- a/internal/settings/dissemination/simstore_test.go
+++ b/internal/settings/dissemination/simstore_test.go
@@ -12,47 +12,47 @@
 	"chutelock.dev/chutelock/internal/settings/tree"
 )
 
-// simStore is the platform's store, and the oracle: it remembers which
-// content each version had.
+// simStore simulates the platform's store and is the test oracle: it records the
+// content of each version.
 type simStore struct {
 	sim      *sim
 	objects  map[string]Entry
 	revision uint64
-	swept    uint64 // revision of the newest sweep
+	purgedAt uint64 // revision of the newest purge
 	epoch    uint16
 	down     bool
 	// unreachable, if not empty, is a region that can't reach the store.
 	unreachable string
-	frozen      bool // watches bring nothing, not even their end
+	frozen      bool // watches deliver nothing, not even their end
 	// compacted is the oldest revision that a watch may start from.
 	compacted uint64
-	events    []Entry // all changes of this copy, in order
+	events    []Entry // all changes, in order
 	watches   []*simWatch
-	copies    []simCopy
-	// accepted is the content digests that each version had. A store that was
-	// put back and written to may give a version a second content.
+	backups   []simBackup
+	// accepted is the content digests of each version. Writes after a restore
+	// may give a version a second content.
 	accepted map[settings.Version]map[uint64]bool
 	maxOpen  int
 	requests int
 	writes   int
 }
 
-type simCopy struct {
+type simBackup struct {
 	objects  map[string]Entry
 	revision uint64
-	swept    uint64
+	purgedAt uint64
 	epoch    uint16
 	events   []Entry
 }
 
 type simWatch struct {
-	node   *simNode
-	life   int
-	ticket uint64
-	next   int // index into events
-	closed bool
-	opened bool // the store has taken the request
-	dead   bool // brings nothing any more, and does not end
+	node        *simNode
+	incarnation int
+	ticket      uint64
+	next        int // index into events
+	closed      bool
+	opened      bool // the store has taken the request
+	silent      bool // delivers nothing any more, and does not end
 }
 
 func newSimStore(s *sim) *simStore {
@@ -63,7 +63,7 @@
 }
 
 func (s *simStore) version() settings.Version {
-	head := s.swept
+	head := s.purgedAt
 	for _, entry := range s.objects {
 		head = max(head, entry.Revision)
 	}
@@ -71,13 +71,13 @@
 }
 
 func digestOf(objects map[string]Entry) uint64 {
-	var whole uint64
+	var sum uint64
 	for _, entry := range objects {
 		if !entry.Deleted {
-			whole ^= entry.hash()
+			sum ^= entry.hash()
 		}
 	}
-	return whole
+	return sum
 }
 
 func (s *simStore) record() {
@@ -88,15 +88,14 @@
 	s.accepted[version][digestOf(s.objects)] = true
 }
 
-// checkContent is the oracle: a node has in force what the store once had at
-// that version.
+// checkContent checks that the store once had the node's content at its version.
 func (s *simStore) checkContent(node *simNode) {
 	if !s.accepted[node.published][digestOf(node.content)] {
-		s.sim.fault("%s: content of %s was never the store's: %v, it has %v", node.member.Name, node.published, node.content, s.objects)
+		s.sim.addViolation("%s: content at %s was never in the store: %v, store has %v", node.member.Name, node.published, node.content, s.objects)
 	}
 }
 
-// put writes and tells the watches.
+// put writes an entry and notifies the watches.
 func (s *simStore) put(name string, deleted bool, spec []byte) Entry {
 	s.revision++
 	entry := Entry{Name: name, Revision: s.revision, Deleted: deleted, Spec: spec}
@@ -106,41 +105,41 @@
 		s.epoch = epochOf(&entry)
 	}
 	s.record()
-	s.pump()
+	s.deliverEvents()
 	return entry
 }
 
-// knownToAll says that every node and disk has a change. Traces are kept for
-// longer than any node may be away.
+// knownToAll reports whether every node and disk has a change. Tombstones are kept
+// for longer than any node may be down.
 func (s *simStore) knownToAll(entry Entry) bool {
 	version := settings.MakeVersion(s.epoch, entry.Revision)
 	return !slices.ContainsFunc(s.sim.nodes, func(node *simNode) bool {
-		return !node.up || !node.hasAny || node.published < version || node.hasDisk && node.diskAt < version
+		return !node.up || !node.hasVersion || node.published < version || node.hasDisk && node.diskVersion < version
 	})
 }
 
-// sweep removes the trace of a deletion, if there is one that may go.
-func (s *simStore) sweep() {
+// purgeOne purges one tombstone that is known to all, if any.
+func (s *simStore) purgeOne() {
 	for _, name := range slices.Sorted(maps.Keys(s.objects)) {
 		if s.objects[name].Deleted && s.knownToAll(s.objects[name]) {
 			delete(s.objects, name)
 			s.revision++
-			s.swept = s.revision
+			s.purgedAt = s.revision
 			s.events = append(s.events, Entry{Name: name, Revision: s.revision, Deleted: true})
 			s.record()
-			s.pump()
+			s.deliverEvents()
 			return
 		}
 	}
 }
 
-// pump delivers events to the open watches.
-func (s *simStore) pump() {
+// deliverEvents delivers events to the open watches.
+func (s *simStore) deliverEvents() {
 	if s.down || s.frozen {
 		return
 	}
 	for _, watch := range s.watches {
-		for ; watch.opened && !watch.dead && watch.next < len(s.events); watch.next++ {
+		for ; watch.opened && !watch.silent && watch.next < len(s.events); watch.next++ {
 			s.deliver(watch, false, s.events[watch.next])
 		}
 	}
@@ -152,9 +151,9 @@
 		if watch.closed {
 			return
 		}
-		watch.node.deliver(watch.life, func() {
+		watch.node.deliver(watch.incarnation, func() {
 			if !watch.closed {
-				watch.node.do(watch.node.machine.HandleWatchEvent(s.sim.now, watch.ticket, bookmark, entry))
+				watch.node.execute(watch.node.machine.HandleWatchEvent(s.sim.now, watch.ticket, bookmark, entry))
 			}
 		})
 	})
@@ -163,7 +162,7 @@
 func (s *simStore) bookmarks() {
 	if !s.down && !s.frozen {
 		for _, watch := range s.watches {
-			if watch.opened && !watch.dead {
+			if watch.opened && !watch.silent {
 				s.deliver(watch, true, Entry{Revision: s.revision})
 			}
 		}
@@ -171,23 +170,23 @@
 	s.sim.at(simBookmark, s.bookmarks)
 }
 
-// setFrozen begins or ends a time in which watches bring nothing.
+// setFrozen begins or ends a period in which watches deliver nothing.
 func (s *simStore) setFrozen(frozen bool) {
 	s.frozen = frozen
-	s.pump()
+	s.deliverEvents()
 }
 
-// killWatches makes the open watches silent for good.
-func (s *simStore) killWatches() {
+// silenceWatches makes the open watches silent permanently.
+func (s *simStore) silenceWatches() {
 	for _, watch := range s.watches {
-		watch.dead = true
+		watch.silent = true
 	}
 }
 
 // answer runs a request at the store and hands its result to the node.
 func (s *simStore) answer(node *simNode, request func(err error) func()) {
 	s.requests++
-	life := node.life
+	life := node.incarnation
 	s.sim.at(5*time.Millisecond, func() {
 		var err error
 		if s.down || s.unreachable != "" && node.member.Region == s.unreachable {
@@ -202,7 +201,7 @@
 	s.answer(node, func(err error) func() {
 		found, ok := s.objects[action.Name]
 		probe := Probe{Found: ok, Newest: found, Epoch: s.epoch}
-		return func() { node.do(node.machine.HandleProbed(s.sim.now, action.Ticket, probe, err)) }
+		return func() { node.execute(node.machine.HandleProbed(s.sim.now, action.Ticket, probe, err)) }
 	})
 }
 
@@ -213,13 +212,13 @@
 			listed = append(listed, s.objects[name])
 		}
 		revision := s.revision
-		return func() { node.do(node.machine.HandleListed(s.sim.now, action.Ticket, listed, revision, err)) }
+		return func() { node.execute(node.machine.HandleListed(s.sim.now, action.Ticket, listed, revision, err)) }
 	})
 }
 
 func (s *simStore) watch(node *simNode, action WatchStore) {
 	s.closeWatches(node)
-	opened := &simWatch{node: node, life: node.life, ticket: action.Ticket}
+	opened := &simWatch{node: node, incarnation: node.incarnation, ticket: action.Ticket}
 	s.watches = append(s.watches, opened)
 	s.maxOpen = max(s.maxOpen, len(s.watches))
 	s.answer(node, func(err error) func() {
@@ -238,11 +237,11 @@
 		}
 		if err == nil {
 			opened.opened = true
-			s.pump()
+			s.deliverEvents()
 			return func() {}
 		}
 		s.drop(opened)
-		return func() { node.do(node.machine.HandleWatchEnded(s.sim.now, action.Ticket, err)) }
+		return func() { node.execute(node.machine.HandleWatchEnded(s.sim.now, action.Ticket, err)) }
 	})
 }
 
@@ -267,23 +266,23 @@
 	}
 	for _, watch := range slices.Clone(s.watches) {
 		s.drop(watch)
-		watch.node.deliver(watch.life, func() {
-			watch.node.do(watch.node.machine.HandleWatchEnded(s.sim.now, watch.ticket, errStoreDown))
+		watch.node.deliver(watch.incarnation, func() {
+			watch.node.execute(watch.node.machine.HandleWatchEnded(s.sim.now, watch.ticket, errStoreDown))
 		})
 	}
 }
 
-// keepCopy makes a backup; restoreCopy brings it back, which breaks watches.
-func (s *simStore) keepCopy() {
-	s.copies = append(s.copies, simCopy{maps.Clone(s.objects), s.revision, s.swept, s.epoch, slices.Clone(s.events)})
+// backUp makes a backup; restoreBackup restores it, which breaks watches.
+func (s *simStore) backUp() {
+	s.backups = append(s.backups, simBackup{maps.Clone(s.objects), s.revision, s.purgedAt, s.epoch, slices.Clone(s.events)})
 }
 
-func (s *simStore) restoreCopy(number int) {
+func (s *simStore) restoreBackup(number int) {
 	wasDown := s.down
 	s.setDown(true)
-	backup := s.copies[number]
+	backup := s.backups[number]
 	s.objects, s.revision, s.epoch, s.events = maps.Clone(backup.objects), backup.revision, backup.epoch, slices.Clone(backup.events)
-	s.swept = backup.swept
+	s.purgedAt = backup.purgedAt
 	s.compacted = 0
 	s.down = wasDown
 }
@@ -294,7 +293,7 @@
 	if s.down || !node.up || node.paused || !node.machine.published || s.behind(node) {
 		return false
 	}
-	s.writes++ // stands for the change's id, which makes each write unique
+	s.writes++ // makes each write unique, like a change's id
 	s.put(name, remove, fmt.Appendf(nil, "%d %v write %d", value, remove, s.writes))
 	return true
 }
@@ -305,19 +304,19 @@
 		return true
 	}
 	newest := machine.Newest()
-	return newest.Name != "" && s.objects[newest.Name].Revision < newest.Revision && !s.hasSwept(newest) || machine.state.version.Revision() > s.revision
+	return newest.Name != "" && s.objects[newest.Name].Revision < newest.Revision && !s.hasPurged(newest) || machine.state.version.Revision() > s.revision
 }
 
-// hasSwept says whether this copy of the store swept a trace.
-func (s *simStore) hasSwept(trace Entry) bool {
-	return trace.Deleted && slices.ContainsFunc(s.events, func(event Entry) bool {
-		return event.Name == trace.Name && event.Gone() && event.Revision > trace.Revision
+// hasPurged reports whether the store purged a tombstone.
+func (s *simStore) hasPurged(tombstone Entry) bool {
+	return tombstone.Deleted && slices.ContainsFunc(s.events, func(event Entry) bool {
+		return event.Name == tombstone.Name && event.Gone() && event.Revision > tombstone.Revision
 	})
 }
 
 // recover writes what a node has in force to the store and raises the epoch.
 func (s *simStore) recover(node *simNode) bool {
-	if s.down || !node.up || node.paused || !node.hasAny || node.machine.Heard() > node.published {
+	if s.down || !node.up || node.paused || !node.hasVersion || node.machine.Heard() > node.published {
 		return false
 	}
 	for _, name := range slices.Sorted(maps.Keys(node.content)) {
@@ -344,8 +343,8 @@
 			continue
 		}
 		s.drop(watch)
-		watch.node.deliver(watch.life, func() {
-			watch.node.do(watch.node.machine.HandleWatchEnded(s.sim.now, watch.ticket, errStoreDown))
+		watch.node.deliver(watch.incarnation, func() {
+			watch.node.execute(watch.node.machine.HandleWatchEnded(s.sim.now, watch.ticket, errStoreDown))
 		})
 	}
 }
--- a/internal/settings/dissemination/startup.go
+++ b/internal/settings/dissemination/startup.go
@@ -8,33 +8,33 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-// startup asks a few peers for their versions, so that a restarted node does
-// not put its disk's or a restored store's older state in force.
+// startup tracks the version queries of a starting node, which keep it from
+// publishing an outdated state of its disk or of a restored store.
 type startup struct {
-	began    time.Time
-	askedAt  time.Time
-	finished bool
+	began     time.Time
+	queriedAt time.Time
+	finished  bool
 	// answers are the versions of peers that have settings in force.
 	answers map[transport.Address]settings.Version
-	// asked counts the peers asked so far, so that each round asks others.
-	asked int
+	// queried counts the peers queried so far, so that each round queries others.
+	queried int
 }
 
-// startupRetry is the pause between two rounds of questions.
+// startupRetry is the pause between two rounds of queries.
 const startupRetry = 200 * time.Millisecond
 
-// startupQuorum is the number of peers whose word spares the rest of the wait.
-// One alone may be the node that lags most.
+// startupQuorum is the number of peers whose answers end the wait early.
+// A single peer may itself be behind.
 const startupQuorum = 2
 
-// tickStartup asks peers, and publishes the first version when enough have
+// tickStartup queries peers, and publishes the first version when enough have
 // answered or the wait is over.
 func (m *Machine) tickStartup(now time.Time) {
 	if m.published {
 		return
 	}
 	if !m.startup.finished {
-		m.askPeers(now)
+		m.queryPeers(now)
 		m.startup.finished = m.startupDone(now)
 	}
 	if m.startup.finished && m.state.known {
@@ -42,16 +42,16 @@
 	}
 }
 
-// askPeers asks a few peers, near ones first, and others in the next round.
-func (m *Machine) askPeers(now time.Time) {
-	if now.Sub(m.startup.askedAt) < startupRetry {
+// queryPeers queries a few peers per round, the nearest first.
+func (m *Machine) queryPeers(now time.Time) {
+	if now.Sub(m.startup.queriedAt) < startupRetry {
 		return
 	}
-	m.startup.askedAt = now
-	near := slices.Concat(m.plan.zone, m.plan.region, m.plan.elsewhere)
-	for range min(startupPeers, len(near)) {
-		peer := near[m.startup.asked%len(near)]
-		m.startup.asked++
+	m.startup.queriedAt = now
+	peers := slices.Concat(m.plan.zonePeers, m.plan.regionPeers, m.plan.otherRegions)
+	for range min(startupPeers, len(peers)) {
+		peer := peers[m.startup.queried%len(peers)]
+		m.startup.queried++
 		if _, answered := m.startup.answers[peer]; !answered {
 			m.sendDigest(now, peer, false)
 		}
@@ -60,15 +60,15 @@
 
 func (m *Machine) startupDone(now time.Time) bool {
 	waited := now.Sub(m.startup.began)
-	best, answers := settings.Version(0), len(m.startup.answers)
+	newest, answers := settings.Version(0), len(m.startup.answers)
 	for _, version := range m.startup.answers {
-		best = max(best, version)
+		newest = max(newest, version)
 	}
-	caughtUp := m.state.known && m.state.version >= best
+	caughtUp := m.state.known && m.state.version >= newest
 	if answers >= startupQuorum && caughtUp {
 		return true
 	}
-	if waited >= m.config.StartupWait && (caughtUp || best == 0) {
+	if waited >= m.config.StartupWait && (caughtUp || newest == 0) {
 		return true
 	}
 	return waited >= 2*m.config.StartupWait
--- a/internal/settings/dissemination/state.go
+++ b/internal/settings/dissemination/state.go
@@ -12,9 +12,8 @@
 // BucketCount is the number of buckets that two nodes compare.
 const BucketCount = 256
 
-// Entry is one stored object, or the trace of its deletion, which is kept so
-// that an entry that is missing elsewhere is known to be lost there and not
-// deleted. A deleted entry without Spec means that the trace goes as well. The
+// Entry is a stored object or a tombstone, which tells a deleted entry from one
+// that was lost. A deleted entry without Spec removes the tombstone as well. The
 // content of Spec is opaque here.
 type Entry struct {
 	Name     string
@@ -32,16 +31,16 @@
 	return digest.Sum64()
 }
 
-// Gone says that not even the trace of a deletion is left.
+// Gone reports whether the entry removes even the tombstone.
 func (e *Entry) Gone() bool { return e.Deleted && len(e.Spec) == 0 }
 
 func (e *Entry) size() int { return len(e.Name) + len(e.Spec) + entryOverhead }
 
-// entryOverhead is the number of bytes of an encoded entry beside its name
-// and content.
+// entryOverhead is the number of bytes of an encoded entry besides its
+// name and content.
 const entryOverhead = 8 + 1 + 2 + 4
 
-// bucketOf is the bucket of a name.
+// bucketOf returns the bucket of a name.
 func bucketOf(name string) uint8 { return uint8(xxhash.Sum64String(name)) }
 
 // State is the content of the tree at one version.
@@ -51,12 +50,12 @@
 	known   bool
 	entries [BucketCount]map[string]Entry
 	digests [BucketCount]uint64
-	// newest is the entry of the newest change; its name is empty when nothing
-	// of it is left. A probe of the store compares it.
+	// newest is the entry of the newest change; its name is empty if
+	// that was purged. Probes of the store are compared with it.
 	newest Entry
 }
 
-// NewState makes a state from stored parts.
+// NewState returns a State at version that holds entries.
 func NewState(version settings.Version, entries []Entry) *State {
 	state := &State{version: version, known: true}
 	for _, entry := range entries {
@@ -66,10 +65,10 @@
 	return state
 }
 
-// Version is the state's version; false before the first.
+// Version returns the state's version; false before the first.
 func (s *State) Version() (settings.Version, bool) { return s.version, s.known }
 
-// Each visits the entries in no order, traces of deletions among them.
+// Each visits the entries, tombstones included, in no particular order.
 func (s *State) Each(visit func(Entry)) {
 	for _, bucket := range s.entries {
 		for _, entry := range bucket {
@@ -78,7 +77,7 @@
 	}
 }
 
-// all lists the entries.
+// all returns the entries.
 func (s *State) all() []Entry {
 	var entries []Entry
 	s.Each(func(entry Entry) { entries = append(entries, entry) })
@@ -90,13 +89,13 @@
 	return entry, present
 }
 
-// digest covers the whole content.
+// digest returns the digest of the whole content.
 func (s *State) digest() uint64 {
-	var whole uint64
+	var sum uint64
 	for _, digest := range s.digests {
-		whole ^= digest
+		sum ^= digest
 	}
-	return whole
+	return sum
 }
 
 // put replaces or deletes one entry.
@@ -116,7 +115,7 @@
 	s.digests[number] ^= entry.hash()
 }
 
-// findNewest looks the newest change up.
+// findNewest sets newest from the entries.
 func (s *State) findNewest() {
 	s.newest = Entry{}
 	s.Each(func(entry Entry) {
@@ -126,8 +125,8 @@
 	})
 }
 
-// fits says whether a newer delta joins this state.
-func (s *State) fits(delta *Delta) bool {
+// accepts reports whether a newer delta is contiguous with this state.
+func (s *State) accepts(delta *Delta) bool {
 	if !s.known {
 		return false
 	}
@@ -149,21 +148,21 @@
 	return changed
 }
 
-// digestWith is the digest after changes, which name no entry twice.
+// digestWith returns the digest after changes, which name no entry twice.
 func (s *State) digestWith(changes []Entry) uint64 {
-	whole := s.digest()
+	sum := s.digest()
 	for i := range changes {
 		if old, present := s.get(changes[i].Name); present {
-			whole ^= old.hash()
+			sum ^= old.hash()
 		}
 		if !changes[i].Gone() {
-			whole ^= changes[i].hash()
+			sum ^= changes[i].hash()
 		}
 	}
-	return whole
+	return sum
 }
 
-// advance puts changes in and moves to version.
+// advance applies changes and moves to version.
 func (s *State) advance(version settings.Version, changes []Entry) {
 	s.version, s.known = version, true
 	s.newest = Entry{}
@@ -205,7 +204,7 @@
 	}
 }
 
-// difference lists how to get from s to other.
+// difference returns the changes that lead from s to other.
 func (s *State) difference(other *State) []Entry {
 	var changed []Entry
 	other.Each(func(entry Entry) {
@@ -222,16 +221,16 @@
 	return changed
 }
 
-// follows says whether other, of the same epoch, is a later state of the same
-// history, and if not, names an entry that shows it: one of s that other lacks
-// or holds in an older version, or one that other dates from before s.version
-// and s holds otherwise. Other may lack a trace of a deletion, because it is
-// swept after a while; it may not hold one that was swept before s.version.
-func (s *State) follows(other *State) (string, bool) {
+// precedes reports whether other, of the same epoch, is a later state of the same
+// history. If not, it returns the name of a conflicting entry: one of s that
+// other lacks or holds at an older revision, or one of other that is not newer
+// than s.version and differs in s. Other may lack a tombstone, because those are
+// purged eventually; it may not hold one that was purged before s.version.
+func (s *State) precedes(other *State) (string, bool) {
 	name, ok := "", true
 	s.Each(func(entry Entry) {
-		theirs, present := other.get(entry.Name)
-		if !present && !entry.Deleted || present && theirs.Revision < entry.Revision {
+		found, present := other.get(entry.Name)
+		if !present && !entry.Deleted || present && found.Revision < entry.Revision {
 			name, ok = entry.Name, false
 		}
 	})
--- a/internal/settings/dissemination/watch.go
+++ b/internal/settings/dissemination/watch.go
@@ -12,40 +12,40 @@
 type watchPhase uint8
 
 const (
-	phaseIdle     watchPhase = iota // not chosen
-	phaseWaiting                    // for the next try
-	phaseProbing                    // is the store still the one in force?
-	phaseListing                    // reading the whole
-	phaseWatching                   // taking events
+	phaseIdle     watchPhase = iota // not selected
+	phaseWaiting                    // until the next retry
+	phaseProbing                    // checking that the store holds the state in force
+	phaseListing                    // listing all objects
+	phaseWatching                   // processing events
 )
 
-// watch is this node's reading of the store.
+// watch is the state of this node's watch on the store.
 type watch struct {
 	phase  watchPhase
 	ticket uint64
-	// chosenSince and droppedSince are when the role came or went.
+	// chosenSince and droppedSince are when the watcher role was gained or lost.
 	chosenSince, droppedSince time.Time
-	// deadline ends a phase that waits for something.
+	// deadline ends the current phase.
 	deadline time.Time
 	failures int
-	// basis is what was in force when the probe or listing began; an answer
-	// that crossed a newer version is asked for again.
-	basis Entry
-	began settings.Version
-	// ticked is the time of the tick before, to notice a pause.
-	ticked time.Time
-	// verified is set once the store was seen, by an answer that is younger
-	// than the watch, to hold what is in force: the store might have been put
-	// back between the probe and the opening. Until then events are held.
+	// basis and basisVersion are what was in force when the probe or listing
+	// began; an answer that arrives after a newer version is requested again.
+	basis        Entry
+	basisVersion settings.Version
+	// lastTick is the time of the previous tick, to detect a pause.
+	lastTick time.Time
+	// verified is set once an answer newer than the watch shows that the store
+	// holds the state in force: the store may have been restored between the
+	// probe and the opening. Until then events are held.
 	verified bool
 	checking bool
 	held     []Entry
-	// ahead are the revisions above the cursor that came in force through
-	// peers. The watch must bring them too, or it is of another history.
-	ahead map[uint64]struct{}
-	// cursor is the newest revision that the watch has shown.
+	// peerRevisions are the revisions above the cursor that peers delivered
+	// first. The watch must deliver them too, or its history differs.
+	peerRevisions map[uint64]struct{}
+	// cursor is the newest revision that the watch has delivered.
 	cursor uint64
-	// behindSince is since when peers know more than this watch has shown.
+	// behindSince is when the watch fell behind the version in force.
 	behindSince time.Time
 	refused     bool
 }
@@ -53,26 +53,26 @@
 const (
 	// requestTimeout bounds a probe or a listing.
 	requestTimeout = 10 * time.Second
-	// watchLag is how long a watch may trail what peers have in force.
+	// watchLag is how long a watch may stay behind the version in force.
 	watchLag = 5 * time.Second
-	// pauseLimit is the gap between ticks from which a watcher that was
-	// paused gives its watch up: another node may have taken over.
+	// pauseLimit is the gap between ticks after which a watcher closes its
+	// watch: another node may have taken over.
 	pauseLimit = time.Second
 )
 
-// traceSpec is the trace of a deletion that was made directly in the store.
-const traceSpec = `{"kind":"folder","deleted":true}`
+// tombstoneSpec is the tombstone of a deletion made directly in the store.
+const tombstoneSpec = `{"kind":"folder","deleted":true}`
 
-// Probe is what the store holds of the newest change and of the epoch.
+// Probe is the store's entry for the newest change, and its epoch.
 type Probe struct {
 	Found  bool
 	Newest Entry
 	Epoch  uint16
 }
 
-// tickWatch opens and closes the watch as the role comes and goes.
+// tickWatch opens and closes the watch as the watcher role is gained and lost.
 func (m *Machine) tickWatch(now time.Time) {
-	m.noticePause(now)
+	m.detectPause(now)
 	m.trackRole(now)
 	w := &m.watch
 	switch w.phase {
@@ -92,33 +92,34 @@
 	case phaseWatching:
 		m.checkLag(now)
 		if !now.Before(w.deadline) {
-			m.do(StopWatch{})
+			m.emit(StopWatch{})
 			m.storeFailed(now, nil)
 		}
 	}
 }
 
-// noticePause gives the watch up after a pause of the process.
-func (m *Machine) noticePause(now time.Time) {
+// detectPause closes the watch after a pause of the process.
+func (m *Machine) detectPause(now time.Time) {
 	w := &m.watch
-	paused := !w.ticked.IsZero() && now.Sub(w.ticked) >= pauseLimit
-	w.ticked = now
+	paused := !w.lastTick.IsZero() && now.Sub(w.lastTick) >= pauseLimit
+	w.lastTick = now
 	if !paused {
 		return
 	}
 	w.chosenSince = time.Time{}
 	if w.phase != phaseIdle {
-		m.leave()
+		m.stopWatching()
 	}
 }
 
-// leave closes the watch and gives the role up.
-func (m *Machine) leave() {
-	m.do(StopWatch{})
+// stopWatching closes the watch and returns to idle.
+func (m *Machine) stopWatching() {
+	m.emit(StopWatch{})
 	m.enter(phaseIdle, time.Time{})
 }
 
-// trackRole notes when the role came or went, and gives it up in time.
+// trackRole records when the role was gained or lost, and closes the watch
+// StopDelay after its loss.
 func (m *Machine) trackRole(now time.Time) {
 	w := &m.watch
 	if m.plan.watcher {
@@ -133,11 +134,11 @@
 		w.droppedSince = now
 	}
 	if w.phase != phaseIdle && now.Sub(w.droppedSince) >= m.config.StopDelay {
-		m.leave()
+		m.stopWatching()
 	}
 }
 
-// checkLag restarts a watch that trails what peers have in force.
+// checkLag restarts a watch that stays behind the version in force.
 func (m *Machine) checkLag(now time.Time) {
 	w := &m.watch
 	if w.cursor >= m.state.version.Revision() {
@@ -152,102 +153,102 @@
 	}
 }
 
-// enter begins a phase, whose answers carry a new ticket.
+// enter begins a phase and returns its new ticket, which answers must carry.
 func (m *Machine) enter(phase watchPhase, deadline time.Time) uint64 {
 	m.watch.phase = phase
 	m.watch.deadline = deadline
 	m.watch.behindSince = time.Time{}
 	m.watch.verified, m.watch.checking, m.watch.held = false, false, nil
-	m.watch.ahead = nil
-	m.noteBasis()
+	m.watch.peerRevisions = nil
+	m.recordBasis()
 	m.watch.ticket++
 	return m.watch.ticket
 }
 
-// noteBasis notes what the next answer of the store is compared with.
-func (m *Machine) noteBasis() {
-	m.watch.basis, m.watch.began = m.state.newest, m.state.version
+// recordBasis records what the next answer of the store is compared with.
+func (m *Machine) recordBasis() {
+	m.watch.basis, m.watch.basisVersion = m.state.newest, m.state.version
 }
 
-// tryStore probes a store that it knows, and lists one that it does not.
+// tryStore probes the store if the newest change is known, and otherwise lists it.
 func (m *Machine) tryStore(now time.Time) {
 	if !m.state.known || m.state.newest.Name == "" {
 		m.list(now)
 		return
 	}
 	ticket := m.enter(phaseProbing, now.Add(requestTimeout))
-	m.do(ProbeStore{Ticket: ticket, Name: m.state.newest.Name})
+	m.emit(ProbeStore{Ticket: ticket, Name: m.state.newest.Name})
 }
 
 func (m *Machine) list(now time.Time) {
 	ticket := m.enter(phaseListing, now.Add(requestTimeout))
-	m.do(ListStore{Ticket: ticket})
+	m.emit(ListStore{Ticket: ticket})
 }
 
 func (m *Machine) open(now time.Time, after uint64) {
 	ticket := m.enter(phaseWatching, now.Add(m.config.WatchSilence))
 	m.watch.cursor = after
 	m.watch.failures = 0
-	m.do(WatchStore{Ticket: ticket, After: after})
+	m.emit(WatchStore{Ticket: ticket, After: after})
 }
 
-// storeFailed waits before the next try, longer each time, with jitter so that
-// the watchers of all regions don't come back at once.
+// storeFailed schedules a retry with exponential backoff, and jitter so that
+// the watchers of all regions don't retry at once.
 func (m *Machine) storeFailed(now time.Time, err error) {
 	if errors.Is(err, platform.ErrBudget) {
-		m.do(Notify{Notice: NoticeStoreRefusing, InForce: m.state.version})
+		m.emit(Notify{Notice: NoticeStoreRefusing, InForce: m.state.version})
 	}
-	pause := min(retryFirst<<min(m.watch.failures, 6), retryLast)
+	pause := min(retryMin<<min(m.watch.failures, 6), retryMax)
 	m.watch.failures++
 	pause += time.Duration(m.random.Int64N(int64(pause/2) + 1))
 	m.enter(phaseWaiting, now.Add(pause))
 }
 
-// refuse keeps what is in force against a store that went back or forked.
+// refuse keeps the state in force after the store was rolled back or forked.
 func (m *Machine) refuse(now time.Time, notice Notice, name string, found settings.Version) {
 	if !m.watch.refused {
-		m.do(Notify{Notice: notice, Name: name, InForce: m.state.version, Found: found})
+		m.emit(Notify{Notice: notice, Name: name, InForce: m.state.version, Found: found})
 	}
 	m.watch.refused = true
 	m.storeFailed(now, nil)
 }
 
-// storeRight notes that the store holds what is in force.
-func (m *Machine) storeRight(now time.Time) {
+// acceptStore records that the store holds what is in force.
+func (m *Machine) acceptStore(now time.Time) {
 	if m.watch.refused {
-		m.do(Notify{Notice: NoticeStoreRight, InForce: m.state.version})
+		m.emit(Notify{Notice: NoticeStoreRight, InForce: m.state.version})
 	}
 	m.watch.refused = false
 	m.confirm(now)
 }
 
-// HandleProbed takes the answer to a ProbeStore.
+// HandleProbed processes the answer to a ProbeStore.
 func (m *Machine) HandleProbed(now time.Time, ticket uint64, probe Probe, err error) []Action {
 	if ticket == m.watch.ticket && m.watch.phase == phaseWatching {
 		m.verifyByProbe(now, probe, err)
-		return m.take()
+		return m.takeActions()
 	}
 	if ticket != m.watch.ticket || m.watch.phase != phaseProbing {
-		return m.take()
+		return m.takeActions()
 	}
 	basis := m.watch.basis
 	same := probe.Found && probe.Newest.hash() == basis.hash()
 	switch {
 	case err != nil:
 		m.storeFailed(now, err)
-	case m.watch.began != m.state.version:
+	case m.watch.basisVersion != m.state.version:
 		m.tryStore(now)
 	case probe.Epoch > m.state.version.Epoch():
 		m.list(now)
 	case probe.Epoch < m.state.version.Epoch():
 		m.refuse(now, NoticeStoreBehind, tree.EpochObject, settings.MakeVersion(probe.Epoch, 0))
 	case same && !m.watch.refused:
-		m.storeRight(now)
+		m.acceptStore(now)
 		m.open(now, m.state.version.Revision())
 	case same, probe.Found && probe.Newest.Revision > basis.Revision, !probe.Found && basis.Deleted:
-		m.list(now) // the trace of a deletion may have been swept
+		m.list(now) // the tombstone may have been purged
 	default:
 		m.refuse(now, NoticeStoreBehind, basis.Name, settings.MakeVersion(probe.Epoch, probe.Newest.Revision))
 	}
-	return m.take()
+	return m.takeActions()
 }
--- a/internal/settings/dissemination/watch_events.go
+++ b/internal/settings/dissemination/watch_events.go
@@ -9,13 +9,11 @@
 	"chutelock.dev/chutelock/internal/settings/tree"
 )
 
-// This file takes the events of a watch.
-
-// HandleWatchEvent takes one event of the watch. A bookmark has only a
+// HandleWatchEvent processes one event of the watch. A bookmark has only a
 // revision.
 func (m *Machine) HandleWatchEvent(now time.Time, ticket uint64, bookmark bool, entry Entry) []Action {
 	if ticket != m.watch.ticket || m.watch.phase != phaseWatching {
-		return m.take()
+		return m.takeActions()
 	}
 	m.watch.deadline = now.Add(m.config.WatchSilence)
 	if !m.watch.verified {
@@ -23,48 +21,48 @@
 			m.watch.held = append(m.watch.held, entry)
 		}
 		m.verify()
-		return m.take()
+		return m.takeActions()
 	}
 	if bookmark {
 		m.watch.cursor = max(m.watch.cursor, entry.Revision)
 	} else {
-		m.takeEvent(now, entry)
+		m.applyEvent(now, entry)
 	}
-	m.checkAhead(now)
-	return m.take()
+	m.checkPeerChanges(now)
+	return m.takeActions()
 }
 
-// noteAhead notes changes that came in force through peers before the watch
-// brought them. Another epoch is another history: the watch must be verified.
-func (m *Machine) noteAhead(from settings.Version, changes []Entry) {
+// recordPeerChanges records changes that peers delivered before the watch did.
+// A new epoch is a different history: the watch must be verified again.
+func (m *Machine) recordPeerChanges(from settings.Version, changes []Entry) {
 	w := &m.watch
 	if w.phase != phaseWatching {
 		return
 	}
 	if from.Epoch() != m.state.version.Epoch() {
-		w.verified, w.ahead = false, nil
+		w.verified, w.peerRevisions = false, nil
 		return
 	}
 	for i := range changes {
 		if changes[i].Revision > w.cursor {
-			if w.ahead == nil {
-				w.ahead = make(map[uint64]struct{})
+			if w.peerRevisions == nil {
+				w.peerRevisions = make(map[uint64]struct{})
 			}
-			w.ahead[changes[i].Revision] = struct{}{}
+			w.peerRevisions[changes[i].Revision] = struct{}{}
 		}
 	}
 }
 
-// checkAhead looks whether the watch passed a change in force without
-// bringing it, and else takes the state as confirmed.
-func (m *Machine) checkAhead(now time.Time) {
+// checkPeerChanges relists if the watch skipped a change in force, and
+// otherwise confirms the state once the watch has caught up.
+func (m *Machine) checkPeerChanges(now time.Time) {
 	w := &m.watch
 	if w.phase != phaseWatching || !w.verified {
 		return
 	}
-	for revision := range w.ahead {
+	for revision := range w.peerRevisions {
 		if revision <= w.cursor {
-			m.doubt(now)
+			m.relist(now)
 			return
 		}
 	}
@@ -73,15 +71,16 @@
 	}
 }
 
-// doubt lists a store whose watch does not fit what is in force.
-func (m *Machine) doubt(now time.Time) {
-	m.do(StopWatch{})
+// relist closes a watch that conflicts with the state in force and lists the
+// store.
+func (m *Machine) relist(now time.Time) {
+	m.emit(StopWatch{})
 	m.list(now)
 }
 
-// known says whether an event of a revision that is in force already is what
-// is in force, or was replaced since.
-func (m *Machine) known(entry Entry) bool {
+// isApplied reports whether an event that is not newer than the version in force
+// was applied, including when it was replaced since.
+func (m *Machine) isApplied(entry Entry) bool {
 	own, present := m.state.get(entry.Name)
 	if !present {
 		return entry.Deleted
@@ -90,35 +89,35 @@
 		(entry.Gone() || own.hash() == entry.hash())
 }
 
-// takeEvent brings the next change of the store in force.
-func (m *Machine) takeEvent(now time.Time, entry Entry) {
+// applyEvent applies the next change of the store.
+func (m *Machine) applyEvent(now time.Time, entry Entry) {
 	if entry.Name == tree.EpochObject && epochOf(&entry) > m.state.version.Epoch() {
-		m.doubt(now)
+		m.relist(now)
 		return
 	}
 	if entry.Revision <= m.state.version.Revision() {
-		if !m.known(entry) {
-			m.doubt(now)
+		if !m.isApplied(entry) {
+			m.relist(now)
 			return
 		}
-		delete(m.watch.ahead, entry.Revision)
+		delete(m.watch.peerRevisions, entry.Revision)
 		m.watch.cursor = max(m.watch.cursor, entry.Revision)
 		return
 	}
-	if len(m.watch.ahead) > 0 {
-		m.doubt(now)
+	if len(m.watch.peerRevisions) > 0 {
+		m.relist(now)
 		return
 	}
 	if old, present := m.state.get(entry.Name); entry.Gone() && present && !old.Deleted {
-		entry.Spec = []byte(traceSpec) // somebody deleted it behind our back
+		entry.Spec = []byte(tombstoneSpec) // deleted directly in the store
 	}
 	m.watch.cursor = entry.Revision
 	to := settings.MakeVersion(m.state.version.Epoch(), entry.Revision)
 	m.announceDelta(now, &Delta{From: m.state.version, To: to, Entries: []Entry{entry}})
 }
 
-// announceDelta brings a delta from the store in force and starts it on its
-// way: to the first nodes of each zone of the region, and down the own tree.
+// announceDelta applies a delta from the store and sends it to the first nodes
+// of each zone of the region and to this node's children.
 func (m *Machine) announceDelta(now time.Time, delta *Delta) {
 	changes := m.state.changes(delta)
 	delta.Digest = m.state.digestWith(changes)
@@ -126,20 +125,20 @@
 	m.forward("", delta)
 	for _, root := range m.plan.roots {
 		if root != m.config.Self.Address {
-			m.do(SendDelta{To: root, Delta: delta})
+			m.emit(SendDelta{To: root, Delta: delta})
 		}
 	}
 }
 
-// HandleWatchEnded takes the end of the watch.
+// HandleWatchEnded processes the end of the watch.
 func (m *Machine) HandleWatchEnded(now time.Time, ticket uint64, err error) []Action {
 	if ticket != m.watch.ticket || m.watch.phase != phaseWatching {
-		return m.take()
+		return m.takeActions()
 	}
 	if errors.Is(err, platform.ErrCompacted) {
 		m.list(now)
-		return m.take()
+		return m.takeActions()
 	}
 	m.storeFailed(now, err)
-	return m.take()
+	return m.takeActions()
 }
