--- a/internal/settings/tree/bench_test.go
+++ b/internal/settings/tree/bench_test.go
@@ -9,7 +9,7 @@
 	"chutelock.dev/chutelock/internal/settings"
 )
 
-// benchmarkTenants is the number of tenants that the design is made for.
+// benchmarkTenants is the number of tenants that the tree must support.
 const benchmarkTenants = 50_000
 
 func benchmarkUpdates() []Update {
--- a/internal/settings/tree/check.go
+++ b/internal/settings/tree/check.go
@@ -11,7 +11,7 @@
 	"chutelock.dev/chutelock/internal/apikey"
 )
 
-// keyPrefix marks the stored form of a key.
+// keyPrefix starts the stored form of a key.
 const keyPrefix = "sha256:"
 
 var validate = newValidator()
@@ -25,7 +25,7 @@
 	return result
 }
 
-// checkNode finds what is wrong with a node by itself.
+// checkNode validates a node without regard to the other nodes.
 func checkNode(node *Node) []Problem {
 	var problems []Problem
 	report := func(field, reason string) {
@@ -37,7 +37,7 @@
 	var violations validator.ValidationErrors
 	if errors.As(validate.Struct(node), &violations) {
 		for _, violation := range violations {
-			report(fieldOf(violation), reasonOf(violation))
+			report(violationField(violation), violationReason(violation))
 		}
 	}
 	if node.Kind == KindService && node.Model == "" {
@@ -57,7 +57,7 @@
 	return problems
 }
 
-func fieldOf(violation validator.FieldError) string {
+func violationField(violation validator.FieldError) string {
 	_, field, found := strings.Cut(violation.Namespace(), ".")
 	if !found {
 		return violation.Field()
@@ -65,16 +65,16 @@
 	return strings.TrimPrefix(field, "Fields.")
 }
 
-var comparisons = map[string]string{
+var reasonPrefixes = map[string]string{
 	"gte": "must be at least ", "lte": "must be at most ", "gt": "must be more than ",
 	"oneof": "must be one of ", "unique": "must not repeat a value", "required": "must not be empty",
 }
 
-func reasonOf(violation validator.FieldError) string {
-	return comparisons[violation.Tag()] + violation.Param()
+func violationReason(violation validator.FieldError) string {
+	return reasonPrefixes[violation.Tag()] + violation.Param()
 }
 
-// parseKey reads the stored form of a key.
+// parseKey parses the stored form of a key.
 func parseKey(text string) (apikey.Hash, bool) {
 	var hash apikey.Hash
 	digits, ok := strings.CutPrefix(text, keyPrefix)
@@ -85,7 +85,7 @@
 	return hash, err == nil
 }
 
-// storedKey is the stored form of a key from a file, in the clear or hashed.
+// storedKey returns the stored form of a plaintext or hashed key from a file.
 func storedKey(key string) string {
 	if strings.HasPrefix(key, keyPrefix) {
 		return strings.ToLower(key)
--- a/internal/settings/tree/claims.go
+++ b/internal/settings/tree/claims.go
@@ -10,24 +10,24 @@
 	"chutelock.dev/chutelock/internal/settings"
 )
 
-// claims tracks which node owns each key, tenant name and model, and gathers
-// how the snapshot changes.
+// claims tracks which node owns each key, tenant name and model, and collects
+// the pending changes to the snapshot.
 type claims struct {
 	keys     *claimTable[apikey.Hash, *settings.Tenant]
 	names    *claimTable[string, *settings.Tenant]
 	services *claimTable[string, *settings.Service]
-	// byPath says what the node at a path claims.
+	// byPath maps a path to what its node claims.
 	byPath map[string]claimant
 }
 
-// claimant is what one node claims.
+// claimant holds the claims of one node.
 type claimant struct {
 	tenant  *settings.Tenant
 	service *settings.Service
 	keys    []apikey.Hash
 }
 
-// newClaims makes the claims that a tree's newest snapshot holds.
+// newClaims returns claims whose current owners are read from snapshot.
 func newClaims(snapshot func() *settings.Snapshot) claims {
 	pathOfTenant := func(tenant *settings.Tenant) string { return tenant.Path }
 	return claims{
@@ -77,28 +77,28 @@
 	}
 }
 
-// takeEdit gives the changes since the last call.
+// takeEdit returns the changes since the last call.
 func (c *claims) takeEdit() settings.Edit {
-	return settings.Edit{Keys: c.keys.take(), Names: c.names.take(), Services: c.services.take()}
+	return settings.Edit{Keys: c.keys.takeEdits(), Names: c.names.takeEdits(), Services: c.services.takeEdits()}
 }
 
-func (c *claims) contested() []Problem {
+func (c *claims) problems() []Problem {
 	var problems []Problem
-	for name, paths := range c.names.contested() {
+	for name, paths := range c.names.conflictingPaths() {
 		problems = append(problems, conflict("name", "tenant name "+name, paths))
 	}
-	for _, paths := range c.keys.contested() {
+	for _, paths := range c.keys.conflictingPaths() {
 		problems = append(problems, conflict("keys", "a key", paths))
 	}
-	for model, paths := range c.services.contested() {
+	for model, paths := range c.services.conflictingPaths() {
 		problems = append(problems, conflict("model", "model "+model, paths))
 	}
 	slices.SortFunc(problems, func(a, b Problem) int { return strings.Compare(a.String(), b.String()) })
 	return problems
 }
 
-func conflict(field, what string, paths []string) Problem {
-	reason := fmt.Sprintf("%s is claimed by %q already", what, paths[0])
+func conflict(field, claim string, paths []string) Problem {
+	reason := fmt.Sprintf("%s is claimed by %q already", claim, paths[0])
 	return Problem{Path: paths[1], Field: field, Reason: reason}
 }
 
@@ -113,78 +113,79 @@
 }
 
 // claimTable maps each key to the value of the claiming path that sorts first.
-// The owners are what the snapshot holds, changed by edit.
+// The owners are those of the snapshot, overridden by edits.
 type claimTable[K comparable, V comparable] struct {
-	inForce func(K) (V, bool)
-	pathOf  func(V) string
-	// rivals holds further claims; it is empty unless writers raced.
-	rivals map[K]map[string]V
-	// edit is what changes in the snapshot; a zero value removes.
-	edit map[K]V
+	lookup func(K) (V, bool)
+	pathOf func(V) string
+	// shadowed holds claims by paths that sort after the owner's; it is empty
+	// unless concurrent writes claimed the same key.
+	shadowed map[K]map[string]V
+	// edits are the pending changes to the snapshot; a zero value removes.
+	edits map[K]V
 }
 
-func newClaimTable[K comparable, V comparable](inForce func(K) (V, bool), pathOf func(V) string) *claimTable[K, V] {
-	return &claimTable[K, V]{inForce: inForce, pathOf: pathOf, rivals: make(map[K]map[string]V), edit: make(map[K]V)}
+func newClaimTable[K comparable, V comparable](lookup func(K) (V, bool), pathOf func(V) string) *claimTable[K, V] {
+	return &claimTable[K, V]{lookup: lookup, pathOf: pathOf, shadowed: make(map[K]map[string]V), edits: make(map[K]V)}
 }
 
-// owner is who holds a key now.
+// owner returns the value of the path that owns a key, pending edits included.
 func (t *claimTable[K, V]) owner(key K) (V, bool) {
 	var none V
-	if value, edited := t.edit[key]; edited {
+	if value, edited := t.edits[key]; edited {
 		return value, value != none
 	}
-	return t.inForce(key)
+	return t.lookup(key)
 }
 
 func (t *claimTable[K, V]) add(key K, path string, value V) {
 	owner, taken := t.owner(key)
 	if taken && t.pathOf(owner) < path {
-		t.addRival(key, path, value)
+		t.addShadowed(key, path, value)
 		return
 	}
 	if taken {
-		t.addRival(key, t.pathOf(owner), owner)
+		t.addShadowed(key, t.pathOf(owner), owner)
 	}
-	t.edit[key] = value
+	t.edits[key] = value
 }
 
-func (t *claimTable[K, V]) addRival(key K, path string, value V) {
-	if t.rivals[key] == nil {
-		t.rivals[key] = make(map[string]V)
+func (t *claimTable[K, V]) addShadowed(key K, path string, value V) {
+	if t.shadowed[key] == nil {
+		t.shadowed[key] = make(map[string]V)
 	}
-	t.rivals[key][path] = value
+	t.shadowed[key][path] = value
 }
 
 func (t *claimTable[K, V]) remove(key K, path string) {
-	rivals := t.rivals[key]
-	if rivals == nil {
+	shadowed := t.shadowed[key]
+	if shadowed == nil {
 		var none V
-		t.edit[key] = none
+		t.edits[key] = none
 		return
 	}
 	owner, _ := t.owner(key)
 	if t.pathOf(owner) == path {
-		path = slices.Min(slices.Collect(maps.Keys(rivals)))
-		t.edit[key] = rivals[path]
+		path = slices.Min(slices.Collect(maps.Keys(shadowed)))
+		t.edits[key] = shadowed[path]
 	}
-	delete(rivals, path)
-	if len(rivals) == 0 {
-		delete(t.rivals, key)
+	delete(shadowed, path)
+	if len(shadowed) == 0 {
+		delete(t.shadowed, key)
 	}
 }
 
-func (t *claimTable[K, V]) take() map[K]V {
-	edit := t.edit
-	t.edit = make(map[K]V)
-	return edit
+func (t *claimTable[K, V]) takeEdits() map[K]V {
+	edits := t.edits
+	t.edits = make(map[K]V)
+	return edits
 }
 
-// contested gives the claiming paths in order of each key with several.
-func (t *claimTable[K, V]) contested() map[K][]string {
-	result := make(map[K][]string, len(t.rivals))
-	for key, rivals := range t.rivals {
+// conflictingPaths returns the sorted paths that claim each key claimed twice or more.
+func (t *claimTable[K, V]) conflictingPaths() map[K][]string {
+	result := make(map[K][]string, len(t.shadowed))
+	for key, shadowed := range t.shadowed {
 		owner, _ := t.owner(key)
-		paths := slices.Sorted(maps.Keys(rivals))
+		paths := slices.Sorted(maps.Keys(shadowed))
 		result[key] = append([]string{t.pathOf(owner)}, paths...)
 	}
 	return result
--- a/internal/settings/tree/encode.go
+++ b/internal/settings/tree/encode.go
@@ -11,8 +11,8 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// ParseFile reads the nodes of a YAML file, one a document. Unknown fields are
-// refused; keys come out hashed.
+// ParseFile parses a YAML file with one node per document. It rejects unknown
+// fields and hashes plaintext keys.
 func ParseFile(file string, content []byte) ([]*Node, []Problem) {
 	var nodes []*Node
 	var problems []Problem
@@ -25,13 +25,13 @@
 			return nodes, problems
 		}
 		if err == nil && reflect.ValueOf(node).Elem().IsZero() {
-			continue // an empty document, as behind a closing separator
+			continue // an empty document, as after a trailing separator
 		}
-		where := node.Path
-		if where == "" {
-			where = fmt.Sprintf("document %d", number)
+		location := node.Path
+		if location == "" {
+			location = fmt.Sprintf("document %d", number)
 		}
-		problems = append(problems, yamlProblems(file, where, err)...)
+		problems = append(problems, yamlProblems(file, location, err)...)
 		var typeError *yaml.TypeError
 		if err != nil && !errors.As(err, &typeError) {
 			return nodes, problems
@@ -44,29 +44,29 @@
 		}
 		for _, problem := range checkNode(node) {
 			problem.File = file
-			problem.Path = where
+			problem.Path = location
 			problems = append(problems, problem)
 		}
 		nodes = append(nodes, node)
 	}
 }
 
-func yamlProblems(file, where string, err error) []Problem {
+func yamlProblems(file, location string, err error) []Problem {
 	if err == nil {
 		return nil
 	}
 	var typeError *yaml.TypeError
 	if !errors.As(err, &typeError) {
-		return []Problem{{File: file, Path: where, Reason: err.Error()}}
+		return []Problem{{File: file, Path: location, Reason: err.Error()}}
 	}
 	var problems []Problem
 	for _, message := range typeError.Errors {
-		problems = append(problems, Problem{File: file, Path: where, Reason: message})
+		problems = append(problems, Problem{File: file, Path: location, Reason: message})
 	}
 	return problems
 }
 
-// Encode gives the stored form of a node.
+// Encode returns the stored form of a node.
 func Encode(node *Node) (json.RawMessage, error) {
 	spec, err := json.Marshal(node)
 	if err != nil {
@@ -75,8 +75,8 @@
 	return spec, nil
 }
 
-// Decode reads the stored form of a node. Unlike files, it may hold fields
-// that only a newer release knows.
+// Decode parses the stored form of a node. Unlike ParseFile, it accepts unknown
+// fields, which a newer release may have written.
 func Decode(path string, spec []byte) (*Node, error) {
 	node := &Node{}
 	if err := json.Unmarshal(spec, node); err != nil {
@@ -86,8 +86,8 @@
 	return node, nil
 }
 
-// FormatYAML gives a stored node as a YAML document to edit, with the revision
-// that it is made from.
+// FormatYAML returns a stored node as an editable YAML document that includes
+// the node's revision.
 func FormatYAML(path string, revision uint64, spec []byte) ([]byte, error) {
 	var document yaml.Node
 	if err := yaml.Unmarshal(spec, &document); err != nil || len(document.Content) != 1 {
@@ -97,7 +97,7 @@
 	content := []*yaml.Node{scalar("path"), scalar(path), scalar("revision"), scalar(fmt.Sprint(revision))}
 	for i := 0; i+1 < len(body.Content); i += 2 {
 		if name := body.Content[i].Value; name != "change" && name != "deleted" {
-			content = append(content, scalar(name), plain(body.Content[i+1]))
+			content = append(content, scalar(name), clearStyle(body.Content[i+1]))
 		}
 	}
 	body.Content, body.Style = content, 0
@@ -108,13 +108,13 @@
 
 func scalar(value string) *yaml.Node { return &yaml.Node{Kind: yaml.ScalarNode, Value: value} }
 
-// plain drops the quotes of JSON where YAML needs none.
-func plain(node *yaml.Node) *yaml.Node {
+// clearStyle drops JSON quotes where YAML needs none.
+func clearStyle(node *yaml.Node) *yaml.Node {
 	if node.Kind == yaml.ScalarNode {
 		node.Style = 0
 	}
 	for i := range node.Content {
-		node.Content[i] = plain(node.Content[i])
+		node.Content[i] = clearStyle(node.Content[i])
 	}
 	return node
 }
--- a/internal/settings/tree/explain.go
+++ b/internal/settings/tree/explain.go
@@ -6,25 +6,25 @@
 	"reflect"
 )
 
-// Default is the origin of a value that no node of the tree sets.
+// Default is the origin of a value that no node sets.
 const Default = "default"
 
-// Value is an effective setting and the node that it comes from.
+// Value is an effective field value and the path of the node that sets it.
 type Value struct {
 	Field string          `json:"field"`
 	Value json.RawMessage `json:"value"`
 	From  string          `json:"from"`
 }
 
-// Explanation is the effective settings of one node.
+// Explanation lists the effective field values of one node.
 type Explanation struct {
 	Path   string  `json:"path"`
 	Kind   Kind    `json:"kind"`
 	Values []Value `json:"values"`
 }
 
-// Explain gives the effective settings of the node at path, and the ancestor
-// that each comes from.
+// Explain returns the effective field values of the node at path, and the node
+// that sets each.
 func (t *Tree) Explain(path string) (Explanation, error) {
 	node, ok := t.Node(path)
 	if !ok {
@@ -38,7 +38,8 @@
 	return explanation, nil
 }
 
-// origin finds the nearest node from path upwards that sets a field.
+// origin returns a field's effective value and the nearest node, from path
+// upwards, that sets it.
 func (t *Tree) origin(path string, field int) (json.RawMessage, string) {
 	for ; path != ""; path = Parent(path) {
 		node, ok := t.Node(path)
@@ -47,14 +48,14 @@
 		}
 		value := reflect.ValueOf(&node.Fields).Elem().Field(field)
 		if !value.IsNil() {
-			return json.RawMessage(textOf(value.Interface())), path
+			return json.RawMessage(marshalText(value.Interface())), path
 		}
 	}
 	value := reflect.ValueOf(&defaults).Elem().Field(field)
-	return json.RawMessage(textOf(value.Interface())), Default
+	return json.RawMessage(marshalText(value.Interface())), Default
 }
 
-// nearest is the nearest ancestor that exists.
+// nearest returns the nearest existing ancestor, or an empty path.
 func (t *Tree) nearest(path string) string {
 	for path = Parent(path); path != ""; path = Parent(path) {
 		if t.has(path) {
@@ -64,13 +65,13 @@
 	return ""
 }
 
-// NotFoundError says that a path has no node.
+// NotFoundError reports that no node exists at a path.
 type NotFoundError struct {
 	Path    string
-	Nearest string // the nearest ancestor that exists, or empty
+	Nearest string // the nearest existing ancestor, or empty
 }
 
-// Error names the nearest ancestor as the place to look.
+// Error implements error.
 func (e *NotFoundError) Error() string {
 	if e.Nearest == "" {
 		return fmt.Sprintf("there is no node at %q, nor any above it", e.Path)
--- a/internal/settings/tree/explain_test.go
+++ b/internal/settings/tree/explain_test.go
@@ -13,7 +13,8 @@
 	return live
 }
 
-func TestExplainNamesTheAncestorOfEachValue(t *testing.T) {
+// Guards against a wrong value or origin of an effective field.
+func TestExplainReportsOriginOfEachValue(t *testing.T) {
 	g := gomega.NewWithT(t)
 	explanation, err := sampleLive(t).Explain("fleet/hall/drafting/clerks")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -32,7 +33,8 @@
 	g.Expect(err).To(gomega.MatchError(gomega.ContainSubstring(`the nearest one above is "fleet/hall"`)))
 }
 
-func TestCheckFindsAddedProblemsAndChangesNothing(t *testing.T) {
+// Guards against missed problems, and against a Check that changes the tree.
+func TestCheckReportsNewProblemsWithoutSideEffects(t *testing.T) {
 	g := gomega.NewWithT(t)
 	live := sampleLive(t)
 	live.Apply(2, []Update{{Path: "fleet/odd", Node: &Node{Path: "fleet/odd", Kind: "team"}}})
@@ -42,13 +44,13 @@
 		update Update
 		want   int
 	}{
-		"harmless":       {Update{Path: "fleet/new", Node: &Node{Path: "fleet/new", Kind: KindFolder}}, 0},
-		"orphan":         {Update{Path: "x/y", Node: &Node{Path: "x/y", Kind: KindFolder}}, 1},
-		"taken model":    {Update{Path: "fleet/zz", Node: &Node{Path: "fleet/zz", Kind: KindService, Model: "drafts"}}, 1},
-		"taken name":     {Update{Path: "fleet/clerks", Node: &Node{Path: "fleet/clerks", Kind: KindTenant}}, 1},
-		"with children":  {Update{Path: "fleet/hall"}, 1},
-		"mends the odd":  {Update{Path: "fleet/odd"}, 0},
-		"breaks another": {Update{Path: "fleet/odd", Node: &Node{Path: "fleet/odd", Kind: KindFolder, Fields: Fields{Burst: ref(-1)}}}, 1},
+		"no problem":      {Update{Path: "fleet/new", Node: &Node{Path: "fleet/new", Kind: KindFolder}}, 0},
+		"orphan":          {Update{Path: "x/y", Node: &Node{Path: "x/y", Kind: KindFolder}}, 1},
+		"duplicate model": {Update{Path: "fleet/zz", Node: &Node{Path: "fleet/zz", Kind: KindService, Model: "drafts"}}, 1},
+		"duplicate name":  {Update{Path: "fleet/clerks", Node: &Node{Path: "fleet/clerks", Kind: KindTenant}}, 1},
+		"has children":    {Update{Path: "fleet/hall"}, 1},
+		"removes invalid": {Update{Path: "fleet/odd"}, 0},
+		"new invalid":     {Update{Path: "fleet/odd", Node: &Node{Path: "fleet/odd", Kind: KindFolder, Fields: Fields{Burst: ref(-1)}}}, 1},
 	} {
 		g.Expect(live.Check([]Update{test.update})).To(gomega.HaveLen(test.want), name)
 		g.Expect(live.Problems()).To(gomega.Equal(before), name)
@@ -59,7 +61,8 @@
 	g.Expect(resolved.Priority).To(gomega.Equal(2))
 }
 
-func TestDifferencesFieldByField(t *testing.T) {
+// Guards against missed or spurious field changes.
+func TestDifferencesReportsEachChangedField(t *testing.T) {
 	g := gomega.NewWithT(t)
 	old := &Node{Kind: KindFolder, Fields: Fields{Burst: ref(1), Priority: ref(2)}}
 	changed := &Node{Kind: KindFolder, Fields: Fields{Burst: ref(3), Models: ref([]string{"m"})}}
@@ -69,7 +72,8 @@
 	g.Expect(Differences(nil, old)).To(gomega.HaveLen(3))
 }
 
-func TestFormattedYAMLReadsBack(t *testing.T) {
+// Guards against an edited node that loses fields or its revision.
+func TestFormatYAMLRoundTrips(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, node := range parse(t, sampleFile) {
 		node.Change = &Change{ID: "c"}
@@ -85,7 +89,8 @@
 	g.Expect(err).To(gomega.HaveOccurred())
 }
 
-func TestNodesAreListedInOrder(t *testing.T) {
+// Guards against missing descendants, and against matches on partial segments.
+func TestNodesReturnsSortedPaths(t *testing.T) {
 	g := gomega.NewWithT(t)
 	live := sampleLive(t)
 	for _, test := range []struct {
--- a/internal/settings/tree/fields.go
+++ b/internal/settings/tree/fields.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// fieldNames are the file names of the inheritable fields, in order.
+// fieldNames are the JSON names of the inheritable fields, in struct order.
 var fieldNames = namesOf(reflect.TypeOf(Fields{}))
 
 func namesOf(structure reflect.Type) []string {
@@ -18,7 +18,7 @@
 	return names
 }
 
-// inherit fills the fields that are not set from the parent's effective ones.
+// inherit returns own with its unset fields taken from parent.
 func inherit(own, parent *Fields) *Fields {
 	effective := *own
 	target := reflect.ValueOf(&effective).Elem()
@@ -31,15 +31,15 @@
 	return &effective
 }
 
-// dropField makes a field inherit again; other names are passed over.
-func dropField(fields *Fields, name string) {
+// clearField unsets an inheritable field; other names are ignored.
+func clearField(fields *Fields, name string) {
 	name, _, _ = strings.Cut(name, "[")
 	if i := slices.Index(fieldNames, name); i >= 0 {
 		reflect.ValueOf(fields).Elem().Field(i).SetZero()
 	}
 }
 
-func textOf(value any) string {
+func marshalText(value any) string {
 	text, err := json.Marshal(value)
 	if err != nil {
 		return err.Error()
@@ -47,37 +47,37 @@
 	return string(text)
 }
 
-// Inherited is shown in place of a value that a node does not set.
+// Inherited stands for a value that a node does not set.
 const Inherited = "(inherited)"
 
-// FieldChange is how one field differs between two versions of a node.
+// FieldChange is the difference in one field between two versions of a node.
 type FieldChange struct {
 	Field string `json:"field"`
 	Old   string `json:"old"`
 	New   string `json:"new"`
 }
 
-// Differences lists the fields that differ between two versions of a node;
-// either may be nil for "no node".
+// Differences returns the fields that differ between two versions of a node;
+// nil stands for a missing node.
 func Differences(old, changed *Node) []FieldChange {
 	before, after := describe(old), describe(changed)
 	var changes []FieldChange
 	for _, name := range append([]string{"kind", "model", "name", "keys"}, fieldNames...) {
 		if before[name] != after[name] {
-			changes = append(changes, FieldChange{Field: name, Old: shown(before[name]), New: shown(after[name])})
+			changes = append(changes, FieldChange{Field: name, Old: displayText(before[name]), New: displayText(after[name])})
 		}
 	}
 	return changes
 }
 
-func shown(text string) string {
+func displayText(text string) string {
 	if text == "" {
 		return Inherited
 	}
 	return text
 }
 
-// describe gives the JSON of each field that a node sets.
+// describe returns the text of each field that a node sets, by field name.
 func describe(node *Node) map[string]string {
 	texts := make(map[string]string)
 	if node == nil || node.Deleted {
@@ -87,18 +87,18 @@
 	texts["model"] = node.Model
 	texts["name"] = node.Name
 	if len(node.Keys) > 0 {
-		texts["keys"] = textOf(node.Keys)
+		texts["keys"] = marshalText(node.Keys)
 	}
 	values := reflect.ValueOf(&node.Fields).Elem()
 	for i, name := range fieldNames {
 		if !values.Field(i).IsNil() {
-			texts[name] = textOf(values.Field(i).Interface())
+			texts[name] = marshalText(values.Field(i).Interface())
 		}
 	}
 	return texts
 }
 
-// FieldConflict is a field in which a racing write and one's own differ.
+// FieldConflict is a field on which two concurrent writes disagree.
 type FieldConflict struct {
 	Field  string `json:"field"`
 	Before string `json:"before"`
@@ -106,7 +106,7 @@
 	Yours  string `json:"yours"`
 }
 
-// Conflicts lists the fields in which theirs and yours differ from each other
+// Conflicts returns the fields in which theirs and yours differ from each other
 // or from the version before both.
 func Conflicts(before, theirs, yours *Node) []FieldConflict {
 	base, other, own := describe(before), describe(theirs), describe(yours)
@@ -115,7 +115,7 @@
 		if base[name] == other[name] && other[name] == own[name] {
 			continue
 		}
-		conflict := FieldConflict{Field: name, Before: shown(base[name]), Theirs: shown(other[name]), Yours: shown(own[name])}
+		conflict := FieldConflict{Field: name, Before: displayText(base[name]), Theirs: displayText(other[name]), Yours: displayText(own[name])}
 		conflicts = append(conflicts, conflict)
 	}
 	return conflicts
--- a/internal/settings/tree/folder.go
+++ b/internal/settings/tree/folder.go
@@ -9,10 +9,10 @@
 	"github.com/gravitational/trace"
 )
 
-// folderRevision is the revision of a snapshot that was read from files.
+// folderRevision is the revision of a snapshot loaded from files.
 const folderRevision = 1
 
-// ReadFolder reads all YAML files below a folder.
+// ReadFolder parses all YAML files below a folder.
 func ReadFolder(folder string) ([]*Node, []Problem, error) {
 	var nodes []*Node
 	var problems []Problem
@@ -24,9 +24,9 @@
 		if err != nil {
 			return err
 		}
-		some, wrong := ParseFile(path, content)
-		nodes = append(nodes, some...)
-		problems = append(problems, wrong...)
+		parsed, invalid := ParseFile(path, content)
+		nodes = append(nodes, parsed...)
+		problems = append(problems, invalid...)
 		return nil
 	})
 	if err != nil {
@@ -39,8 +39,8 @@
 	return strings.HasSuffix(path, ".yaml") || strings.HasSuffix(path, ".yml")
 }
 
-// LoadFolder resolves the YAML files below a folder once, for tests and for a
-// node that runs without a platform. Any problem is an error.
+// LoadFolder resolves the YAML files below a folder once, for tests and for
+// machines without a platform. Any problem is an error.
 func LoadFolder(folder string) (*Live, error) {
 	nodes, problems, err := ReadFolder(folder)
 	if err != nil {
--- a/internal/settings/tree/follow.go
+++ b/internal/settings/tree/follow.go
@@ -10,9 +10,9 @@
 	"chutelock.dev/chutelock/internal/settings"
 )
 
-// Follow keeps live at the state of the store until ctx ends or the store
-// fails; the caller calls it again. It serves a deployment of a single node;
-// a fleet uses package dissemination, which spares the store's readers.
+// Follow lists and watches the store and updates live until ctx ends or the
+// store fails; the caller retries. It is for single-machine deployments: larger
+// ones use package dissemination, which puts less read load on the store.
 func Follow(ctx context.Context, store platform.Store, live *Live) error {
 	objects, revision, err := store.List(ctx, platform.KindSetting)
 	if err != nil {
--- a/internal/settings/tree/live.go
+++ b/internal/settings/tree/live.go
@@ -9,8 +9,8 @@
 	"chutelock.dev/chutelock/internal/settings"
 )
 
-// Live is the tree in force at this node. Current takes no lock; the other
-// methods share one mutex, which is a leaf: nothing else is locked under it.
+// Live holds the settings tree that this machine currently uses. Current takes
+// no lock; the other methods share a leaf mutex: no other lock is taken under it.
 type Live struct {
 	current atomic.Pointer[settings.Snapshot]
 	mutex   sync.Mutex
@@ -19,20 +19,20 @@
 
 var _ settings.Source = (*Live)(nil)
 
-// NewLive starts without a snapshot.
+// NewLive returns a Live without a snapshot.
 func NewLive() *Live { return &Live{tree: New()} }
 
 // Current implements settings.Source.
 func (l *Live) Current() *settings.Snapshot { return l.current.Load() }
 
-// Apply puts updates in force. The caller's versions rise.
+// Apply applies updates to the tree. Successive versions must increase.
 func (l *Live) Apply(version settings.Version, updates []Update) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.current.Store(l.tree.Apply(uint64(version), updates))
 }
 
-// Replace puts a whole tree in force.
+// Replace replaces the whole tree.
 func (l *Live) Replace(version settings.Version, updates []Update) {
 	fresh := New()
 	snapshot := fresh.Apply(uint64(version), updates)
@@ -42,47 +42,47 @@
 	l.current.Store(snapshot)
 }
 
-// Check lists the problems that updates would add to the tree, which stays as
-// it is.
+// Check returns the problems that updates would add, without changing the
+// tree.
 func (l *Live) Check(updates []Update) []Problem {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.tree.Check(updates)
 }
 
-// Problems lists what is wrong with the tree in force.
+// Problems returns the problems of the current tree.
 func (l *Live) Problems() []Problem {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.tree.Problems()
 }
 
-// Faulty says cheaply whether Problems lists anything.
+// Faulty reports whether the tree has problems, without listing them.
 func (l *Live) Faulty() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.tree.faultyAtAll()
+	return l.tree.hasProblems()
 }
 
-// Explain gives the effective settings of a node.
+// Explain returns the effective field values of the node at path.
 func (l *Live) Explain(path string) (Explanation, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.tree.Explain(path)
 }
 
-// Nodes lists the node at path and, if recursive, all below it, in order. An
-// empty path stands for the whole tree.
+// Nodes returns the node at path and, if recursive, its descendants, sorted by
+// path. An empty path selects the whole tree.
 func (l *Live) Nodes(path string, recursive bool) ([]*Node, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	paths := map[string]struct{}{path: {}}
 	switch {
 	case path == "":
-		paths = l.tree.all()
+		paths = l.tree.allPaths()
 	case recursive:
 		paths = make(map[string]struct{})
-		l.tree.collect(path, paths)
+		l.tree.collectSubtree(path, paths)
 	}
 	var nodes []*Node
 	for _, candidate := range slices.Sorted(maps.Keys(paths)) {
--- a/internal/settings/tree/node.go
+++ b/internal/settings/tree/node.go
@@ -7,17 +7,17 @@
 	"chutelock.dev/chutelock/internal/settings"
 )
 
-// Kind is what a node stands for.
+// Kind is the type of a node.
 type Kind string
 
 // Kinds of nodes.
 const (
-	KindFolder  Kind = "folder"  // only passes fields on
-	KindService Kind = "service" // a model that is served
-	KindTenant  Kind = "tenant"  // a caller with keys
+	KindFolder  Kind = "folder"  // groups nodes that inherit its fields
+	KindService Kind = "service" // a served model
+	KindTenant  Kind = "tenant"  // a caller with API keys
 )
 
-// Duration is a time.Duration that is written as text such as "500ms".
+// Duration is a time.Duration encoded as text such as "500ms".
 type Duration time.Duration
 
 // MarshalText implements encoding.TextMarshaler.
@@ -30,7 +30,7 @@
 	return err
 }
 
-// Fields are the inheritable settings; nil means "as the parent has it".
+// Fields are the inheritable settings; nil means inherited from the parent.
 type Fields struct {
 	BatchShare        *float64  `json:"batchShare,omitempty" yaml:"batchShare" validate:"omitempty,gte=0,lte=1"`
 	QueueLimit        *int      `json:"queueLimit,omitempty" yaml:"queueLimit" validate:"omitempty,gte=0,lte=1000000"`
@@ -52,42 +52,42 @@
 	Retention         *Duration `json:"retention,omitempty" yaml:"retention" validate:"omitempty,gt=0"`
 }
 
-// Node is one node of the tree.
+// Node is a folder, service or tenant in the settings tree.
 type Node struct {
 	Path string `json:"-" yaml:"path"`
-	// Revision is the store's revision of this version. In a file it is the
-	// revision that the file was made from; zero does not say.
+	// Revision is the store revision of this version. In a file it is the
+	// revision that the file was made from, or zero if unknown.
 	Revision uint64 `json:"-" yaml:"revision"`
 	Kind     Kind   `json:"kind" yaml:"kind" validate:"required,oneof=folder service tenant"`
-	// Model is what a service serves.
+	// Model is the model that a service serves.
 	Model string `json:"model,omitempty" yaml:"model"`
 	// Name is a tenant's name; empty means the last segment of the path.
 	Name string `json:"name,omitempty" yaml:"name"`
-	// Keys are a tenant's keys. Files may hold them in the clear; they are
-	// hashed on reading, and the stored form is "sha256:" and 64 hex digits.
+	// Keys are a tenant's API keys. Plaintext keys in files are hashed when
+	// parsed; the stored form is "sha256:" and 64 hex digits.
 	Keys   []string `json:"keys,omitempty" yaml:"keys"`
 	Fields `yaml:",inline"`
-	// Change says which write produced the stored version.
+	// Change identifies the write that produced the stored version.
 	Change *Change `json:"change,omitempty" yaml:"-"`
-	// Deleted marks the stored trace of a deleted node. It stays in the store
-	// so that a listing tells a deletion from a store that lost the node.
+	// Deleted marks the tombstone of a deleted node. It stays in the store so
+	// that a listing distinguishes a deletion from data loss.
 	Deleted bool `json:"deleted,omitempty" yaml:"-"`
 }
 
-// Change identifies a write, so that its author recognises it after a lost
-// answer, also when others have written since.
+// Change identifies a write, so that its author recognizes it after a lost
+// response, even if others have written since.
 type Change struct {
 	ID string    `json:"id"`
 	By string    `json:"by,omitempty"`
 	At time.Time `json:"at"`
-	// Previous are the ids of the writes before, newest first.
+	// Previous are the IDs of the preceding writes, newest first.
 	Previous []string `json:"previous,omitempty"`
 }
 
 // maxPreviousChanges bounds Change.Previous.
 const maxPreviousChanges = 8
 
-// TenantName is the name under which a tenant is known.
+// TenantName returns Name, or the last segment of the path if Name is empty.
 func (n *Node) TenantName() string {
 	if n.Name != "" {
 		return n.Name
@@ -97,7 +97,7 @@
 
 func ref[T any](value T) *T { return &value }
 
-// defaults are what the root inherits.
+// defaults are the values that a root node inherits.
 var defaults = Fields{
 	BatchShare:        ref(0.5),
 	QueueLimit:        ref(1000),
@@ -118,7 +118,7 @@
 	Retention:         ref(Duration(72 * time.Hour)),
 }
 
-// tenant builds the resolved settings of a tenant node.
+// tenant returns the resolved settings of a tenant node.
 func (n *Node) tenant(effective *Fields) *settings.Tenant {
 	return &settings.Tenant{
 		Name:              n.TenantName(),
@@ -134,7 +134,7 @@
 	}
 }
 
-// service builds the resolved settings of a service node.
+// service returns the resolved settings of a service node.
 func (n *Node) service(effective *Fields) *settings.Service {
 	return &settings.Service{
 		Model:             n.Model,
@@ -151,12 +151,12 @@
 	}
 }
 
-// Includes says whether a write or one of those before it has the id.
+// Includes reports whether the write or a preceding one has the ID.
 func (c *Change) Includes(id string) bool {
 	return c != nil && (c.ID == id || slices.Contains(c.Previous, id))
 }
 
-// NextChange identifies the write that replaces the node, which may be nil.
+// NextChange returns the Change of a write that replaces n, which may be nil.
 func (n *Node) NextChange(id, by string, at time.Time) *Change {
 	next := &Change{ID: id, By: by, At: at}
 	if n == nil || n.Change == nil {
--- a/internal/settings/tree/path.go
+++ b/internal/settings/tree/path.go
@@ -10,13 +10,13 @@
 // MaxPathLength bounds a path, in bytes.
 const MaxPathLength = 240
 
-// EpochObject is the name of the stored object that holds the epoch; it is
-// not a node, so that no path may start with it.
+// EpochObject is the name of the stored object that holds the epoch. It is not
+// a node, so the path of that name is reserved.
 const EpochObject = "epoch"
 
 var segmentPattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]*[a-z0-9])?$`)
 
-// CheckPath refuses a malformed path.
+// CheckPath returns an error if path is malformed or reserved.
 func CheckPath(path string) error {
 	if path == "" {
 		return fmt.Errorf("path is missing")
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// Parent is the path of the parent, empty for a root.
+// Parent returns the path of the parent, or an empty path for a root.
 func Parent(path string) string {
 	cut := strings.LastIndexByte(path, '/')
 	if cut < 0 {
@@ -44,14 +44,14 @@
 	return path[:cut]
 }
 
-// Base is the last segment of a path.
+// Base returns the last segment of a path.
 func Base(path string) string { return path[strings.LastIndexByte(path, '/')+1:] }
 
-// ObjectName is the name of the stored object of a path; stored names follow
-// the Kubernetes rule of dot-separated labels.
+// ObjectName returns the stored object's name for a path; stored names are
+// dot-separated labels, as Kubernetes requires.
 func ObjectName(path string) string { return strings.ReplaceAll(path, "/", ".") }
 
-// PathOf is the path of a stored object's name.
+// PathOf returns the path for a stored object's name.
 func PathOf(objectName string) string { return strings.ReplaceAll(objectName, ".", "/") }
 
 // Epoch is the content of the epoch object.
@@ -59,7 +59,7 @@
 	Epoch uint16 `json:"epoch"`
 }
 
-// EpochOf reads the epoch object; a store without one is in epoch 0.
+// EpochOf decodes the content of the epoch object.
 func EpochOf(spec []byte) (uint16, error) {
 	var epoch Epoch
 	if err := json.Unmarshal(spec, &epoch); err != nil {
--- a/internal/settings/tree/problem.go
+++ b/internal/settings/tree/problem.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Problem is one reason why a node or file is refused.
+// Problem is one reason why a node or file is invalid.
 type Problem struct {
 	File   string `json:"file,omitempty"`
 	Path   string `json:"path,omitempty"`
@@ -13,7 +13,7 @@
 	Reason string `json:"reason"`
 }
 
-// String shows file, path, field and reason.
+// String joins file, path, field and reason with colons.
 func (p Problem) String() string {
 	var parts []string
 	for _, part := range []string{p.File, p.Path, p.Field} {
@@ -24,12 +24,12 @@
 	return strings.Join(append(parts, p.Reason), ": ")
 }
 
-// InvalidError carries all problems of a refused change.
+// InvalidError holds all problems of a rejected change.
 type InvalidError struct {
 	Problems []Problem
 }
 
-// Error lists the problems, one a line.
+// Error lists the problems, one per line.
 func (e *InvalidError) Error() string {
 	lines := make([]string, len(e.Problems))
 	for i, problem := range e.Problems {
--- a/internal/settings/tree/tree.go
+++ b/internal/settings/tree/tree.go
@@ -9,30 +9,30 @@
 	"chutelock.dev/chutelock/internal/settings"
 )
 
-// Tree is the set of nodes and the snapshot resolved from it. Only one
-// goroutine may use a Tree; the snapshots that it gives out are immutable.
+// Tree holds a set of nodes and the snapshot resolved from it. It is not safe
+// for concurrent use; the snapshots that it returns are immutable.
 type Tree struct {
 	nodes    map[string]record
 	children map[string]map[string]struct{}
-	// effective holds the resolved fields of nodes that have children.
+	// effective caches the resolved fields of nodes that have children.
 	effective map[string]*Fields
 	problems  map[string][]Problem
-	// faulty keeps updates with problems as they came.
-	faulty map[string]Update
-	// orphans are the paths of nodes without a parent node.
+	// invalid holds the original updates that have problems.
+	invalid map[string]Update
+	// orphans are the paths of nodes whose parent does not exist.
 	orphans  map[string]struct{}
 	snapshot *settings.Snapshot
 	claims   claims
 }
 
-// New makes an empty tree.
+// New returns an empty tree.
 func New() *Tree {
 	tree := &Tree{
 		nodes:     make(map[string]record),
 		children:  make(map[string]map[string]struct{}),
 		effective: make(map[string]*Fields),
 		problems:  make(map[string][]Problem),
-		faulty:    make(map[string]Update),
+		invalid:   make(map[string]Update),
 		orphans:   make(map[string]struct{}),
 		snapshot:  settings.NewSnapshot(0, nil, nil),
 	}
@@ -40,9 +40,9 @@
 	return tree
 }
 
-// record is a node as it is kept. A sound stored tenant is kept in its stored
-// form only, which the dissemination keeps anyway, and decoded when needed:
-// tenants are many, and rarely looked at.
+// record holds a node. To save memory, a valid tenant from the store is held in
+// its stored form, which package dissemination retains anyway, and decoded on
+// each use: tenants are numerous and rarely read.
 type record struct {
 	node     *Node
 	spec     []byte
@@ -54,15 +54,15 @@
 		return r.node
 	}
 	node, err := Decode(path, r.spec)
-	if err != nil { // it was decoded before
+	if err != nil { // unreachable: UpdateOf decoded it before
 		node = &Node{Path: path, Kind: KindFolder}
 	}
 	node.Revision = r.revision
 	return node
 }
 
-// Update is the new content of one path; a nil Node deletes it. A Problem
-// that kept a stored node from being read is carried along.
+// Update is the new content of one path; a nil Node deletes it. Problem is set
+// if the stored node could not be decoded.
 type Update struct {
 	Path    string
 	Node    *Node
@@ -71,8 +71,8 @@
 	spec []byte
 }
 
-// UpdateOf reads a stored node. One that can't be read passes its parent's
-// fields on and is reported as a problem.
+// UpdateOf decodes a stored node. One that can't be decoded becomes an empty
+// folder with a Problem, so its descendants still inherit from its parent.
 func UpdateOf(path string, revision uint64, spec []byte) Update {
 	node, err := Decode(path, spec)
 	if err != nil {
@@ -86,7 +86,7 @@
 	return Update{Path: path, Node: node, spec: spec}
 }
 
-// Resolve derives the snapshot of all stored nodes.
+// Resolve returns the snapshot of the stored nodes and their problems.
 func Resolve(objects []platform.Object, revision uint64) (*settings.Snapshot, []Problem) {
 	updates := make([]Update, 0, len(objects))
 	for _, object := range objects {
@@ -100,13 +100,13 @@
 	return snapshot, result.Problems()
 }
 
-// Apply puts the updates in and resolves again what they touch: the nodes
-// themselves and, where inheritable fields may have changed, all below them.
+// Apply applies updates and resolves the updated nodes and all their
+// descendants again.
 func (t *Tree) Apply(revision uint64, updates []Update) *settings.Snapshot {
 	touched := make(map[string]struct{})
 	for _, update := range updates {
 		t.put(update)
-		t.collect(update.Path, touched)
+		t.collectSubtree(update.Path, touched)
 	}
 	for _, path := range slices.Sorted(maps.Keys(touched)) {
 		t.resolve(path)
@@ -115,7 +115,7 @@
 	return t.snapshot
 }
 
-// Check lists the problems that updates would add; the tree stays as it is.
+// Check returns the problems that updates would add, without changing the tree.
 func (t *Tree) Check(updates []Update) []Problem {
 	known := make(map[Problem]bool)
 	for _, problem := range t.Problems() {
@@ -135,12 +135,12 @@
 	return added
 }
 
-// inverse gives the updates that undo updates.
+// inverse returns the updates that undo updates.
 func (t *Tree) inverse(updates []Update) []Update {
 	undo := make([]Update, 0, len(updates))
 	for _, update := range updates {
-		before, faulty := t.faulty[update.Path]
-		if !faulty {
+		before, wasInvalid := t.invalid[update.Path]
+		if !wasInvalid {
 			before = Update{Path: update.Path}
 			before.Node, _ = t.Node(update.Path)
 			before.spec = t.nodes[update.Path].spec
@@ -150,26 +150,26 @@
 	return undo
 }
 
-// Snapshot is the newest resolved snapshot.
+// Snapshot returns the latest resolved snapshot.
 func (t *Tree) Snapshot() *settings.Snapshot { return t.snapshot }
 
-// Node gives the node at a path.
+// Node returns the node at path.
 func (t *Tree) Node(path string) (*Node, bool) {
-	kept, ok := t.nodes[path]
+	stored, ok := t.nodes[path]
 	if !ok {
 		return nil, false
 	}
-	return kept.decode(path), true
+	return stored.decode(path), true
 }
 
-// has says whether there is a node at a path.
+// has reports whether a node exists at path.
 func (t *Tree) has(path string) bool {
 	_, ok := t.nodes[path]
 	return ok
 }
 
-// all is the set of all paths.
-func (t *Tree) all() map[string]struct{} {
+// allPaths returns the set of the paths of all nodes.
+func (t *Tree) allPaths() map[string]struct{} {
 	paths := make(map[string]struct{}, len(t.nodes))
 	for path := range t.nodes {
 		paths[path] = struct{}{}
@@ -177,11 +177,12 @@
 	return paths
 }
 
-func (t *Tree) faultyAtAll() bool {
-	return len(t.problems)+len(t.orphans)+len(t.claims.names.rivals)+len(t.claims.keys.rivals)+len(t.claims.services.rivals) > 0
+func (t *Tree) hasProblems() bool {
+	return len(t.problems)+len(t.orphans)+len(t.claims.names.shadowed)+len(t.claims.keys.shadowed)+len(t.claims.services.shadowed) > 0
 }
 
-// Problems lists what is wrong with the tree, ordered by path.
+// Problems returns the problems of the tree: invalid nodes, then orphans, then
+// conflicting claims.
 func (t *Tree) Problems() []Problem {
 	var all []Problem
 	for _, path := range slices.Sorted(maps.Keys(t.problems)) {
@@ -191,12 +192,12 @@
 		reason := fmt.Sprintf("there is no node at %q", Parent(path))
 		all = append(all, Problem{Path: path, Field: "path", Reason: reason})
 	}
-	return append(all, t.claims.contested()...)
+	return append(all, t.claims.problems()...)
 }
 
 func (t *Tree) put(update Update) {
 	delete(t.problems, update.Path)
-	delete(t.faulty, update.Path)
+	delete(t.invalid, update.Path)
 	if update.Node == nil {
 		delete(t.nodes, update.Path)
 		t.unlink(update.Path)
@@ -208,33 +209,33 @@
 	}
 	if len(problems) > 0 {
 		t.problems[update.Path] = problems
-		t.faulty[update.Path] = update
+		t.invalid[update.Path] = update
 	}
-	t.nodes[update.Path] = recordOf(update, problems)
+	t.nodes[update.Path] = newRecord(update, problems)
 	t.link(update.Path)
 }
 
-func recordOf(update Update, problems []Problem) record {
+func newRecord(update Update, problems []Problem) record {
 	if update.spec != nil && update.Node.Kind == KindTenant && len(problems) == 0 {
 		return record{spec: update.spec, revision: update.Node.Revision}
 	}
-	return record{node: withoutFaults(update.Node, problems)}
+	return record{node: withoutInvalidFields(update.Node, problems)}
 }
 
-// withoutFaults takes the offending fields out, so that the inherited values
-// hold instead.
-func withoutFaults(node *Node, problems []Problem) *Node {
+// withoutInvalidFields returns node with its invalid fields unset, so that they
+// are inherited instead.
+func withoutInvalidFields(node *Node, problems []Problem) *Node {
 	if len(problems) == 0 {
 		return node
 	}
 	clean := *node
 	for _, problem := range problems {
-		dropField(&clean.Fields, problem.Field)
+		clearField(&clean.Fields, problem.Field)
 	}
 	return &clean
 }
 
-// link makes the path known to all its ancestors, present or not.
+// link adds path to the children of its ancestors, whether they exist or not.
 func (t *Tree) link(path string) {
 	for parent := Parent(path); parent != ""; path, parent = parent, Parent(parent) {
 		if t.children[parent] == nil {
@@ -244,7 +245,8 @@
 	}
 }
 
-// unlink forgets paths that have neither a node nor anything below them.
+// unlink removes path and its ancestors from their parents' children while they
+// have neither a node nor descendants.
 func (t *Tree) unlink(path string) {
 	for path != "" && !t.has(path) && len(t.children[path]) == 0 {
 		parent := Parent(path)
@@ -256,18 +258,19 @@
 	}
 }
 
-// collect adds a path and all below it.
-func (t *Tree) collect(path string, into map[string]struct{}) {
-	if _, seen := into[path]; seen {
+// collectSubtree adds path and its descendants to paths.
+func (t *Tree) collectSubtree(path string, paths map[string]struct{}) {
+	if _, seen := paths[path]; seen {
 		return
 	}
-	into[path] = struct{}{}
+	paths[path] = struct{}{}
 	for child := range t.children[path] {
-		t.collect(child, into)
+		t.collectSubtree(child, paths)
 	}
 }
 
-// resolve derives one node; its parent has been resolved before.
+// resolve updates the effective fields and claims of one node. Parents must be
+// resolved first.
 func (t *Tree) resolve(path string) {
 	t.claims.release(path)
 	node, present := t.Node(path)
@@ -286,7 +289,7 @@
 	t.claims.claim(node, effective)
 }
 
-// checkParent records whether the parent exists.
+// checkParent records the node as an orphan if its parent does not exist.
 func (t *Tree) checkParent(path string) {
 	parent := Parent(path)
 	if parent == "" || t.has(parent) {
@@ -296,8 +299,8 @@
 	t.orphans[path] = struct{}{}
 }
 
-// inherited is what the node at path inherits: the effective fields of the
-// nearest ancestor that exists.
+// inherited returns the effective fields of the nearest existing ancestor of
+// path, or the defaults.
 func (t *Tree) inherited(path string) *Fields {
 	for ancestor := Parent(path); ancestor != ""; ancestor = Parent(ancestor) {
 		if effective, ok := t.effective[ancestor]; ok {
--- a/internal/settings/tree/tree_test.go
+++ b/internal/settings/tree/tree_test.go
@@ -50,7 +50,8 @@
 	return objects
 }
 
-func TestFieldsInheritUnlessSet(t *testing.T) {
+// Guards against wrong inheritance of fields, and against plaintext keys in the store.
+func TestResolveInheritsUnsetFields(t *testing.T) {
 	g := gomega.NewWithT(t)
 	objects := objectsOf(t, parse(t, sampleFile))
 	snapshot, problems := Resolve(objects, 4)
@@ -69,15 +70,16 @@
 	}
 }
 
-func TestIncrementalResolveEqualsWholeResolve(t *testing.T) {
+// Guards against stale inherited fields after an ancestor changes, goes or returns.
+func TestApplyUpdatesInheritedFields(t *testing.T) {
 	g := gomega.NewWithT(t)
 	nodes := parse(t, sampleFile)
-	whole := New()
+	tree := New()
 	var updates []Update
 	for _, node := range nodes {
 		updates = append(updates, Update{Path: node.Path, Node: node})
 	}
-	whole.Apply(1, updates)
+	tree.Apply(1, updates)
 	steps := []struct {
 		update       Update
 		wantPriority int
@@ -89,45 +91,48 @@
 		{Update{Path: "fleet/hall", Node: nodes[1]}, 2, 0},
 	}
 	for i, step := range steps {
-		snapshot := whole.Apply(uint64(i+2), []Update{step.update})
+		snapshot := tree.Apply(uint64(i+2), []Update{step.update})
 		tenant, _ := snapshot.TenantByName("clerks")
 		g.Expect(tenant.Priority).To(gomega.Equal(step.wantPriority), "step %d", i)
-		g.Expect(whole.Problems()).To(gomega.HaveLen(step.wantProblems), "step %d", i)
+		g.Expect(tree.Problems()).To(gomega.HaveLen(step.wantProblems), "step %d", i)
 	}
 }
 
-func TestNodesInheritPastMissingAncestors(t *testing.T) {
+// Guards against lost inheritance across a missing node, and a leak of child links.
+func TestApplyInheritsPastMissingAncestor(t *testing.T) {
 	g := gomega.NewWithT(t)
-	whole := New()
-	whole.Apply(1, []Update{{Path: "a/b/c", Node: &Node{Path: "a/b/c", Kind: KindTenant}}})
-	snapshot := whole.Apply(2, []Update{{Path: "a", Node: &Node{Path: "a", Kind: KindFolder, Fields: Fields{Burst: ref(3)}}}})
+	tree := New()
+	tree.Apply(1, []Update{{Path: "a/b/c", Node: &Node{Path: "a/b/c", Kind: KindTenant}}})
+	snapshot := tree.Apply(2, []Update{{Path: "a", Node: &Node{Path: "a", Kind: KindFolder, Fields: Fields{Burst: ref(3)}}}})
 	tenant, _ := snapshot.TenantByName("c")
 	g.Expect(tenant.Burst).To(gomega.Equal(3))
-	g.Expect(whole.Problems()).To(gomega.HaveLen(1))
-	snapshot = whole.Apply(3, []Update{{Path: "a"}})
+	g.Expect(tree.Problems()).To(gomega.HaveLen(1))
+	snapshot = tree.Apply(3, []Update{{Path: "a"}})
 	tenant, _ = snapshot.TenantByName("c")
 	g.Expect(tenant.Burst).To(gomega.Equal(0))
-	whole.Apply(4, []Update{{Path: "a/b/c"}})
-	g.Expect(whole.children).To(gomega.BeEmpty())
+	tree.Apply(4, []Update{{Path: "a/b/c"}})
+	g.Expect(tree.children).To(gomega.BeEmpty())
 }
 
-func TestDoubleClaimsAreProblemsAndTheFirstPathHolds(t *testing.T) {
+// Guards against an owner of a duplicate key that depends on the order of updates.
+func TestApplyDuplicateKeyBelongsToFirstPath(t *testing.T) {
 	g := gomega.NewWithT(t)
 	nodes := parse(t, sampleFile+"---\npath: fleet/hall/aaa\nkind: tenant\nkeys: [secret]\n")
-	whole := New()
+	tree := New()
 	for i, node := range nodes {
-		whole.Apply(uint64(i), []Update{{Path: node.Path, Node: node}})
+		tree.Apply(uint64(i), []Update{{Path: node.Path, Node: node}})
 	}
-	g.Expect(whole.Problems()).To(gomega.HaveLen(1))
-	tenant, _ := whole.Snapshot().TenantByKey(apikey.HashKey("secret"))
+	g.Expect(tree.Problems()).To(gomega.HaveLen(1))
+	tenant, _ := tree.Snapshot().TenantByKey(apikey.HashKey("secret"))
 	g.Expect(tenant.Name).To(gomega.Equal("aaa"))
-	snapshot := whole.Apply(9, []Update{{Path: "fleet/hall/aaa"}})
+	snapshot := tree.Apply(9, []Update{{Path: "fleet/hall/aaa"}})
 	tenant, _ = snapshot.TenantByKey(apikey.HashKey("secret"))
 	g.Expect(tenant.Name).To(gomega.Equal("clerks"))
-	g.Expect(whole.Problems()).To(gomega.BeEmpty())
+	g.Expect(tree.Problems()).To(gomega.BeEmpty())
 }
 
-func TestFileProblemsNameFilePathAndField(t *testing.T) {
+// Guards against problems that do not locate the fault in the file.
+func TestParseFileReportsFilePathAndField(t *testing.T) {
 	for name, test := range map[string]struct{ text, want string }{
 		"unknown field":   {"path: a\nkind: folder\nprioritty: 1\n", "f.yaml: a: line 3: field prioritty not found"},
 		"out of range":    {"path: a\nkind: folder\npriority: 12\n", "f.yaml: a: priority: must be at most 9"},
@@ -147,7 +152,8 @@
 	}
 }
 
-func TestExampleTreesLoad(t *testing.T) {
+// Guards against example settings that no longer parse or resolve.
+func TestLoadFolderLoadsExamples(t *testing.T) {
 	for folder, key := range map[string]string{"nairamdal": "demo-caseworkers-key", "petition": "demo-citizens-key"} {
 		g := gomega.NewWithT(t)
 		live, err := LoadFolder("../../../examples/" + folder + "/settings")
