--- a/internal/settings/command/apply.go
+++ b/internal/settings/command/apply.go
@@ -14,19 +14,18 @@
 )
 
 const (
-	// listThreshold is the number of nodes from which one listing is cheaper
-	// for the store than reading node by node.
+	// listThreshold is the number of nodes from which one list request is
+	// cheaper for the store than one read per node.
 	listThreshold = 64
-	// maxWriteTries bounds the writes of one node whose answers are lost.
+	// maxWriteTries bounds the attempts to write one node.
 	maxWriteTries = 5
-	// catchUpWait is how long a change waits for its node to catch up.
-	catchUpWait = 2 * time.Second
-	catchUpPoll = 50 * time.Millisecond
-	// firstRetry is the pause after the first lost answer.
-	firstRetry = 100 * time.Millisecond
+	// catchUpWait bounds the wait for this machine to reach its peers' version.
+	catchUpWait       = 2 * time.Second
+	catchUpPoll       = 50 * time.Millisecond
+	defaultRetryDelay = 100 * time.Millisecond
 )
 
-// Store is what changes need of the platform's store.
+// Store is the part of the platform's store that a Writer needs.
 type Store interface {
 	Get(ctx context.Context, kind, name string) (platform.Object, error)
 	List(ctx context.Context, kind string) ([]platform.Object, uint64, error)
@@ -34,55 +33,56 @@
 	Delete(ctx context.Context, kind, name string, revision uint64) error
 }
 
-// InForce is the state of the tree that this node has in force.
+// InForce is the settings tree that this machine currently applies.
 type InForce interface {
-	// Version is the version in force; known is false before the first.
+	// Version returns the applied version; known is false before the first.
 	Version() (version settings.Version, known bool)
-	// Check lists the problems that updates would add.
+	// Check returns the problems that updates would add.
 	Check(updates []tree.Update) []tree.Problem
-	// Nodes lists the node at path and, if recursive, all below it.
+	// Nodes returns the node at path and, if recursive, its descendants.
 	Nodes(path string, recursive bool) ([]*tree.Node, error)
-	// Objects lists all stored objects in force.
+	// Objects returns the stored objects of all applied nodes.
 	Objects(ctx context.Context) ([]platform.Object, error)
-	// Traces lists the traces of deletions.
+	// Traces returns the tombstones of deleted nodes.
 	Traces(ctx context.Context) ([]platform.Object, error)
-	// Standing says how this node's version compares with the store and peers.
+	// Standing returns how current this machine and the store are.
 	Standing(ctx context.Context) (Standing, error)
 }
 
-// Standing is what a node knows before it lets a change through.
+// Standing describes how current this machine and the store are.
 type Standing struct {
-	// Newest is the stored object of the newest change in force; its name is
+	// Newest is the stored object of the latest applied change; its name is
 	// empty if there is none.
 	Newest platform.Object
-	// Heard is the highest version that any peer told of.
+	// Heard is the highest version that any peer reported.
 	Heard settings.Version
-	// StoreRefused says that the store was seen to have gone back or forked.
+	// StoreRefused is set if the store was seen to have rolled back or diverged.
 	StoreRefused bool
 }
 
-// Writer makes changes. Its methods may be called concurrently.
+// Writer checks changes and writes them to the store. It is safe for
+// concurrent use.
 type Writer struct {
 	store   Store
-	inForce InForce
+	applied InForce
 	now     func() time.Time
-	// retry is the pause after the first lost answer.
-	retry time.Duration
-	// swept is when traces of deletions were last swept, in Unix nanoseconds.
-	swept atomic.Int64
+	// initialRetryDelay is the first backoff after a failed write.
+	initialRetryDelay time.Duration
+	// lastSweep is the time of the last tombstone sweep, in Unix nanoseconds.
+	lastSweep atomic.Int64
 }
 
-// NewWriter makes a Writer.
-func NewWriter(store Store, inForce InForce, now func() time.Time) *Writer {
-	return &Writer{store: store, inForce: inForce, now: now, retry: firstRetry}
+// NewWriter returns a Writer that checks changes against applied.
+func NewWriter(store Store, applied InForce, now func() time.Time) *Writer {
+	return &Writer{store: store, applied: applied, now: now, initialRetryDelay: defaultRetryDelay}
 }
 
-// Apply makes a change. With an error, the result says what was written
-// before; it is nil when nothing was tried. The errors that tell the operator
-// what to do are *tree.InvalidError, *ConflictError, *UnknownOutcomeError,
-// *StoreBehindError, *NotReadyError and *BadRequestError.
+// Apply checks a change and writes it. With an error, the result holds the
+// nodes written before it, and is nil if no write was attempted. Errors that an
+// operator can act on are *tree.InvalidError, *ConflictError,
+// *UnknownOutcomeError, *StoreBehindError, *NotReadyError and *BadRequestError.
 func (w *Writer) Apply(ctx context.Context, change Change) (*Result, error) {
-	version, known := w.inForce.Version()
+	version, known := w.applied.Version()
 	if !known {
 		return nil, &NotReadyError{Reason: "it has no settings yet"}
 	}
@@ -100,17 +100,17 @@
 	if err := w.writeAll(ctx, &change, steps, result); err != nil {
 		return result, err
 	}
-	w.sweepNowAndThen(ctx)
+	w.sweepIfDue(ctx)
 	return result, nil
 }
 
-// plan reads what the change touches, and checks the whole.
+// plan reads the stored nodes that the change affects and validates it.
 func (w *Writer) plan(ctx context.Context, change *Change) ([]*step, error) {
 	steps, err := w.steps(change)
 	if err != nil {
 		return nil, err
 	}
-	if err := w.read(ctx, steps); err != nil {
+	if err := w.readStored(ctx, steps); err != nil {
 		return nil, err
 	}
 	var updates []tree.Update
@@ -123,13 +123,13 @@
 			updates = append(updates, step.update())
 		}
 	}
-	if problems := w.inForce.Check(updates); len(problems) > 0 {
+	if problems := w.applied.Check(updates); len(problems) > 0 {
 		return nil, &tree.InvalidError{Problems: problems}
 	}
 	return steps, nil
 }
 
-// steps lists the nodes that a change names, in the order of writing.
+// steps returns one step per node of the change, in write order.
 func (w *Writer) steps(change *Change) ([]*step, error) {
 	if change.ID == "" {
 		return nil, &BadRequestError{Reason: "the change has no id"}
@@ -161,7 +161,7 @@
 	if len(steps) == 0 {
 		return nil, &BadRequestError{Reason: "the change names no node"}
 	}
-	order(steps)
+	sortSteps(steps)
 	return steps, nil
 }
 
@@ -171,7 +171,7 @@
 	}
 	var paths []string
 	for _, path := range change.Delete {
-		nodes, err := w.inForce.Nodes(path, true)
+		nodes, err := w.applied.Nodes(path, true)
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
--- a/internal/settings/command/apply_test.go
+++ b/internal/settings/command/apply_test.go
@@ -14,36 +14,37 @@
 
 func fixedNow() time.Time { return time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC) }
 
-func nodes(t *testing.T, text string) []*tree.Node {
+func parseNodes(t *testing.T, text string) []*tree.Node {
 	t.Helper()
 	parsed, problems := tree.ParseFile("f.yaml", []byte(text))
 	gomega.NewWithT(t).Expect(problems).To(gomega.BeEmpty())
 	return parsed
 }
 
-func folder(path, extra string) string {
+func folderYAML(path, extra string) string {
 	return fmt.Sprintf("path: %s\nkind: folder\n%s\n---\n", path, extra)
 }
 
-// apply makes a change at a node that is in step with the store.
+// apply applies a change on a machine that is in sync with the store.
 func apply(store *memoryStore, change Change) (*Result, error) {
-	return NewWriter(store, follow(store), fixedNow).Apply(context.Background(), change)
+	return NewWriter(store, newSyncedState(store), fixedNow).Apply(context.Background(), change)
 }
 
-func seeded(t *testing.T) *memoryStore {
+func newSeededStore(t *testing.T) *memoryStore {
 	t.Helper()
 	store := newMemoryStore()
-	_, err := apply(store, Change{ID: "seed", By: "ann", Nodes: nodes(t, folder("fleet", "burst: 1")+folder("fleet/a", ""))})
+	_, err := apply(store, Change{ID: "seed", By: "ann", Nodes: parseNodes(t, folderYAML("fleet", "burst: 1")+folderYAML("fleet/a", ""))})
 	gomega.NewWithT(t).Expect(err).NotTo(gomega.HaveOccurred())
 	return store
 }
 
-func TestApplyWritesWhatDiffers(t *testing.T) {
+// Guards against writes of unchanged nodes, and a dry run that writes or differs.
+func TestApplyWritesOnlyChangedNodes(t *testing.T) {
 	g := gomega.NewWithT(t)
-	store := seeded(t)
-	change := Change{ID: "c1", Nodes: nodes(t, folder("fleet/a/b", "")+folder("fleet", "burst: 2")+folder("fleet/a", ""))}
+	store := newSeededStore(t)
+	change := Change{ID: "c1", Nodes: parseNodes(t, folderYAML("fleet/a/b", "")+folderYAML("fleet", "burst: 2")+folderYAML("fleet/a", ""))}
 	change.DryRun = true
-	trial, err := apply(store, change)
+	dryRun, err := apply(store, change)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(store.puts).To(gomega.Equal(2))
 	change.DryRun = false
@@ -51,7 +52,7 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	var actions []string
 	for i, node := range result.Nodes {
-		g.Expect(node.Action).To(gomega.Equal(trial.Nodes[i].Action))
+		g.Expect(node.Action).To(gomega.Equal(dryRun.Nodes[i].Action))
 		actions = append(actions, node.Path+" "+string(node.Action))
 	}
 	g.Expect(actions).To(gomega.Equal([]string{"fleet update", "fleet/a unchanged", "fleet/a/b create"}))
@@ -59,21 +60,22 @@
 	g.Expect(result.Revision).To(gomega.Equal(store.revision))
 }
 
-func TestApplyIsRefusedWhole(t *testing.T) {
+// Guards against a rejected change that is partly written.
+func TestApplyRejectsWithoutPartialWrites(t *testing.T) {
 	for name, test := range map[string]struct {
 		text   string
 		remove []string
 		want   any
 	}{
-		"invalid nodes":   {folder("fleet/x", "burst: -1") + folder("fleet/y", "") + folder("lost/z", ""), nil, new(*tree.InvalidError)},
-		"would be orphan": {"", []string{"fleet"}, new(*tree.InvalidError)},
-		"twice":           {folder("fleet/x", "") + folder("fleet/x", ""), nil, new(*BadRequestError)},
-		"nothing":         {"", nil, new(*BadRequestError)},
-		"other revision":  {"path: fleet\nkind: folder\nrevision: 99\n", nil, new(*ConflictError)},
+		"invalid nodes":     {folderYAML("fleet/x", "burst: -1") + folderYAML("fleet/y", "") + folderYAML("lost/z", ""), nil, new(*tree.InvalidError)},
+		"orphaned child":    {"", []string{"fleet"}, new(*tree.InvalidError)},
+		"duplicate path":    {folderYAML("fleet/x", "") + folderYAML("fleet/x", ""), nil, new(*BadRequestError)},
+		"no nodes":          {"", nil, new(*BadRequestError)},
+		"revision mismatch": {"path: fleet\nkind: folder\nrevision: 99\n", nil, new(*ConflictError)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			store := seeded(t)
+			store := newSeededStore(t)
 			before := store.revision
 			parsed, _ := tree.ParseFile("f.yaml", []byte(test.text))
 			_, err := apply(store, Change{ID: "c", Nodes: parsed, Delete: test.remove})
@@ -84,54 +86,57 @@
 	}
 }
 
-func TestInvalidChangeNamesAllProblems(t *testing.T) {
+// Guards against an error that reports only the first problem.
+func TestApplyReportsAllProblems(t *testing.T) {
 	g := gomega.NewWithT(t)
-	parsed, _ := tree.ParseFile("f.yaml", []byte(folder("fleet/x", "burst: -1\npriority: 11")+folder("lost/z", "")))
-	_, err := apply(seeded(t), Change{ID: "c", Nodes: parsed})
+	parsed, _ := tree.ParseFile("f.yaml", []byte(folderYAML("fleet/x", "burst: -1\npriority: 11")+folderYAML("lost/z", "")))
+	_, err := apply(newSeededStore(t), Change{ID: "c", Nodes: parsed})
 	for _, want := range []string{"fleet/x: burst", "fleet/x: priority", "lost/z: path"} {
 		g.Expect(err).To(gomega.MatchError(gomega.ContainSubstring(want)))
 	}
 }
 
-func TestLoserOfARaceSeesBothVersions(t *testing.T) {
+// Guards against a concurrent write that is overwritten or not shown in the conflict.
+func TestApplyConflictReportsBothVersions(t *testing.T) {
 	g := gomega.NewWithT(t)
-	store := seeded(t)
+	store := newSeededStore(t)
 	store.beforePut = func() {
-		_, err := apply(store, Change{ID: "rival", By: "bob", Nodes: nodes(t, folder("fleet", "burst: 5"))})
+		_, err := apply(store, Change{ID: "rival", By: "bob", Nodes: parseNodes(t, folderYAML("fleet", "burst: 5"))})
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 	}
-	_, err := apply(store, Change{ID: "mine", By: "ann", Nodes: nodes(t, folder("fleet", "burst: 9"))})
+	_, err := apply(store, Change{ID: "mine", By: "ann", Nodes: parseNodes(t, folderYAML("fleet", "burst: 9"))})
 	var conflict *ConflictError
 	g.Expect(errorsAs(err, &conflict)).To(gomega.BeTrue())
 	g.Expect(conflict.By).To(gomega.Equal("bob"))
 	g.Expect(conflict.Fields).To(gomega.Equal([]tree.FieldConflict{{Field: "burst", Before: "1", Theirs: "5", Yours: "9"}}))
 }
 
-func TestLostAnswerIsRecognisedAsOnesOwnWrite(t *testing.T) {
+// Guards against a retry that writes a second time or reports a false conflict.
+func TestApplyWritesOnceAfterLostResponse(t *testing.T) {
 	for name, test := range map[string]struct {
 		answers, requests int
 		overwritten       bool
 	}{
-		"answer lost":                      {answers: 1},
-		"request lost":                     {requests: 2},
-		"answer lost, overwritten since":   {answers: 1, overwritten: true},
-		"request lost, then answer lost":   {answers: 1, requests: 1},
-		"all lost, then repeated by hand":  {requests: maxWriteTries},
-		"answer lost, repeated afterwards": {answers: 1},
+		"response lost":                     {answers: 1},
+		"request lost":                      {requests: 2},
+		"response lost, overwritten since":  {answers: 1, overwritten: true},
+		"request lost, then response lost":  {answers: 1, requests: 1},
+		"all requests lost, then retried":   {requests: maxWriteTries},
+		"response lost, retried afterwards": {answers: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			store := seeded(t)
-			store.loseAnswers, store.loseRequests = test.answers, test.requests
+			store := newSeededStore(t)
+			store.loseResponses, store.loseRequests = test.answers, test.requests
 			lossy := &overwritingStore{memoryStore: store}
 			if test.overwritten {
 				lossy.afterLoss = func() {
-					_, err := apply(store, Change{ID: "later", Nodes: nodes(t, folder("fleet", "burst: 7"))})
+					_, err := apply(store, Change{ID: "later", Nodes: parseNodes(t, folderYAML("fleet", "burst: 7"))})
 					g.Expect(err).NotTo(gomega.HaveOccurred())
 				}
 			}
-			change := Change{ID: "mine", Nodes: nodes(t, folder("fleet", "burst: 9"))}
-			result, err := NewWriter(lossy, follow(store), fixedNow).Apply(context.Background(), change)
+			change := Change{ID: "mine", Nodes: parseNodes(t, folderYAML("fleet", "burst: 9"))}
+			result, err := NewWriter(lossy, newSyncedState(store), fixedNow).Apply(context.Background(), change)
 			if test.requests == maxWriteTries {
 				var unknown *UnknownOutcomeError
 				g.Expect(errorsAs(err, &unknown)).To(gomega.BeTrue())
@@ -148,66 +153,70 @@
 	}
 }
 
-func TestDeletionLeavesATraceAndInheritsAgain(t *testing.T) {
+// Guards against parents deleted first, missing tombstones, and paths that cannot be reused.
+func TestApplyDeleteLeavesTombstones(t *testing.T) {
 	g := gomega.NewWithT(t)
-	store := seeded(t)
+	store := newSeededStore(t)
 	result, err := apply(store, Change{ID: "d", Delete: []string{"fleet"}, Recursive: true})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(result.Nodes[0].Path).To(gomega.Equal("fleet/a"), "children go first")
 	g.Expect(string(store.objects["fleet"].Spec)).To(gomega.ContainSubstring(`"deleted":true`))
-	left, err := follow(store).Nodes("", true)
+	left, err := newSyncedState(store).Nodes("", true)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(left).To(gomega.BeEmpty())
-	_, err = apply(store, Change{ID: "again", Nodes: nodes(t, folder("fleet", ""))})
+	_, err = apply(store, Change{ID: "again", Nodes: parseNodes(t, folderYAML("fleet", ""))})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 }
 
-func TestOldTracesOfDeletionsAreSwept(t *testing.T) {
+// Guards against tombstones swept too early or never.
+func TestApplySweepsExpiredTombstones(t *testing.T) {
 	g := gomega.NewWithT(t)
-	store := seeded(t)
+	store := newSeededStore(t)
 	_, err := apply(store, Change{ID: "d", Delete: []string{"fleet/a"}})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	for _, step := range []struct {
 		later time.Duration
 		kept  bool
-	}{{traceRetention - time.Hour, true}, {traceRetention + time.Hour, false}} {
+	}{{tombstoneRetention - time.Hour, true}, {tombstoneRetention + time.Hour, false}} {
 		now := func() time.Time { return fixedNow().Add(step.later) }
-		change := Change{ID: fmt.Sprint(step.later), Nodes: nodes(t, folder("fleet", fmt.Sprintf("burst: %d", step.later.Milliseconds())))}
-		_, err := NewWriter(store, follow(store), now).Apply(context.Background(), change)
+		change := Change{ID: fmt.Sprint(step.later), Nodes: parseNodes(t, folderYAML("fleet", fmt.Sprintf("burst: %d", step.later.Milliseconds())))}
+		_, err := NewWriter(store, newSyncedState(store), now).Apply(context.Background(), change)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		_, present := store.objects["fleet.a"]
 		g.Expect(present).To(gomega.Equal(step.kept))
 	}
 }
 
-func TestMissingTraceOfADeletionIsASweptOneOnlyIfOld(t *testing.T) {
+// Guards against mistaking a swept tombstone for a rollback of the store, or the reverse.
+func TestApplyAcceptsMissingTombstoneOnlyIfExpired(t *testing.T) {
 	g := gomega.NewWithT(t)
-	store := seeded(t)
+	store := newSeededStore(t)
 	_, err := apply(store, Change{ID: "d", Delete: []string{"fleet/a"}})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	inForce := follow(store)
+	inForce := newSyncedState(store)
 	delete(store.objects, "fleet.a")
-	change := Change{ID: "c", Nodes: nodes(t, folder("fleet", "burst: 5"))}
+	change := Change{ID: "c", Nodes: parseNodes(t, folderYAML("fleet", "burst: 5"))}
 	_, err = NewWriter(store, inForce, fixedNow).Apply(context.Background(), change)
 	var behind *StoreBehindError
 	g.Expect(errorsAs(err, &behind)).To(gomega.BeTrue())
-	later := func() time.Time { return fixedNow().Add(traceRetention + time.Hour) }
+	later := func() time.Time { return fixedNow().Add(tombstoneRetention + time.Hour) }
 	_, err = NewWriter(store, inForce, later).Apply(context.Background(), change)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 }
 
-func TestStoreThatWentBackIsNotWrittenButRecovered(t *testing.T) {
+// Guards against writes to a rolled-back store, and an incomplete recovery.
+func TestRecoverStoreAfterRollback(t *testing.T) {
 	g := gomega.NewWithT(t)
-	store := seeded(t)
+	store := newSeededStore(t)
 	old := *store
 	old.objects = map[string]platformObject{}
 	for name, object := range store.objects {
 		old.objects[name] = object
 	}
-	_, err := apply(store, Change{ID: "n", Nodes: nodes(t, folder("fleet", "burst: 3")+folder("fleet/b", ""))})
+	_, err := apply(store, Change{ID: "n", Nodes: parseNodes(t, folderYAML("fleet", "burst: 3")+folderYAML("fleet/b", ""))})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	writer := NewWriter(&old, follow(store), fixedNow)
-	_, err = writer.Apply(context.Background(), Change{ID: "x", Nodes: nodes(t, folder("fleet", "burst: 4"))})
+	writer := NewWriter(&old, newSyncedState(store), fixedNow)
+	_, err = writer.Apply(context.Background(), Change{ID: "x", Nodes: parseNodes(t, folderYAML("fleet", "burst: 4"))})
 	var behind *StoreBehindError
 	g.Expect(errorsAs(err, &behind)).To(gomega.BeTrue())
 	recovery, err := writer.RecoverStore(context.Background(), "r", "ann")
@@ -216,18 +225,19 @@
 	g.Expect(recovery.Written).To(gomega.ConsistOf("fleet", "fleet/b"))
 	delete(old.objects, tree.EpochObject)
 	for _, path := range []string{"fleet", "fleet/b"} {
-		want, _ := follow(store).Explain(path)
-		g.Expect(follow(&old).Explain(path)).To(gomega.Equal(want))
+		want, _ := newSyncedState(store).Explain(path)
+		g.Expect(newSyncedState(&old).Explain(path)).To(gomega.Equal(want))
 	}
 }
 
-func TestNodeWithoutSettingsTakesNoChange(t *testing.T) {
+// Guards against changes accepted before any settings are known.
+func TestApplyRejectsBeforeFirstVersion(t *testing.T) {
 	g := gomega.NewWithT(t)
-	_, err := NewWriter(newMemoryStore(), &emptyNode{}, fixedNow).Apply(context.Background(), Change{ID: "c"})
+	_, err := NewWriter(newMemoryStore(), &emptyState{}, fixedNow).Apply(context.Background(), Change{ID: "c"})
 	var notReady *NotReadyError
 	g.Expect(errorsAs(err, &notReady)).To(gomega.BeTrue())
 }
 
-type emptyNode struct{ followed }
+type emptyState struct{ syncedState }
 
-func (*emptyNode) Version() (settings.Version, bool) { return 0, false }
+func (*emptyState) Version() (settings.Version, bool) { return 0, false }
--- a/internal/settings/command/change.go
+++ b/internal/settings/command/change.go
@@ -8,24 +8,24 @@
 	"chutelock.dev/chutelock/internal/settings/tree"
 )
 
-// Change is what an operator asks for.
+// Change is an operator's request to write and delete nodes.
 type Change struct {
-	// ID names the change; a repeated change has the same id.
+	// ID identifies the change; a retry uses the same ID.
 	ID string `json:"id"`
-	// By names the operator, for others to see.
+	// By is the operator's name, shown in conflicts.
 	By string `json:"by,omitempty"`
-	// Nodes are written whole: a field that is left out inherits. A node with
-	// a Revision is written only over exactly that version.
+	// Nodes replace the stored nodes: an omitted field is inherited. A node
+	// with a Revision is written only over exactly that revision.
 	Nodes []*tree.Node `json:"-"`
 	// Delete are the paths to delete.
 	Delete []string `json:"delete,omitempty"`
-	// Recursive deletes all below the paths as well.
+	// Recursive deletes the descendants as well.
 	Recursive bool `json:"recursive,omitempty"`
-	// DryRun checks and compares, and writes nothing.
+	// DryRun validates the change and writes nothing.
 	DryRun bool `json:"dryRun,omitempty"`
 }
 
-// Action is what a change does to a node.
+// Action is the effect of a change on a node.
 type Action string
 
 // Actions.
@@ -36,42 +36,42 @@
 	ActionUnchanged Action = "unchanged"
 )
 
-// NodeResult is what became of one node.
+// NodeResult is the outcome for one node.
 type NodeResult struct {
 	Path   string             `json:"path"`
 	Action Action             `json:"action"`
 	Fields []tree.FieldChange `json:"fields,omitempty"`
-	// Written says that the store holds the change; false in a dry run.
+	// Written is set if the store holds the change; false in a dry run.
 	Written  bool   `json:"written"`
 	Revision uint64 `json:"revision,omitempty"`
 }
 
-// Result is the answer to a change.
+// Result is the outcome of a change.
 type Result struct {
 	ID     string       `json:"id"`
 	DryRun bool         `json:"dryRun,omitempty"`
 	Nodes  []NodeResult `json:"nodes"`
-	// Revision is the highest revision written; the change is in force where
-	// this revision is.
+	// Revision is the highest revision written; a machine that has reached it
+	// applies the whole change.
 	Revision uint64 `json:"revision,omitempty"`
-	// Epoch is the settings epoch under which it was written.
+	// Epoch is the settings epoch of the write.
 	Epoch uint16 `json:"epoch"`
 }
 
 // step is the write of one node.
 type step struct {
-	path    string
-	wanted  *tree.Node // nil deletes
-	stored  *tree.Node // nil if there is none; may be a trace of a deletion
-	action  Action
-	fields  []tree.FieldChange
-	already bool // an earlier try of the same change wrote it
+	path           string
+	wanted         *tree.Node // nil deletes
+	stored         *tree.Node // nil if absent; may be a tombstone
+	action         Action
+	fields         []tree.FieldChange
+	alreadyWritten bool // an earlier attempt of the same change wrote it
 }
 
-// update is the step as the tree takes it.
+// update returns the tree update of the step.
 func (s *step) update() tree.Update { return tree.Update{Path: s.path, Node: s.wanted} }
 
-// storedRevision is the version that the write replaces; 0 creates.
+// storedRevision returns the revision that the write replaces; 0 creates.
 func (s *step) storedRevision() uint64 {
 	if s.stored == nil {
 		return 0
@@ -79,7 +79,7 @@
 	return s.stored.Revision
 }
 
-// replacement is the node to write.
+// replacement returns the node to write; a deletion writes a tombstone.
 func (s *step) replacement(change *Change, at time.Time) *tree.Node {
 	node := &tree.Node{Path: s.path, Kind: tree.KindFolder, Deleted: true}
 	if s.wanted != nil {
@@ -90,13 +90,13 @@
 	return node
 }
 
-// classify fills in what the step does.
+// classify sets the step's action and changed fields.
 func (s *step) classify(changeID string) {
 	present := s.stored != nil && !s.stored.Deleted
-	s.already = s.stored != nil && s.stored.Change.Includes(changeID)
+	s.alreadyWritten = s.stored != nil && s.stored.Change.Includes(changeID)
 	s.fields = tree.Differences(s.stored, s.wanted)
 	switch {
-	case s.already, s.wanted == nil && !present, present && s.wanted != nil && len(s.fields) == 0:
+	case s.alreadyWritten, s.wanted == nil && !present, present && s.wanted != nil && len(s.fields) == 0:
 		s.action = ActionUnchanged
 	case s.wanted == nil:
 		s.action = ActionDelete
@@ -107,18 +107,18 @@
 	}
 }
 
-// checkExpected refuses a node that was made from another version than the
-// stored one.
+// checkExpected returns a conflict if the node was edited from another revision
+// than the stored one.
 func (s *step) checkExpected() error {
 	if s.action == ActionUnchanged || s.wanted == nil || s.wanted.Revision == 0 || s.wanted.Revision == s.storedRevision() {
 		return nil
 	}
-	return newBlindConflict(s.path, s.stored, s.wanted)
+	return newRevisionConflict(s.path, s.stored, s.wanted)
 }
 
-// order sorts steps so that every prefix leaves a tree without orphans:
+// sortSteps orders steps so that every prefix leaves a tree without orphans:
 // parents before children, then deletions with children before parents.
-func order(steps []*step) {
+func sortSteps(steps []*step) {
 	slices.SortFunc(steps, func(a, b *step) int {
 		if (a.wanted == nil) != (b.wanted == nil) {
 			if a.wanted != nil {
--- a/internal/settings/command/fuzz_test.go
+++ b/internal/settings/command/concurrent_test.go
@@ -16,8 +16,8 @@
 	"chutelock.dev/chutelock/internal/settings/tree"
 )
 
-// TestMain fixes the seed, so that each run gives the same verdict. With
-// CHUTELOCK_CAMPAIGN set to a number, that many sequences run from new seeds.
+// TestMain fixes the seed, so that runs are reproducible. CHUTELOCK_CAMPAIGN set
+// to a number runs that many sequences from random seeds.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	checks, seed := "100", "20260102"
@@ -32,26 +32,28 @@
 	os.Exit(m.Run())
 }
 
-// maxRecognised is how many writes later a change still knows itself.
-const maxRecognised = 8
+// maxLaterWrites is the number of later writes up to which a retry is recognized.
+const maxLaterWrites = 8
 
-// race is a few operators at one store whose answers get lost.
-type race struct {
+// concurrentWriters simulates operators that write to one store and lose
+// responses.
+type concurrentWriters struct {
 	t       *rapid.T
 	g       *gomega.WithT
 	store   *memoryStore
 	changes int
-	// open are changes whose outcome was not known.
-	open []openChange
+	// unresolved are the changes whose outcome is unknown.
+	unresolved []unresolvedChange
 }
 
-// openChange remembers how many changes there were before it.
-type openChange struct {
+// unresolvedChange holds a change and the number of changes issued until its
+// outcome was unknown.
+type unresolvedChange struct {
 	Change
 	before int
 }
 
-func (r *race) newChange(label string) Change {
+func (r *concurrentWriters) newChange(label string) Change {
 	r.changes++
 	path := rapid.SampledFrom([]string{"fleet", "fleet/a"}).Draw(r.t, label+" path")
 	node := &tree.Node{Path: path, Kind: tree.KindFolder}
@@ -63,12 +65,12 @@
 	return Change{ID: fmt.Sprintf("change-%d", r.changes), Nodes: []*tree.Node{node}}
 }
 
-// run makes a change and checks its answer against the store's history.
-func (r *race) run(change Change) {
-	lossless := r.store.loseAnswers+r.store.loseRequests == 0
+// run applies a change and checks the outcome against the store's history.
+func (r *concurrentWriters) run(change Change) {
+	lossless := r.store.loseResponses+r.store.loseRequests == 0
 	r.store.writeFailed = false
-	writer := NewWriter(r.store, follow(r.store), fixedNow)
-	writer.retry = time.Microsecond
+	writer := NewWriter(r.store, newSyncedState(r.store), fixedNow)
+	writer.initialRetryDelay = time.Microsecond
 	_, err := writer.Apply(context.Background(), change)
 	name := tree.ObjectName(change.Nodes[0].Path)
 	written := count(r.store.history[name], change.ID)
@@ -83,7 +85,7 @@
 	case errors.As(err, &unknown):
 		r.g.Expect(written).To(gomega.BeNumerically("<=", 1))
 		r.g.Expect(lossless).To(gomega.BeFalse(), "nothing was lost")
-		r.open = append(r.open, openChange{change, r.changes})
+		r.unresolved = append(r.unresolved, unresolvedChange{change, r.changes})
 	default:
 		r.t.Fatalf("%s: %v", change.ID, err)
 	}
@@ -99,33 +101,34 @@
 	return found
 }
 
-func TestRacingOperatorsWithLostAnswers(t *testing.T) {
+// Guards against lost, repeated or misreported writes under concurrency and failures.
+func TestApplyConcurrentWritersWithLostResponses(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		r := &race{t: rt, g: gomega.NewWithT(rt), store: newMemoryStore()}
+		r := &concurrentWriters{t: rt, g: gomega.NewWithT(rt), store: newMemoryStore()}
 		_, err := apply(r.store, Change{ID: "seed", Nodes: []*tree.Node{
 			{Path: "fleet", Kind: tree.KindFolder}, {Path: "fleet/a", Kind: tree.KindFolder},
 		}})
 		r.g.Expect(err).NotTo(gomega.HaveOccurred())
 		rt.Repeat(map[string]func(*rapid.T){
 			"lose": func(*rapid.T) {
-				r.store.loseAnswers = rapid.IntRange(0, 7).Draw(rt, "answers")
+				r.store.loseResponses = rapid.IntRange(0, 7).Draw(rt, "answers")
 				r.store.loseRequests = rapid.IntRange(0, 7).Draw(rt, "requests")
 				r.store.loseReads = rapid.IntRange(0, 7).Draw(rt, "reads")
 			},
 			"change": func(*rapid.T) { r.run(r.newChange("change")) },
 			"race": func(*rapid.T) {
-				rival := r.newChange("rival")
-				r.store.beforePut = func() { r.run(rival) }
+				concurrent := r.newChange("rival")
+				r.store.beforePut = func() { r.run(concurrent) }
 				r.run(r.newChange("own"))
 				r.store.beforePut = nil
 			},
 			"repeat": func(*rapid.T) {
-				if len(r.open) == 0 {
+				if len(r.unresolved) == 0 {
 					return
 				}
-				change := r.open[0]
-				r.open = slices.Delete(r.open, 0, 1)
-				if r.changes-change.before < maxRecognised {
+				change := r.unresolved[0]
+				r.unresolved = slices.Delete(r.unresolved, 0, 1)
+				if r.changes-change.before < maxLaterWrites {
 					r.run(change.Change)
 				}
 			},
--- a/internal/settings/command/errors.go
+++ b/internal/settings/command/errors.go
@@ -9,32 +9,33 @@
 	"chutelock.dev/chutelock/internal/settings/tree"
 )
 
-// ConflictError says that another operator wrote the same node first. It
-// shows both versions, field by field.
+// ConflictError reports that the stored node is not the version that the change
+// is based on. It lists the fields that differ.
 type ConflictError struct {
 	Path     string               `json:"path"`
-	Revision uint64               `json:"revision"` // of their version
+	Revision uint64               `json:"revision"` // of the stored version
 	By       string               `json:"by"`
 	At       time.Time            `json:"at"`
 	Fields   []tree.FieldConflict `json:"fields"`
 }
 
 func newConflict(path string, before, theirs, yours *tree.Node) *ConflictError {
-	return describeRival(&ConflictError{Path: path, Fields: tree.Conflicts(before, theirs, yours)}, theirs)
+	return withWriter(&ConflictError{Path: path, Fields: tree.Conflicts(before, theirs, yours)}, theirs)
 }
 
-// newBlindConflict is of a change whose starting version is not known.
-func newBlindConflict(path string, theirs, yours *tree.Node) *ConflictError {
+// newRevisionConflict returns the conflict of a change whose base version is
+// unknown.
+func newRevisionConflict(path string, theirs, yours *tree.Node) *ConflictError {
 	conflict := &ConflictError{Path: path}
 	for _, change := range tree.Differences(theirs, yours) {
 		conflict.Fields = append(conflict.Fields, tree.FieldConflict{
 			Field: change.Field, Before: "(not known)", Theirs: change.Old, Yours: change.New,
 		})
 	}
-	return describeRival(conflict, theirs)
+	return withWriter(conflict, theirs)
 }
 
-func describeRival(conflict *ConflictError, theirs *tree.Node) *ConflictError {
+func withWriter(conflict *ConflictError, theirs *tree.Node) *ConflictError {
 	if theirs == nil {
 		return conflict
 	}
@@ -45,7 +46,7 @@
 	return conflict
 }
 
-// Error shows both versions.
+// Error lists both versions of each field.
 func (e *ConflictError) Error() string {
 	head := fmt.Sprintf("%s was changed by %q at %s and is at revision %d now; read it with `chutelockctl get %s` and apply again",
 		e.Path, e.By, e.At.Format(time.RFC3339), e.Revision, e.Path)
@@ -56,24 +57,24 @@
 	return strings.Join(lines, "\n")
 }
 
-// UnknownOutcomeError says that it is not known whether a node was written.
-// Repeating the change with the same id finds out.
+// UnknownOutcomeError reports that a node may or may not have been written.
+// Retrying the change with the same ID resolves it.
 type UnknownOutcomeError struct {
 	ID   string
 	Path string
 	Err  error
 }
 
-// Error says what to do.
+// Error includes the remedy.
 func (e *UnknownOutcomeError) Error() string {
 	return fmt.Sprintf("it is not known whether %s was written (%v); repeat with -id %s", e.Path, e.Err, e.ID)
 }
 
-// Unwrap gives the store's error.
+// Unwrap returns the store's error.
 func (e *UnknownOutcomeError) Unwrap() error { return e.Err }
 
-// StoreBehindError says that the store holds an older state than the one in
-// force, as after the restore of an old copy. Writing to it is refused.
+// StoreBehindError reports that the store is older than the applied settings,
+// as after a restore from an old backup. Nothing is written to it.
 type StoreBehindError struct {
 	Path     string
 	Stored   uint64
@@ -81,23 +82,23 @@
 	InForce  settings.Version
 }
 
-// Error says what to do.
+// Error includes the remedy.
 func (e *StoreBehindError) Error() string {
 	return fmt.Sprintf("the store has gone back: it holds %q at revision %d, but revision %d of it is in force (settings %s); "+
 		"nothing was written. Bring the right copy of the store back, or write what is in force to it with `chutelockctl apply -recover-store`",
 		e.Path, e.Stored, e.Expected, e.InForce)
 }
 
-// NotReadyError says that this node can't check a change now.
+// NotReadyError reports that this machine cannot validate changes yet.
 type NotReadyError struct{ Reason string }
 
-// Error gives the reason.
+// Error implements error.
 func (e *NotReadyError) Error() string {
 	return "this node can't take changes of settings: " + e.Reason
 }
 
-// BadRequestError says that a change is malformed.
+// BadRequestError reports that a change is malformed.
 type BadRequestError struct{ Reason string }
 
-// Error gives the reason.
+// Error implements error.
 func (e *BadRequestError) Error() string { return e.Reason }
--- a/internal/settings/command/standing.go
+++ b/internal/settings/command/read.go
@@ -13,12 +13,10 @@
 	"chutelock.dev/chutelock/internal/settings/tree"
 )
 
-// This file reads the store before a change, and refuses to go on where this
-// node or the store is behind.
-
-// read fetches the stored version of each step's node.
-func (w *Writer) read(ctx context.Context, steps []*step) error {
-	if err := w.checkStanding(ctx); err != nil {
+// readStored reads the stored version of each step's node. It fails if this
+// machine or the store is behind.
+func (w *Writer) readStored(ctx context.Context, steps []*step) error {
+	if err := w.checkStoreCurrent(ctx); err != nil {
 		return err
 	}
 	var listed map[string]platform.Object
@@ -33,28 +31,28 @@
 		}
 	}
 	for _, step := range steps {
-		if err := w.readOne(ctx, step, listed); err != nil {
+		if err := w.readStep(ctx, step, listed); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (w *Writer) readOne(ctx context.Context, step *step, listed map[string]platform.Object) error {
+func (w *Writer) readStep(ctx context.Context, step *step, listed map[string]platform.Object) error {
 	if listed != nil {
 		object, present := listed[tree.ObjectName(step.path)]
 		step.stored = decode(step.path, object, present)
-		return w.checkNotBehind(step)
+		return w.checkNotOlder(step)
 	}
 	stored, err := w.get(ctx, step.path)
 	if err != nil {
 		return trace.Wrap(err, "read the stored version of %s", step.path)
 	}
 	step.stored = stored
-	return w.checkNotBehind(step)
+	return w.checkNotOlder(step)
 }
 
-// get reads a stored node; nil means that the store has none.
+// get returns the stored node at path, or nil if there is none.
 func (w *Writer) get(ctx context.Context, path string) (*tree.Node, error) {
 	object, err := w.store.Get(ctx, platform.KindSetting, tree.ObjectName(path))
 	if errors.Is(err, platform.ErrNotFound) {
@@ -66,8 +64,8 @@
 	return decode(path, object, true), nil
 }
 
-// decode reads a stored node. One that can't be read counts as an empty
-// folder, so that a change can put it right.
+// decode decodes a stored node. A malformed one counts as an empty folder, so
+// that a change can replace it.
 func decode(path string, object platform.Object, present bool) *tree.Node {
 	if !present {
 		return nil
@@ -80,10 +78,10 @@
 	return node
 }
 
-// checkStanding refuses to write through a node that lags behind its peers,
-// and to a store that lacks the newest change in force.
-func (w *Writer) checkStanding(ctx context.Context) error {
-	standing, version, err := w.caughtUp(ctx)
+// checkStoreCurrent returns an error if this machine lags behind its peers or
+// the store lacks the latest applied change.
+func (w *Writer) checkStoreCurrent(ctx context.Context) error {
+	standing, version, err := w.waitForCatchUp(ctx)
 	if err != nil {
 		return err
 	}
@@ -100,17 +98,18 @@
 		return trace.Wrap(err, "read the newest change in force")
 	}
 	behind.Stored = stored.Revision
-	if stored.Revision >= newest.Revision || stored.Revision == 0 && isOldTrace(newest, w.now()) {
+	if stored.Revision >= newest.Revision || stored.Revision == 0 && isExpiredTombstone(newest, w.now()) {
 		return nil
 	}
 	return behind
 }
 
-// caughtUp waits a little for this node to have in force what peers have.
-func (w *Writer) caughtUp(ctx context.Context) (Standing, settings.Version, error) {
+// waitForCatchUp waits up to catchUpWait for this machine to reach its peers'
+// version.
+func (w *Writer) waitForCatchUp(ctx context.Context) (Standing, settings.Version, error) {
 	for waited := time.Duration(0); ; waited += catchUpPoll {
-		standing, err := w.inForce.Standing(ctx)
-		version, _ := w.inForce.Version()
+		standing, err := w.applied.Standing(ctx)
+		version, _ := w.applied.Version()
 		if err != nil || standing.Heard <= version {
 			return standing, version, trace.Wrap(err)
 		}
@@ -126,12 +125,13 @@
 	}
 }
 
-// checkNotBehind refuses to write over a version older than the one in force.
-func (w *Writer) checkNotBehind(step *step) error {
-	nodes, err := w.inForce.Nodes(step.path, false)
+// checkNotOlder returns an error if the stored node is older than the applied
+// one.
+func (w *Writer) checkNotOlder(step *step) error {
+	nodes, err := w.applied.Nodes(step.path, false)
 	if err != nil || len(nodes) == 0 || nodes[0].Revision <= step.storedRevision() {
 		return nil
 	}
-	version, _ := w.inForce.Version()
+	version, _ := w.applied.Version()
 	return &StoreBehindError{Path: step.path, Stored: step.storedRevision(), Expected: nodes[0].Revision, InForce: version}
 }
--- a/internal/settings/command/recover.go
+++ b/internal/settings/command/recover.go
@@ -13,31 +13,31 @@
 	"chutelock.dev/chutelock/internal/settings/tree"
 )
 
-// ErrEpochExhausted says that the epoch can't rise any more.
+// ErrEpochExhausted is returned when the epoch is at its maximum.
 var ErrEpochExhausted = errors.New("settings: no epoch left")
 
-// Recovery is what RecoverStore did.
+// Recovery is the result of RecoverStore.
 type Recovery struct {
 	Epoch   uint16   `json:"epoch"`
-	Written []string `json:"written"` // paths that were written again
-	Removed []string `json:"removed"` // paths that only the old copy had
+	Written []string `json:"written"` // paths restored from the applied settings
+	Removed []string `json:"removed"` // paths that only the store had
 }
 
-// RecoverStore writes the state in force to a store that went back, and then
-// raises the epoch, which makes every node take the store's state again. It
-// may be repeated after an error.
+// RecoverStore writes the applied settings to a store that has rolled back, and
+// then raises the epoch, which makes every machine accept the store's state
+// again. It can be retried after an error.
 func (w *Writer) RecoverStore(ctx context.Context, id, by string) (*Recovery, error) {
-	version, known := w.inForce.Version()
+	version, known := w.applied.Version()
 	if !known {
 		return nil, &NotReadyError{Reason: "it has no settings yet"}
 	}
 	if version.Epoch() == settings.MaxEpoch {
 		return nil, ErrEpochExhausted
 	}
-	if _, version, err := w.caughtUp(ctx); err != nil {
+	if _, version, err := w.waitForCatchUp(ctx); err != nil {
 		return nil, trace.Wrap(err, "recover from version %s", version)
 	}
-	objects, err := w.inForce.Objects(ctx)
+	objects, err := w.applied.Objects(ctx)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -53,7 +53,7 @@
 	if err := w.restoreObjects(ctx, objects, stored, recovery); err != nil {
 		return recovery, err
 	}
-	if err := w.removeOthers(ctx, objects, stored, recovery, &Change{ID: id, By: by}); err != nil {
+	if err := w.deleteExtraNodes(ctx, objects, stored, recovery, &Change{ID: id, By: by}); err != nil {
 		return recovery, err
 	}
 	epoch := platform.Object{Kind: platform.KindSetting, Name: tree.EpochObject, Revision: stored[tree.EpochObject].Revision}
@@ -67,7 +67,7 @@
 	return recovery, nil
 }
 
-// storedEpoch is the epoch of a store; one that can't be read is replaced.
+// storedEpoch returns the epoch of a store, or 0 if it is missing or malformed.
 func storedEpoch(stored map[string]platform.Object) uint16 {
 	epoch, err := tree.EpochOf(stored[tree.EpochObject].Spec)
 	if err != nil {
@@ -76,7 +76,7 @@
 	return epoch
 }
 
-// restoreObjects writes what is in force where the store differs.
+// restoreObjects writes the applied objects that differ in the store.
 func (w *Writer) restoreObjects(ctx context.Context, objects []platform.Object, stored map[string]platform.Object, recovery *Recovery) error {
 	for _, object := range objects {
 		old, present := stored[object.Name]
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// removeOthers deletes what only the store has.
-func (w *Writer) removeOthers(ctx context.Context, objects []platform.Object, stored map[string]platform.Object, recovery *Recovery, change *Change) error {
+// deleteExtraNodes writes tombstones for nodes that only the store has.
+func (w *Writer) deleteExtraNodes(ctx context.Context, objects []platform.Object, stored map[string]platform.Object, recovery *Recovery, change *Change) error {
 	for _, object := range objects {
 		delete(stored, object.Name)
 	}
--- a/internal/settings/command/store_test.go
+++ b/internal/settings/command/store_test.go
@@ -11,22 +11,22 @@
 	"chutelock.dev/chutelock/internal/settings/tree"
 )
 
-var errLost = errors.New("connection cut")
+var errConnectionLost = errors.New("connection cut")
 
-// memoryStore is a store whose next writes fail as told.
+// memoryStore is an in-memory Store with injected failures.
 type memoryStore struct {
 	objects  map[string]platform.Object
 	revision uint64
 	// beforePut, if set, runs once before the next write takes effect.
 	beforePut func()
-	// loseAnswers and loseRequests count writes that fail after or before
-	// they took effect.
-	loseAnswers, loseRequests int
-	// loseReads counts reads that fail behind a write that failed.
+	// loseResponses and loseRequests are the numbers of next writes that fail
+	// after and before they take effect.
+	loseResponses, loseRequests int
+	// loseReads is the number of reads that fail after a failed write.
 	loseReads   int
 	writeFailed bool
 	puts        int
-	// history lists the ids of the changes of each object, in order.
+	// history holds the IDs of the changes to each object, in order.
 	history map[string][]string
 }
 
@@ -35,7 +35,7 @@
 func (s *memoryStore) Get(_ context.Context, _, name string) (platform.Object, error) {
 	if s.writeFailed && s.loseReads > 0 {
 		s.loseReads--
-		return platform.Object{}, errLost
+		return platform.Object{}, errConnectionLost
 	}
 	object, ok := s.objects[name]
 	if !ok {
@@ -49,26 +49,26 @@
 }
 
 func (s *memoryStore) Put(_ context.Context, object platform.Object) (platform.Object, error) {
-	if race := s.beforePut; race != nil {
+	if concurrentWrite := s.beforePut; concurrentWrite != nil {
 		s.beforePut = nil
-		race()
+		concurrentWrite()
 	}
-	s.writeFailed = s.loseRequests > 0 || s.loseAnswers > 0
+	s.writeFailed = s.loseRequests > 0 || s.loseResponses > 0
 	if s.loseRequests > 0 {
 		s.loseRequests--
-		return platform.Object{}, errLost
+		return platform.Object{}, errConnectionLost
 	}
 	if s.objects[object.Name].Revision != object.Revision {
 		return platform.Object{}, platform.ErrConflict
 	}
 	s.puts++
-	s.note(object)
+	s.recordChange(object)
 	s.revision++
 	object.Revision = s.revision
 	s.objects[object.Name] = object
-	if s.loseAnswers > 0 {
-		s.loseAnswers--
-		return platform.Object{}, errLost
+	if s.loseResponses > 0 {
+		s.loseResponses--
+		return platform.Object{}, errConnectionLost
 	}
 	return object, nil
 }
@@ -82,7 +82,7 @@
 	return nil
 }
 
-func (s *memoryStore) note(object platform.Object) {
+func (s *memoryStore) recordChange(object platform.Object) {
 	if s.history == nil {
 		s.history = make(map[string][]string)
 	}
@@ -91,33 +91,33 @@
 	}
 }
 
-// followed is what a node in step with the store has in force.
-type followed struct {
+// syncedState is the state of a machine in sync with the store.
+type syncedState struct {
 	*tree.Live
-	objects, traces []platform.Object
-	standing        Standing
+	objects, tombstones []platform.Object
+	standing            Standing
 }
 
-func (f *followed) Version() (settings.Version, bool) {
+func (f *syncedState) Version() (settings.Version, bool) {
 	return settings.Version(f.Current().Revision), true
 }
-func (f *followed) Traces(context.Context) ([]platform.Object, error)  { return f.traces, nil }
-func (f *followed) Objects(context.Context) ([]platform.Object, error) { return f.objects, nil }
-func (f *followed) Standing(context.Context) (Standing, error) {
+func (f *syncedState) Traces(context.Context) ([]platform.Object, error)  { return f.tombstones, nil }
+func (f *syncedState) Objects(context.Context) ([]platform.Object, error) { return f.objects, nil }
+func (f *syncedState) Standing(context.Context) (Standing, error) {
 	return f.standing, nil
 }
 
-// follow takes the store's state in force.
-func follow(store *memoryStore) *followed {
+// newSyncedState returns a state that has applied the store's contents.
+func newSyncedState(store *memoryStore) *syncedState {
 	var updates []tree.Update
-	var objects, traces []platform.Object
+	var objects, tombstones []platform.Object
 	for name, object := range store.objects {
 		update := tree.UpdateOf(tree.PathOf(name), object.Revision, object.Spec)
 		updates = append(updates, update)
 		if update.Node != nil {
 			objects = append(objects, object)
 		} else {
-			traces = append(traces, object)
+			tombstones = append(tombstones, object)
 		}
 	}
 	var standing Standing
@@ -128,14 +128,14 @@
 	}
 	live := tree.NewLive()
 	live.Replace(settings.MakeVersion(0, store.revision), updates)
-	return &followed{Live: live, objects: objects, traces: traces, standing: standing}
+	return &syncedState{Live: live, objects: objects, tombstones: tombstones, standing: standing}
 }
 
 type platformObject = platform.Object
 
 func errorsAs(err error, target any) bool { return errors.As(err, target) }
 
-// overwritingStore runs afterLoss once behind a write whose answer was lost.
+// overwritingStore runs afterLoss once after a write whose response was lost.
 type overwritingStore struct {
 	*memoryStore
 	afterLoss func()
@@ -143,9 +143,9 @@
 
 func (s *overwritingStore) Put(ctx context.Context, object platform.Object) (platform.Object, error) {
 	written, err := s.memoryStore.Put(ctx, object)
-	if race := s.afterLoss; race != nil && errors.Is(err, errLost) {
+	if laterWrite := s.afterLoss; laterWrite != nil && errors.Is(err, errConnectionLost) {
 		s.afterLoss = nil
-		race()
+		laterWrite()
 	}
 	return written, err
 }
--- a/internal/settings/command/write.go
+++ b/internal/settings/command/write.go
@@ -11,12 +11,10 @@
 	"chutelock.dev/chutelock/internal/settings/tree"
 )
 
-// This file writes a change, node by node.
-
 func (w *Writer) writeAll(ctx context.Context, change *Change, steps []*step, result *Result) error {
 	for i, step := range steps {
-		if step.already {
-			result.note(i, step.storedRevision())
+		if step.alreadyWritten {
+			result.recordWrite(i, step.storedRevision())
 			continue
 		}
 		if step.action == ActionUnchanged {
@@ -26,21 +24,20 @@
 		if err != nil {
 			return err
 		}
-		result.note(i, revision)
+		result.recordWrite(i, revision)
 	}
 	eventApplied.Info("change", change.ID, "by", change.By, "nodes", len(steps), "revision", result.Revision)
 	return nil
 }
 
-func (r *Result) note(i int, revision uint64) {
+func (r *Result) recordWrite(i int, revision uint64) {
 	r.Nodes[i].Written = true
 	r.Nodes[i].Revision = revision
 	r.Revision = max(r.Revision, revision)
 }
 
-// write writes one node. An answer may be lost: then the stored version tells
-// whether the write took effect, and if it did not, the compare-and-swap makes
-// it safe to try again.
+// write writes one node. If the response is lost, the stored version shows
+// whether the write took effect; if not, compare-and-swap makes a retry safe.
 func (w *Writer) write(ctx context.Context, change *Change, step *step) (uint64, error) {
 	spec, err := tree.Encode(step.replacement(change, w.now()))
 	if err != nil {
@@ -48,7 +45,7 @@
 	}
 	object := platform.Object{Kind: platform.KindSetting, Name: tree.ObjectName(step.path), Revision: step.storedRevision(), Spec: spec}
 	policy := backoff.NewExponentialBackOff()
-	policy.InitialInterval = w.retry
+	policy.InitialInterval = w.initialRetryDelay
 	revision, err := backoff.Retry(ctx, func() (uint64, error) { return w.tryWrite(ctx, change, step, object) },
 		backoff.WithBackOff(policy), backoff.WithMaxTries(maxWriteTries))
 	var conflict *ConflictError
