--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Set-up is done by each target that needs it; see README.md.
+# The setup target installs missing tools and modules for the targets that depend on it.
 GO ?= go
 PARALLEL ?= 4
 
@@ -14,9 +14,10 @@
 demo: build
 	scripts/demo.sh
 
-# The end-to-end tests run alone, as they measure memory and start many processes.
+# Pattern of the tests listed in KNOWN-RED.txt, which are skipped.
 KNOWN_RED = $(shell sed -n "s/^\(Test[A-Za-z0-9]*\):.*/^\1$$/p" KNOWN-RED.txt | paste -sd"|")
 
+# The end-to-end tests run alone because they measure memory and start many processes.
 test: setup
 	@cat KNOWN-RED.txt
 	$(GO) test -skip "$(KNOWN_RED)" -p $(PARALLEL) -timeout 20m $$($(GO) list ./... | grep -v /test/e2e)
@@ -36,8 +37,10 @@
 bench: build
 	scripts/bench.sh
 
+# Regenerates the table in docs/BENCH.md.
 bench-table:
 	UPDATE_BENCH=1 $(GO) test -count=1 -run BenchTable ./test/docs
 
+# Regenerates docs/EVENTS.md.
 events:
 	UPDATE_EVENTS=1 $(GO) test -count=1 -run Events ./test/docs
--- a/scripts/bench.sh
+++ b/scripts/bench.sh
@@ -1,9 +1,10 @@
 #!/usr/bin/env bash
-# Measures what the gateway adds: the same online traffic is sent to stand-in
-# engines directly and through one node, in turns, and the node's processor time
-# is put against the tokens that it relayed. BENCH_RATE (requests a second),
-# BENCH_SECONDS (of each turn), BENCH_ROUNDS, BENCH_TOKENS (of each answer) and
-# BENCH_ENGINES change the run. Needs a machine that does nothing else.
+# Measures the gateway's overhead: sends the same online traffic to stand-in
+# engines directly and through one node, alternately, and relates the node's CPU
+# time to the number of tokens relayed. Needs an otherwise idle machine.
+#
+# Environment variables: BENCH_RATE (requests per second), BENCH_SECONDS (length
+# of each phase), BENCH_ROUNDS, BENCH_TOKENS (per response), BENCH_ENGINES.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bin=$PWD/bin
@@ -26,7 +27,7 @@
 }
 trap finish EXIT
 
-# start NAME COMMAND... runs a process in the background, its output in a log.
+# start NAME COMMAND... runs a command in the background and logs its output.
 start() {
   local name=$1
   shift
@@ -46,7 +47,7 @@
   exit 1
 }
 
-# cpu_ticks prints the user and system time of the node so far, in clock ticks.
+# cpu_ticks prints the node's user and system CPU time in clock ticks.
 cpu_ticks() { awk '{ print $14, $15 }' "/proc/${process_of[node]}/stat"; }
 
 echo "00112233445566778899aabbccddeeff" >"$run/keys"
@@ -54,8 +55,8 @@
 wait_for "$run/platform.ready"
 platform=$(field "$run/platform.ready" address)
 
-# Steps are short and cost the same whatever they hold, so that the engines'
-# own time is the same in both ways.
+# Steps take constant time whatever the batch, so that engine latency is the same
+# with and without the gateway.
 cat >"$run/engine.yaml" <<YAML
 zone: bench
 region: bench
@@ -79,9 +80,9 @@
   port=$next_port
 }
 
-# One node keeps the ledger and stands aside; the other, which keeps nothing,
-# is measured. Nodes are ready only once settings are in force, so that their
-# ports must be known before.
+# One node stores the ledger and receives no load; the other stores nothing and is
+# measured. Nodes become ready only after settings are applied, so the operator and
+# seed addresses must be chosen in advance.
 free_port; operators=127.0.0.1:$port
 free_port; seed=127.0.0.1:$port
 cat >"$run/keeper.yaml" <<YAML
@@ -129,13 +130,14 @@
 wait_for "$run/node.ready"
 gateway=http://$(field "$run/node.ready" callers)
 
-# load NAME TARGETS SEED RATE TOKENS
+# load NAME TARGETS SEED RATE TOKENS sends online traffic and writes NAME.json.
 load() {
   "$bin/chutelock-lab" load -target "$2" -key $key -model $model -rate "$4" -duration "${seconds}s" \
     -max-tokens "$5" -max-in-flight 20000 -seed "$3" -json "$run/$1.json" >"$run/$1.log" 2>&1 || true
 }
 
-# gateway_load NAME SEED RATE TOKENS notes the node's processor time too.
+# gateway_load NAME SEED RATE TOKENS loads the node and records its CPU time, less
+# that of an idle phase.
 gateway_load() {
   local before after
   before=($(cpu_ticks))
@@ -155,7 +157,7 @@
   echo "round $round of $rounds: $rate requests a second for ${seconds}s, directly and through the node"
   load "direct-$round" "$direct" "$round" "$rate" "$tokens"
   gateway_load "gateway-$round" "$round" "$rate" "$tokens"
-  # Fewer and longer answers tell the tokens' share from the requests'.
+  # Fewer, longer responses separate the cost per token from the cost per request.
   gateway_load "long-$round" "$round" $((rate / 4)) $((tokens * 8))
 done
 "$bin/chutelock-lab" overhead -cpu "$run/cpu" -ticks-per-second "$(getconf CLK_TCK)" \
--- a/scripts/confirm.sh
+++ b/scripts/confirm.sh
@@ -1,8 +1,7 @@
 #!/usr/bin/env bash
-# Confirms an experiment of the emulator on separate processes: starts the
-# first deployment's shape (12 engines in three halls, 6 nodes) on loopback
-# with the engines of experiments/confirm.yaml, sends the same kind of online
-# traffic without and with batch work, and prints both.
+# Validates a simulated experiment with separate processes on loopback: starts 12
+# engines in three zones, configured as in experiments/confirm.yaml, and 6 nodes,
+# sends the same online traffic without and with a batch job, and prints both results.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bin=${BIN:-$PWD/bin}
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Runs a deployment of examples/ (the first one, or the one named as argument)
-# as separate processes on loopback, with batch and online traffic, kills a node
-# and an engine on the way, and sums up. Exit code 0 only if every promise held.
+# Runs a deployment from examples/ (default: nairamdal) as separate processes on
+# loopback with batch and online traffic, kills a node and an engine during the
+# run, and prints a summary. Exits with 0 only if every check passed.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bin=$PWD/bin
@@ -23,7 +23,7 @@
 
 say() { printf '\n== %s\n' "$*"; }
 
-# start NAME COMMAND... runs a process in the background, its output in a log.
+# start NAME COMMAND... runs a command in the background and logs its output.
 start() {
   local name=$1
   shift
@@ -35,6 +35,7 @@
 # field FILE NAME prints a string field of a flat JSON file.
 field() { sed -n 's/.*"'"$2"'" *: *"\([^"]*\)".*/\1/p' "$1" | head -n 1; }
 
+# number FILE NAME prints a numeric field of a flat JSON file.
 number() { sed -n 's/.*"'"$2"'" *: *\([0-9.]*\).*/\1/p' "$1" | head -n 1; }
 
 wait_for() {
@@ -70,8 +71,8 @@
   counts=("${counts[@]:1}")
 done
 
-# Each node has its example's settings file, but free ports; the first two
-# nodes serve as seeds.
+# Each node runs with the example's configuration file and free ports; the first two
+# nodes are the seeds.
 nodes=$(ls "$deployment/nodes" | wc -l)
 for node in $(seq "$nodes"); do
   free_port; callers[$node]=127.0.0.1:$port
@@ -92,8 +93,8 @@
 done
 echo "$(wc -l <"$run/apply.log") lines of changes, in $run/apply.log"
 for n in $(seq "$nodes"); do wait_for "$run/node-$n.ready"; done
-# The last node is killed on the way and the one before drains: callers use
-# all but the last.
+# The last node is killed and the one before it is drained. Online traffic goes to
+# every node except the last.
 victim=$nodes
 draining=$((nodes - 1))
 targets=$(printf 'http://%s,' "${callers[@]:1:$((nodes - 1))}")
--- a/scripts/setup.sh
+++ b/scripts/setup.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs what building, testing and model checking need and is not there yet.
+# Installs missing dependencies for building, testing and model checking.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 need=()
@@ -7,7 +7,7 @@
 command -v gcc >/dev/null || need+=(gcc libc6-dev)
 command -v curl >/dev/null || need+=(curl)
 if [ ${#need[@]} -gt 0 ]; then
-  # Another one may be installing at this moment: it is waited for, and not an error.
+  # Wait for a concurrent installation to release the package manager's lock.
   wait_for_lock=(-o DPkg::Lock::Timeout=300)
   apt-get "${wait_for_lock[@]}" update -qq && apt-get "${wait_for_lock[@]}" install -y -qq "${need[@]}" >/dev/null
 fi
--- a/spec/jobs.pml
+++ b/spec/jobs.pml
@@ -1,56 +1,55 @@
 /*
- * A batch item's life on the ledger: submission and resend, lease, start,
- * late result, cancel (internal/jobs). The ledger itself is one sequence of
- * atomic entries here; ledger.pml and replacement.pml show that it is that.
+ * Life cycle of a batch item: submission and resubmission, lease, start, late
+ * result, cancellation (internal/jobs). The ledger is modelled as a sequence of
+ * atomic entries; ledger.pml and replacement.pml verify the replication.
  *
- * One client submits one job of one item, again when the answer is lost. Two
- * dispatchers lease the item; each may pause anywhere, and a lease may lapse
- * at any moment while its holder believes that it holds it. Each lease has its
- * own epoch. Answers may be lost after their entry was committed; a command may
- * be repeated, and a copy of it committed at any later moment. Somebody cancels at any moment. With
- * NON_REPEATABLE the item is one that must be sent to an engine at most once;
- * its dispatcher may also hand it back, certainly not run.
+ * One client submits a job of one item and resubmits it if the response is lost.
+ * Two dispatchers lease the item. Each may pause anywhere, and a lease may expire
+ * at any time while its holder still relies on it. Each lease has its own epoch.
+ * Responses may be lost after their entry was committed. Commands may be retried,
+ * and a duplicate may be committed at any later time. The job may be cancelled at
+ * any time. With NON_REPEATABLE the item must be sent to an engine at most once,
+ * and its dispatcher may hand it back as not run.
  *
- * Checked: one job for each key; the item becomes final once and its result
- * never changes; nothing is leased or started after a cancel; a
- * non-repeatable item runs at most once, and never after the ledger said that
- * it did not run.
+ * Checked: one job per idempotency key; the item becomes final once and its result
+ * never changes; nothing is leased or started after cancellation; a non-repeatable
+ * item runs at most once, and never after it was recorded as not run.
  *
  * A macro on the command line removes one safety rule:
- *   NO_KEY               a resent job is not recognised by its key
+ *   NO_KEY               a resubmitted job is not recognised by its key
  *   LAST_RESULT_WINS     a later result replaces the first
- *   RESULT_AFTER_CANCEL  a cancelled item takes a result
+ *   RESULT_AFTER_CANCEL  a cancelled item accepts a result
  *   LEASE_AFTER_CANCEL   a cancelled item is leased
  *   START_NOT_RECORDED   a non-repeatable item is sent without a committed start
- *   START_AGAIN          a start is granted although another lease has one
- *   HAND_BACK_ANY        a start is undone by a lease that is not its own
- *   LAPSE_REOPENS        a started item becomes open when its lease lapses
- *   CANCEL_NOT_RUN       a started item is cancelled as if it had not run
+ *   START_AGAIN          a start is accepted although another lease has one
+ *   HAND_BACK_ANY        a lease hands back an item that another lease started
+ *   LAPSE_REOPENS        a started item becomes open when its lease expires
+ *   CANCEL_NOT_RUN       a started item is cancelled as not run
  */
 
 #define SUBMISSIONS 3
-#define LEASES 2 /* by each dispatcher */
-#define STARTS 2     /* tries for each lease */
-#define HAND_BACKS 2 /* tries for each lease */
+#define LEASES 2 /* per dispatcher */
+#define STARTS 2     /* attempts per lease */
+#define HAND_BACKS 2 /* attempts per lease */
 
 mtype = { Absent, Open, Succeeded, OutcomeUnknown, Cancelled };
 
 #define NONE 0
 
-/* The ledger. */
+/* The state machine replicated by the ledger. */
 mtype status = Absent;
 byte jobs;
-byte holder = NONE;    /* the epoch of the lease in force */
-byte startedBy = NONE; /* the epoch of the lease that started the item */
+byte holder = NONE;    /* epoch of the current lease */
+byte startedBy = NONE; /* epoch of the lease that started the item */
 byte epochs;
 
-/* The starts and hand-backs that were sent, by a bit for each epoch. */
+/* Epochs whose start or hand-back commands were sent, as bit sets. */
 byte startsSent;
 byte handBacksSent;
-byte result;     /* the attempt whose result is recorded, from 1 */
+byte result;     /* number of the run whose result is recorded, from 1 */
 bool cancelled;
 
-/* The oracle. */
+/* Counters for the assertions only. */
 byte runs;
 byte finals;
 
@@ -102,7 +101,7 @@
 	}
 }
 
-/* Time: a lease lapses, wherever its holder is. */
+/* Expires the lease at any time, whatever its holder is doing. */
 active proctype clock() {
 end:
 	do
@@ -174,9 +173,9 @@
 				startedBy = epoch;
 				if
 				:: maySend = true
-				:: skip /* the answer is lost: it must not be sent */
+				:: skip /* response lost: the item must not be sent */
 				fi
-			:: else /* refused */
+			:: else /* rejected */
 			fi
 		   }
 		:: break
@@ -198,14 +197,14 @@
 			:: d_step {
 				if
 				:: TAKES_RESULT -> finish(Succeeded, attempt)
-				:: else /* late: dropped and counted */
+				:: else /* late result: discarded */
 				fi;
 				attempt = 0
 			   }
-			:: attempt = 0 /* the dispatcher died, or its report was lost */
+			:: attempt = 0 /* the dispatcher crashed or its report was lost */
 			fi
 #ifdef NON_REPEATABLE
-		:: maySend -> /* handed back, perhaps again when the answer was lost */
+		:: maySend -> /* handed back, retried if the response is lost */
 			maySend = false;
 			handedBack = 0;
 			do
@@ -235,7 +234,7 @@
 #define COPY_HAND_BACK(e) \
 	:: d_step { (handBacksSent & (1 << e)) && UNDOABLE(e) -> startedBy = NONE; holder = NONE }
 
-/* A copy of an earlier command is committed; nobody waits for its answer. */
+/* Commits duplicates of earlier commands, whose responses are ignored. */
 active proctype network() {
 end:
 	do
--- a/spec/ledger.pml
+++ b/spec/ledger.pml
@@ -1,29 +1,29 @@
 /*
- * The ledger's core protocol: election, append, commit and linearizable reads
- * on one shard of three voters (internal/ledger/replication).
+ * Replication of one ledger shard with three voters: election, append, commit and
+ * linearizable reads (internal/ledger/replication).
  *
- * The network is as bad as it can be: whatever a leader ever sent at a term
- * is a prefix of sent[term], and any replica may receive any entry of it at
- * any later moment, more than once, or never. An acknowledgement, once given,
- * may be counted at any later moment, also after its giver lost its disk. A
- * paused leader that resumes is a leader that has not heard of a newer term.
- * A candidate's win is one step with the vote that decides it: a vote that is
- * counted later, or never, allows nothing that a leader which does nothing
- * more would not. Pre-vote, leases and flow control only serve liveness.
+ * Messages may be lost, delayed, duplicated and reordered: the entries a leader
+ * sent in a term are a prefix of sent[term], and a replica may receive any of them
+ * at any later time, repeatedly, or never. An acknowledgement may be counted at any
+ * later time, even after its sender lost its disk. A paused leader is one that has
+ * not learned of a newer term. A candidate becomes leader in the same step as the
+ * deciding vote is given: counting the vote later is equivalent to a leader that
+ * takes no further steps. Pre-vote, leases and flow control affect only liveness
+ * and are omitted.
  *
- * Checked: at most one leader a term; a committed entry is never replaced; a
- * read sees everything that was committed when it began.
+ * Checked: at most one leader per term; a committed entry is never replaced; a
+ * read observes everything committed before it began.
  *
  * A macro on the command line removes one safety rule:
  *   EMPTY_DISK_VOTES      a replica that lost its disk keeps its identity
- *   COMMIT_OLD_TERM       a leader counts copies of entries of older terms
- *   VOTE_ANY_LOG          a vote is given to a candidate whose log is behind
- *   VOTE_TWICE            a second vote is given in a term
- *   UNSYNCED_VOTE         a crash forgets the vote
- *   APPEND_WITHOUT_MATCH  entries are taken without a matching predecessor
- *   ACCEPT_OLD_TERM       a follower obeys a leader of an older term
- *   READ_WITHOUT_QUORUM   a leader reads without asking whether it still leads
- *   READ_BEFORE_COMMIT    a new leader reads before its term's first commit
+ *   COMMIT_OLD_TERM       a leader commits entries of older terms by counting replicas
+ *   VOTE_ANY_LOG          a vote is granted to a candidate with an outdated log
+ *   VOTE_TWICE            a replica votes twice in a term
+ *   UNSYNCED_VOTE         a crash loses the vote
+ *   APPEND_WITHOUT_MATCH  entries are accepted without a matching predecessor
+ *   ACCEPT_OLD_TERM       a follower accepts entries from a leader of an older term
+ *   READ_WITHOUT_QUORUM   a leader reads without confirming its leadership
+ *   READ_BEFORE_COMMIT    a new leader reads before it commits an entry of its term
  */
 
 #define REPLICAS 3
@@ -40,10 +40,10 @@
 
 #define FOLLOWER 0 /* a candidate is a follower that voted for itself */
 #define LEADER 1
-#define LOST 2 /* the identity of a lost disk: silent for ever */
+#define LOST 2 /* lost its disk: takes no further part */
 
 #define NOBODY 3
-/* An entry is named by its index and its term; values add nothing. */
+/* An entry is identified by its index and term; its payload is not modelled. */
 #define ENTRY(i, n) log[(i) * MAX_INDEX + (n) - 1]
 #define SENT(t, n) sent[((t) - 1) * MAX_INDEX + (n) - 1]
 #define ACKED(t, i) acked[((t) - 1) * REPLICAS + (i)]
@@ -55,19 +55,19 @@
 byte log[REPLICAS * MAX_INDEX];
 byte length[REPLICAS];
 
-/* What the leader of a term sent, and which of it each replica acknowledged. */
+/* Entries sent by each term's leader, and the last index each replica acknowledged. */
 byte sent[MAX_TERM * MAX_INDEX];
 byte sentLength[MAX_TERM];
 byte acked[MAX_TERM * REPLICAS];
 byte ledBy[MAX_TERM];
 
-/* The oracle: the committed sequence. */
+/* The committed entries, used only by the assertions. */
 byte committed[MAX_INDEX];
 byte committedLength;
 byte diskLosses;
 
 #ifdef READS
-/* What each leader knows to be committed, and the one read of the run. */
+/* Each leader's commit index, and the only read of a run. */
 byte commit[REPLICAS];
 byte reader = NOBODY;
 byte readTerm;
@@ -82,8 +82,8 @@
 
 #define PAST(i, t) (role[i] == LOST || term[i] > t)
 
-/* Nobody can receive what was sent at a term that every replica has left: to
- * forget it merges states that differ in nothing else. */
+/* Clears the messages of terms that every replica has left, which cannot be received
+ * any more, to reduce the state space. */
 inline forgetPastTerms() {
 #if !defined(EMPTY_DISK_VOTES) && !defined(ACCEPT_OLD_TERM)
 	past = 1;
@@ -105,7 +105,7 @@
 #endif
 }
 
-/* A leader that leads no more counts no more acknowledgements. */
+/* Makes replica i a follower and discards the acknowledgements it counted. */
 inline stepDown(i) {
 	if
 	:: role[i] == LEADER ->
@@ -149,9 +149,9 @@
 	ACKED(term[i], i) = length[i]
 }
 
-/* A leader opens its term with an entry of its own. */
+/* Makes candidate i leader, which appends an entry of its own term first. */
 inline becomeLeader(i) {
-	assert(ledBy[term[i] - 1] == NOBODY); /* one leader a term */
+	assert(ledBy[term[i] - 1] == NOBODY); /* one leader per term */
 	ledBy[term[i] - 1] = i;
 	role[i] = LEADER;
 	k = 1;
@@ -179,7 +179,7 @@
 	fi
 }
 
-/* Leader i commits up to entry n. */
+/* Leader i commits its log up to index n. */
 inline advanceCommit(i, n) {
 #ifdef READS
 	commit[i] = n;
@@ -254,18 +254,18 @@
 /* An election timeout. */
 #define CAMPAIGN(i) \
 	:: d_step { role[i] == FOLLOWER && term[i] < MAX_TERM -> term[i]++; vote[i] = i; forgetPastTerms() }
-/* A vote request arrives that does not decide the election, or a message
- * that only makes its receiver enter the sender's term. */
+/* Replica j receives a message of a newer term and enters that term, with no other
+ * effect. */
 #define HEAR(i, j) \
 	:: d_step { ALIVE(i) && ALIVE(j) && term[j] < term[i] -> enter(j, term[i]) }
-/* The vote arrives that makes a quorum. */
+/* Replica j gives candidate i the vote that completes a quorum. */
 #define ELECT(i, j) \
 	:: d_step { IS_CANDIDATE(i) && ALIVE(j) && term[j] <= term[i] && length[i] < MAX_INDEX && \
 		FREE_VOTE(j, i) && UP_TO_DATE(i, j) -> \
 		enter(j, term[i]); vote[j] = i; becomeLeader(i) }
 #define PROPOSE(i) \
 	:: d_step { role[i] == LEADER && length[i] < MAX_INDEX -> appendOwn(i) }
-/* Replica j receives entry n of what the leader of term t sent. */
+/* Replica j receives entry n from the leader of term t. */
 #define APPEND(j, t, n) \
 	:: d_step { ALIVE(j) && n <= sentLength[t - 1] && OBEYS(j, t) && MATCHES(j, t, n) -> \
 		OBEY(j, t); role[j] = FOLLOWER; takeEntry(j, t, n) }
@@ -277,11 +277,11 @@
 #else
 #define CRASH(i) :: d_step { role[i] == LEADER -> stepDown(i) }
 #endif
-/* The replicas are alike, so that it may as well be the last one's. */
+/* Used for replica 2 only: without TWO_CONTENDERS the replicas are symmetric. */
 #define LOSE_DISK(i) :: d_step { ALIVE(i) && diskLosses < MAX_DISK_LOSSES -> loseDisk(i) }
 
 #ifdef READS
-/* The entry that opened the leader's term, or what it knows to be committed. */
+/* Entry n is the first of the leader's term, which must be committed before a read. */
 #ifdef READ_BEFORE_COMMIT
 #define FIRST_OWN(i, n) (n == 0)
 #else
@@ -337,7 +337,7 @@
 		od;
 		k = 0
 	}
-	/* The bounds end every run. */
+	/* Every run ends when the bounds are reached, which is not a deadlock. */
 end:
 	do
 #ifdef TWO_CONTENDERS
--- a/spec/permits.pml
+++ b/spec/permits.pml
@@ -1,26 +1,25 @@
 /*
- * Permits for requests to one cold engine (internal/slowstart): two data nodes
- * grant, front nodes ask and send. Time is discrete: the bound holds within SPAN
- * ticks, a permit lives LIFE ticks from its asking, and a granting node keeps to
- * its part within SPAN + LIFE.
+ * Permits for requests to one cold engine (internal/slowstart): two data nodes, the
+ * granters, grant permits to front nodes. Time is discrete: the limit BOUND applies
+ * within SPAN ticks, a permit expires LIFE ticks after it was asked for, and a
+ * granter grants at most its allowance PART within SPAN + LIFE ticks.
  *
- * Two front nodes ask either granting node at any moment, as links and nodes
- * come and go. Asks and answers may be lost, late by any time, and doubled.
- * Granting nodes restart at any moment and forget what they granted. A front
- * node may pause anywhere between asking, the answer and the send; only the look
- * at the permit and the send are one step.
+ * Two front nodes ask either granter at any time. Asks and answers may be lost,
+ * delayed arbitrarily and duplicated. Granters restart at any time and lose their
+ * record of granted permits. A front node may pause between the ask, the answer and
+ * the request; only checking the permit and sending the request are atomic.
  *
- * Checked: within any SPAN ticks at most BOUND requests are sent, and at most
- * PART by permits of one granting node.
+ * Checked: within any SPAN ticks at most BOUND requests are sent, and at most PART
+ * with permits of one granter.
  *
  * A macro on the command line removes one rule:
- *   SHORT_WINDOW      a granting node keeps to its part within SPAN only
- *   NO_QUIET          a node that restarted grants at once
- *   LIFE_FROM_ANSWER  a permit lives from the answer on
- *   CHECK_EARLY       a permit is looked at when it comes, not when it is used
- *   ANSWER_TWICE      an answer that comes twice gives two permits
- *   WHOLE_BOUND       each granting node gives the whole bound
- *   THREE_GRANT       a third node grants, too
+ *   SHORT_WINDOW      a granter limits its permits within SPAN only
+ *   NO_QUIET          a restarted granter grants immediately
+ *   LIFE_FROM_ANSWER  a permit's lifetime starts at the answer
+ *   CHECK_EARLY       a permit's expiry is checked on receipt, not on use
+ *   ANSWER_TWICE      a duplicate answer gives a second permit
+ *   WHOLE_BOUND       each granter's allowance is the whole of BOUND
+ *   THREE_GRANT       there is a third granter
  */
 
 #define SPAN 2
@@ -49,19 +48,19 @@
 
 byte now;
 
-/* Scratch variables of single steps. */
+/* Temporaries used within single steps. */
 hidden byte first, tick, which, total, part, given;
 
-/* A granting node: what it gave at each tick it remembers, and until when it is
- * quiet. It starts as one that has run for long. */
+/* A granter: the permits granted at each tick, and the tick before which it grants
+ * none. Initially it may grant at once. */
 typedef Granter {
 	byte gave[ENDS + 1];
 	byte quiet
 };
 Granter granter[GRANTERS];
 
-/* A front node's ask: when it was made, whom it went to, whether the ask and the
- * answer are under way (a copy may stay so), and whether an answer is awaited. */
+/* A front node's ask: its time and granter, whether the ask and the answer are in
+ * transit (possibly as duplicates), and whether an answer is awaited. */
 typedef Front {
 	byte askedAt;
 	byte to;
@@ -70,11 +69,11 @@
 	bool awaits;
 	byte permits; /* held, at most 2 */
 	byte until;
-	byte by /* whose permits */
+	byte by /* granter of the permits */
 };
 Front front[FRONTS];
 
-/* The oracle: requests sent at each tick, by granting node. */
+/* Requests sent at each tick, by granter; used only by the assertions. */
 byte sent[(ENDS + 1) * GRANTERS];
 
 inline check() {
@@ -107,8 +106,8 @@
 	}
 }
 
-/* ask: any granting node, if no answer is awaited; a late answer to an earlier ask
- * is none to this one, so what is under way of that is of no use. */
+/* A front node asks if it awaits no answer and holds no permit. Answers to earlier
+ * asks are ignored, so a new ask discards them. */
 #define FREE(f) (!front[f].awaits && front[f].permits == 0)
 
 active [FRONTS] proctype asker() {
@@ -130,7 +129,7 @@
 		front[me].ask = true
 	   }
 	:: d_step { front[me].awaits -> front[me].awaits = false; front[me].ask = false; front[me].answer = false; front[me].askedAt = 0; front[me].to = 0 } /* gives up */
-	:: d_step { /* the answer comes */
+	:: d_step { /* the answer arrives */
 		front[me].answer && (front[me].awaits
 #ifdef ANSWER_TWICE
 			|| front[me].permits == 1
@@ -158,7 +157,7 @@
 		front[me].permits--;
 		if
 #ifndef CHECK_EARLY
-		:: now > front[me].until /* void */
+		:: now > front[me].until /* expired */
 #endif
 		:: else -> sent[now * GRANTERS + front[me].by]++; check()
 		fi;
@@ -170,8 +169,8 @@
 	od
 }
 
-/* The network and the granting nodes: an ask that is under way comes, and may come
- * again; its answer is lost or under way. */
+/* A granter receives an ask, which remains in transit as a duplicate, and answers if
+ * its allowance permits. */
 inline grant(f) {
 	d_step {
 		front[f].ask ->
@@ -202,14 +201,14 @@
 	do
 	:: grant(0)
 	:: grant(1)
-	:: d_step { front[0].ask -> front[0].ask = false } /* no copy comes any more */
+	:: d_step { front[0].ask -> front[0].ask = false } /* no further duplicates */
 	:: d_step { front[1].ask -> front[1].ask = false }
 	:: d_step { front[0].answer && front[0].awaits -> front[0].answer = false } /* lost */
 	:: d_step { front[1].answer && front[1].awaits -> front[1].answer = false }
 	od
 }
 
-/* One restart of each of the two first granting nodes, at any moment. */
+/* Restarts each of the first two granters once, at any time. */
 active proctype restarts() {
 	byte next;
 end:
--- a/spec/replacement.pml
+++ b/spec/replacement.pml
@@ -1,23 +1,22 @@
 /*
- * Replacement of replicas: configuration changes by one member at a time, in
- * force as soon as they are in a replica's log (internal/ledger/replication).
+ * Single-member configuration changes, effective as soon as they are appended to a
+ * replica's log (internal/ledger/replication).
  *
- * The network and the terms are those of ledger.pml. Replicas 0 and 1 contend
- * for leadership; the others vote and keep copies; 4 is a newcomer (a learner
- * until it is promoted). The shard starts with the voters in FIRST_VOTERS: by
- * default four, as in the middle of a replacement, where quorums of different
- * configurations are hardest to keep overlapping.
+ * The network and terms are modelled as in ledger.pml. Only replicas 0 and 1 become
+ * candidates; replica 4 is a new member, a learner until it is added as a voter.
+ * FIRST_VOTERS is the initial set of voters: by default four, as during a
+ * replacement, when quorums of successive configurations overlap least.
  *
- * Replica 0 adds the newcomer and 1 removes 0; with ANY_CHANGE either adds the
- * newcomer and removes any other.
+ * Replica 0 adds replica 4 and replica 1 removes replica 0. With ANY_CHANGE either
+ * may add replica 4 and remove any other.
  *
- * Checked: at most one leader a term; a committed entry is never replaced.
+ * Checked: at most one leader per term; a committed entry is never replaced.
  *
  * A macro on the command line removes one safety rule:
  *   TWO_PENDING        a change is accepted while another is uncommitted
  *   BEFORE_OWN_COMMIT  a change is accepted before the leader has committed an
  *                      entry of its own term
- *   SMALL_QUORUM       half of the voters decide
+ *   SMALL_QUORUM       half of the voters are a quorum
  */
 
 #define REPLICAS 5
@@ -42,7 +41,7 @@
 #define IS_QUORUM(mask, of) (2 * MEMBERS((mask) & (of)) > MEMBERS(of))
 #endif
 
-/* An entry is its term and, for a configuration, the voters; else zero. */
+/* An entry encodes its term and the voters of a configuration, or zero for others. */
 #define MAKE(entryTerm, mask) ((entryTerm) * 32 + (mask))
 #define TERM_OF(entry) ((entry) / 32)
 #define VOTERS_OF(entry) ((entry) % 32)
@@ -60,15 +59,15 @@
 byte role[REPLICAS];
 byte log[REPLICAS * MAX_INDEX];
 byte length[REPLICAS];
-byte votes[2];  /* given to each contender at its term */
-byte commit[2]; /* known to each contender while it leads */
+byte votes[2];  /* received by replicas 0 and 1 in their terms */
+byte commit[2]; /* commit index of replicas 0 and 1 while leader */
 
 byte sent[MAX_TERM * MAX_INDEX];
 byte sentLength[MAX_TERM];
 byte ledBy[MAX_TERM];
 byte acked[MAX_TERM * MAX_INDEX];
 
-byte committed[MAX_INDEX]; /* the oracle */
+byte committed[MAX_INDEX]; /* used only by the assertions */
 byte diskLosses;
 hidden byte k;
 hidden byte past;
@@ -76,7 +75,8 @@
 
 #define PAST(i, t) (role[i] == LOST || term[i] > t)
 
-/* Nobody can receive what was sent at a term that every replica has left. */
+/* Clears the messages of terms that every replica has left, which cannot be received
+ * any more, to reduce the state space. */
 inline forgetPastTerms() {
 	past = 1;
 	do
@@ -94,7 +94,7 @@
 	past = 0
 }
 
-/* A leader that leads no more counts no more acknowledgements. */
+/* Makes replica i a follower and discards the votes and acknowledgements it counted. */
 inline stepDown(i) {
 	if
 	:: role[i] == LEADER ->
@@ -123,7 +123,7 @@
 	fi
 }
 
-/* Appends the configuration in voters, or an ordinary entry if that is zero. */
+/* Appends the configuration in voters, or an ordinary entry if voters is zero. */
 inline appendOwn(i) {
 	length[i]++;
 	ENTRY(i, length[i]) = MAKE(term[i], voters);
@@ -134,7 +134,7 @@
 }
 
 inline becomeLeader(i) {
-	assert(ledBy[term[i] - 1] == NOBODY); /* one leader a term */
+	assert(ledBy[term[i] - 1] == NOBODY); /* one leader per term */
 	ledBy[term[i] - 1] = i;
 	role[i] = LEADER;
 	votes[i] = 0;
@@ -197,9 +197,9 @@
 	forgetPastTerms()
 }
 
-/* The first index whose commit shows that the leader's term has begun. */
+/* Leader i has committed an entry of its own term. */
 #define OWN_COMMITTED(i) (commit[i] > 0 && TERM_OF(ENTRY(i, commit[i])) == term[i])
-/* Nothing after the commit index is a configuration. */
+/* No configuration in the log of replica i is uncommitted. */
 #define NONE_PENDING(i) \
 	!((commit[i] < 1 && length[i] >= 1 && VOTERS_OF(ENTRY(i, 1)) > 0) || \
 	  (commit[i] < 2 && length[i] >= 2 && VOTERS_OF(ENTRY(i, 2)) > 0) || \
@@ -259,7 +259,7 @@
 		od;
 		k = 0
 	}
-	/* The bounds end every run. */
+	/* Every run ends when the bounds are reached, which is not a deadlock. */
 end:
 	do
 	CAMPAIGN(0) CAMPAIGN(1)
--- a/spec/run.sh
+++ b/spec/run.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Checks the models exhaustively with spin, and that each of their variants,
-# which lack one safety rule, yields a counterexample. Prints a line a model
-# and fails if any verdict is another than expected.
+# Model-checks the Promela models exhaustively with spin, and checks that each
+# variant with one safety rule removed yields a counterexample. Prints one line per
+# case and fails if any verdict differs from the expected one.
 set -euo pipefail
 
 spec=$(cd "$(dirname "$0")" && pwd)
@@ -11,7 +11,7 @@
 memory_megabytes=2000
 depth=100000
 
-# name, model, "holds" or "breaks", and the macros that select it.
+# Each case: model, name, expected verdict ("holds" or "breaks"), macros to define.
 cases=(
   "ledger three-terms-disk-loss holds MAX_TERM=3 MAX_INDEX=2"
   "ledger four-terms holds MAX_TERM=4 MAX_INDEX=2 TWO_CONTENDERS MAX_DISK_LOSSES=0"
@@ -51,7 +51,7 @@
   "permits three-grant breaks THREE_GRANT"
 )
 
-# check MODEL NAME EXPECTED MACRO... prints the line of one case.
+# check MODEL NAME EXPECTED MACRO... runs one case and prints its result.
 check() {
   local model=$1 name=$2 expected=$3
   shift 3
