--- a/internal/batchwork/runner.go
+++ b/internal/batchwork/runner.go
@@ -119,7 +119,9 @@
 	tasks     sync.WaitGroup
 	committer *groupCommitter
 
-	mutex           sync.Mutex // guards the fields below; no other lock is taken under it
+	// mutex guards the fields below. The mutexes of options.Balancer and
+	// options.Machine are taken while it is held.
+	mutex           sync.Mutex
 	runs            map[itemKey]*run
 	pauses          map[itemKey]time.Time
 	previousEngines map[itemKey]string     // last engine of each open item
--- a/internal/ledger/replica/doc.go
+++ b/internal/ledger/replica/doc.go
@@ -29,5 +29,8 @@
 // promotes it and removes the old replica ID. Without a quorum of known replicas
 // it changes nothing and reports the shard as without quorum.
 //
-// Lock order: Shard.mutex, then Service.mutex. All other mutexes are leaf locks.
+// Lock order: Shard.mutex, then Service.mutex. Under this package's other mutexes,
+// no mutex of this package is taken. Options.Members is called with Shard.mutex or
+// Service.mutex held, Options.NewMachine with Service.mutex held; both may take
+// locks of other packages.
 package replica
--- a/internal/settings/agent/agent.go
+++ b/internal/settings/agent/agent.go
@@ -244,7 +244,7 @@
 	}
 	a.version.Store(uint64(action.Version) + 1)
 	a.metrics.recordPublish(action)
-	if a.live.Faulty() {
+	if a.live.HasProblems() {
 		eventProblems.Info("version", action.Version, "problems", len(a.live.Problems()))
 	}
 }
--- a/internal/settings/agent/events.go
+++ b/internal/settings/agent/events.go
@@ -34,10 +34,10 @@
 
 // noticeEvents maps the state machine's notices to log events.
 var noticeEvents = map[dissemination.Notice]telemetry.Event{
-	dissemination.NoticeStoreBehind:   eventStoreBehind,
-	dissemination.NoticeStoreForked:   eventStoreForked,
-	dissemination.NoticeStoreRight:    eventStoreRecovered,
-	dissemination.NoticeEpochRaised:   eventEpochRaised,
-	dissemination.NoticeDivergence:    eventDivergence,
-	dissemination.NoticeStoreRefusing: eventStoreRefusing,
+	dissemination.NoticeStoreBehind:    eventStoreBehind,
+	dissemination.NoticeStoreForked:    eventStoreForked,
+	dissemination.NoticeStoreRecovered: eventStoreRecovered,
+	dissemination.NoticeEpochRaised:    eventEpochRaised,
+	dissemination.NoticeDivergence:     eventDivergence,
+	dissemination.NoticeStoreRefusing:  eventStoreRefusing,
 }
--- a/internal/settings/agent/status.go
+++ b/internal/settings/agent/status.go
@@ -14,14 +14,15 @@
 	"chutelock.dev/chutelock/internal/transport"
 )
 
-var _ command.InForce = (*Agent)(nil)
+var _ command.AppliedState = (*Agent)(nil)
 
 // Status is the state of settings dissemination at this node.
 type Status struct {
 	Version settings.Version `json:"version"`
 	Known   bool             `json:"known"`
-	// Heard is the highest version reported by any peer.
-	Heard settings.Version `json:"heard"`
+	// HighestKnownVersion is the highest version that this node has or any peer
+	// reported.
+	HighestKnownVersion settings.Version `json:"heard"`
 	// ConfirmedAge is the time since Version was last confirmed to be the
 	// newest; 0 if it never was.
 	ConfirmedAge time.Duration `json:"confirmedAge"`
@@ -39,7 +40,7 @@
 
 func (a *Agent) status(now time.Time) Status {
 	status := Status{
-		Heard: a.machine.Heard(), Stale: a.machine.Stale(now),
+		HighestKnownVersion: a.machine.HighestKnownVersion(), Stale: a.machine.Stale(now),
 		Watching: a.machine.Watching(), StoreRefused: a.machine.StoreRefused(),
 	}
 	status.Version, status.Known = a.machine.InForce()
@@ -70,8 +71,8 @@
 	return a.collect(ctx, func(entry dissemination.Entry) bool { return !entry.Deleted && entry.Name != tree.EpochObject })
 }
 
-// Traces returns the tombstones of deleted objects.
-func (a *Agent) Traces(ctx context.Context) ([]platform.Object, error) {
+// Tombstones returns the tombstones of deleted objects.
+func (a *Agent) Tombstones(ctx context.Context) ([]platform.Object, error) {
 	return a.collect(ctx, func(entry dissemination.Entry) bool { return entry.Deleted })
 }
 
@@ -87,23 +88,23 @@
 	return objects, err
 }
 
-// Check implements command.InForce.
+// Check implements command.AppliedState.
 func (a *Agent) Check(updates []tree.Update) []tree.Problem { return a.live.Check(updates) }
 
-// Nodes implements command.InForce.
+// Nodes implements command.AppliedState.
 func (a *Agent) Nodes(path string, recursive bool) ([]*tree.Node, error) {
 	return a.live.Nodes(path, recursive)
 }
 
-// Standing implements command.InForce.
-func (a *Agent) Standing(ctx context.Context) (command.Standing, error) {
-	var standing command.Standing
+// SyncStatus implements command.AppliedState.
+func (a *Agent) SyncStatus(ctx context.Context) (command.SyncStatus, error) {
+	var status command.SyncStatus
 	err := a.runInLoop(ctx, func(time.Time) {
 		newest := a.machine.Newest()
-		standing = command.Standing{
-			Newest: platform.Object{Name: newest.Name, Revision: newest.Revision, Spec: newest.Spec},
-			Heard:  a.machine.Heard(), StoreRefused: a.machine.StoreRefused(),
+		status = command.SyncStatus{
+			Newest:              platform.Object{Name: newest.Name, Revision: newest.Revision, Spec: newest.Spec},
+			HighestKnownVersion: a.machine.HighestKnownVersion(), StoreRefused: a.machine.StoreRefused(),
 		}
 	})
-	return standing, err
+	return status, err
 }
--- a/internal/settings/cache/cache.go
+++ b/internal/settings/cache/cache.go
@@ -126,7 +126,7 @@
 
 func putEntry(batch *pebble.Batch, entry dissemination.Entry) error {
 	key := []byte(entryPrefix + entry.Name)
-	if entry.Gone() {
+	if entry.Purged() {
 		return batch.Delete(key, nil)
 	}
 	stored := storedEntry{Revision: entry.Revision}
--- a/internal/settings/command/apply.go
+++ b/internal/settings/command/apply.go
@@ -33,8 +33,8 @@
 	Delete(ctx context.Context, kind, name string, revision uint64) error
 }
 
-// InForce is the settings tree that this machine currently applies.
-type InForce interface {
+// AppliedState is the settings tree that this machine currently applies.
+type AppliedState interface {
 	// Version returns the applied version; known is false before the first.
 	Version() (version settings.Version, known bool)
 	// Check returns the problems that updates would add.
@@ -43,19 +43,20 @@
 	Nodes(path string, recursive bool) ([]*tree.Node, error)
 	// Objects returns the stored objects of all applied nodes.
 	Objects(ctx context.Context) ([]platform.Object, error)
-	// Traces returns the tombstones of deleted nodes.
-	Traces(ctx context.Context) ([]platform.Object, error)
-	// Standing returns how current this machine and the store are.
-	Standing(ctx context.Context) (Standing, error)
+	// Tombstones returns the tombstones of deleted nodes.
+	Tombstones(ctx context.Context) ([]platform.Object, error)
+	// SyncStatus returns how current this machine and the store are.
+	SyncStatus(ctx context.Context) (SyncStatus, error)
 }
 
-// Standing describes how current this machine and the store are.
-type Standing struct {
+// SyncStatus describes how current this machine and the store are.
+type SyncStatus struct {
 	// Newest is the stored object of the latest applied change; its name is
 	// empty if there is none.
 	Newest platform.Object
-	// Heard is the highest version that any peer reported.
-	Heard settings.Version
+	// HighestKnownVersion is the highest version that this machine has or any
+	// peer reported.
+	HighestKnownVersion settings.Version
 	// StoreRefused is set if the store was seen to have rolled back or diverged.
 	StoreRefused bool
 }
@@ -64,7 +65,7 @@
 // concurrent use.
 type Writer struct {
 	store   Store
-	applied InForce
+	applied AppliedState
 	now     func() time.Time
 	// initialRetryDelay is the first backoff after a failed write.
 	initialRetryDelay time.Duration
@@ -73,7 +74,7 @@
 }
 
 // NewWriter returns a Writer that checks changes against applied.
-func NewWriter(store Store, applied InForce, now func() time.Time) *Writer {
+func NewWriter(store Store, applied AppliedState, now func() time.Time) *Writer {
 	return &Writer{store: store, applied: applied, now: now, initialRetryDelay: defaultRetryDelay}
 }
 
--- a/internal/settings/command/read.go
+++ b/internal/settings/command/read.go
@@ -81,13 +81,13 @@
 // checkStoreCurrent returns an error if this machine lags behind its peers or
 // the store lacks the latest applied change.
 func (w *Writer) checkStoreCurrent(ctx context.Context) error {
-	standing, version, err := w.waitForCatchUp(ctx)
+	status, version, err := w.waitForCatchUp(ctx)
 	if err != nil {
 		return err
 	}
-	newest := standing.Newest
+	newest := status.Newest
 	behind := &StoreBehindError{Path: tree.PathOf(newest.Name), Expected: newest.Revision, InForce: version}
-	if standing.StoreRefused {
+	if status.StoreRefused {
 		return behind
 	}
 	if newest.Name == "" {
@@ -106,20 +106,20 @@
 
 // waitForCatchUp waits up to catchUpWait for this machine to reach its peers'
 // version.
-func (w *Writer) waitForCatchUp(ctx context.Context) (Standing, settings.Version, error) {
+func (w *Writer) waitForCatchUp(ctx context.Context) (SyncStatus, settings.Version, error) {
 	for waited := time.Duration(0); ; waited += catchUpPoll {
-		standing, err := w.applied.Standing(ctx)
+		status, err := w.applied.SyncStatus(ctx)
 		version, _ := w.applied.Version()
-		if err != nil || standing.Heard <= version {
-			return standing, version, trace.Wrap(err)
+		if err != nil || status.HighestKnownVersion <= version {
+			return status, version, trace.Wrap(err)
 		}
 		if waited >= catchUpWait {
-			reason := fmt.Sprintf("it has %s in force and peers have %s; go through another node", version, standing.Heard)
-			return standing, version, &NotReadyError{Reason: reason}
+			reason := fmt.Sprintf("it has %s in force and peers have %s; go through another node", version, status.HighestKnownVersion)
+			return status, version, &NotReadyError{Reason: reason}
 		}
 		select {
 		case <-ctx.Done():
-			return standing, version, trace.Wrap(ctx.Err())
+			return status, version, trace.Wrap(ctx.Err())
 		case <-time.After(catchUpPoll):
 		}
 	}
--- a/internal/settings/command/store_test.go
+++ b/internal/settings/command/store_test.go
@@ -95,16 +95,18 @@
 type syncedState struct {
 	*tree.Live
 	objects, tombstones []platform.Object
-	standing            Standing
+	status              SyncStatus
 }
 
 func (f *syncedState) Version() (settings.Version, bool) {
 	return settings.Version(f.Current().Revision), true
 }
-func (f *syncedState) Traces(context.Context) ([]platform.Object, error)  { return f.tombstones, nil }
+func (f *syncedState) Tombstones(context.Context) ([]platform.Object, error) {
+	return f.tombstones, nil
+}
 func (f *syncedState) Objects(context.Context) ([]platform.Object, error) { return f.objects, nil }
-func (f *syncedState) Standing(context.Context) (Standing, error) {
-	return f.standing, nil
+func (f *syncedState) SyncStatus(context.Context) (SyncStatus, error) {
+	return f.status, nil
 }
 
 // newSyncedState returns a state that has applied the store's contents.
@@ -120,15 +122,15 @@
 			tombstones = append(tombstones, object)
 		}
 	}
-	var standing Standing
+	var status SyncStatus
 	for _, object := range store.objects {
-		if object.Revision >= standing.Newest.Revision {
-			standing.Newest = object
+		if object.Revision >= status.Newest.Revision {
+			status.Newest = object
 		}
 	}
 	live := tree.NewLive()
 	live.Replace(settings.MakeVersion(0, store.revision), updates)
-	return &syncedState{Live: live, objects: objects, tombstones: tombstones, standing: standing}
+	return &syncedState{Live: live, objects: objects, tombstones: tombstones, status: status}
 }
 
 type platformObject = platform.Object
--- a/internal/settings/command/sweep.go
+++ b/internal/settings/command/sweep.go
@@ -33,7 +33,7 @@
 }
 
 func (w *Writer) sweep(ctx context.Context, now time.Time) (int, error) {
-	tombstones, err := w.applied.Traces(ctx)
+	tombstones, err := w.applied.Tombstones(ctx)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/settings/dissemination/action.go
+++ b/internal/settings/dissemination/action.go
@@ -88,12 +88,12 @@
 
 // Notices.
 const (
-	NoticeStoreBehind   Notice = iota + 1 // the store was rolled back; it is refused
-	NoticeStoreForked                     // the store lost or changed entries in force; it is refused
-	NoticeStoreRight                      // a refused store matches the version in force again
-	NoticeEpochRaised                     // an operator raised the epoch
-	NoticeDivergence                      // a peer's content conflicts with this node's
-	NoticeStoreRefusing                   // the store's read budget is exhausted
+	NoticeStoreBehind    Notice = iota + 1 // the store was rolled back; it is refused
+	NoticeStoreForked                      // the store lost or changed entries in force; it is refused
+	NoticeStoreRecovered                   // a refused store matches the version in force again
+	NoticeEpochRaised                      // an operator raised the epoch
+	NoticeDivergence                       // a peer's content conflicts with this node's
+	NoticeStoreRefusing                    // a limit on the store's requests or watches is exceeded
 )
 
 func (SendDelta) action()      {}
--- a/internal/settings/dissemination/fuzz_test.go
+++ b/internal/settings/dissemination/fuzz_test.go
@@ -195,7 +195,7 @@
 	for _, node := range f.nodes {
 		machine := node.machine
 		text += fmt.Sprintf("%s up=%v published=%v %s heard=%s phase=%d refused=%v\n", node.member.Name, node.up,
-			node.hasVersion, node.published, machine.Heard(), machine.watch.phase, machine.watch.refused)
+			node.hasVersion, node.published, machine.HighestKnownVersion(), machine.watch.phase, machine.watch.refused)
 	}
 	return text
 }
--- a/internal/settings/dissemination/machine.go
+++ b/internal/settings/dissemination/machine.go
@@ -30,8 +30,8 @@
 	// confirmedAt is when the store was last known to hold nothing newer than
 	// what is in force here.
 	confirmedAt time.Time
-	// heard is the highest version that any peer reported.
-	heard settings.Version
+	// highestPeerVersion is the highest version that any peer reported.
+	highestPeerVersion settings.Version
 }
 
 // New returns a Machine. Restored is what the node's disk holds, or nil.
@@ -88,8 +88,10 @@
 // Newest returns the newest change in force; its name is empty if it is not known.
 func (m *Machine) Newest() Entry { return m.state.newest }
 
-// Heard returns the highest version that this node has or any peer reported.
-func (m *Machine) Heard() settings.Version { return max(m.heard, m.state.version) }
+// HighestKnownVersion returns the highest version that this node has or any peer reported.
+func (m *Machine) HighestKnownVersion() settings.Version {
+	return max(m.highestPeerVersion, m.state.version)
+}
 
 // Age returns the time since the store was last known to hold nothing newer than
 // what is in force here; false if that was never known.
@@ -132,7 +134,7 @@
 
 // observePeerVersion records the version that a peer reported, and its age.
 func (m *Machine) observePeerVersion(now time.Time, version settings.Version, age time.Duration) {
-	m.heard = max(m.heard, version)
+	m.highestPeerVersion = max(m.highestPeerVersion, version)
 	if m.state.known && version <= m.state.version && version.Epoch() == m.state.version.Epoch() && age < maxAge {
 		m.confirm(now.Add(-age))
 	}
--- a/internal/settings/dissemination/sim_test.go
+++ b/internal/settings/dissemination/sim_test.go
@@ -492,7 +492,7 @@
 	if action.Version < n.diskVersion {
 		n.sim.addViolation("%s: version on disk regresses from %s to %s", n.member.Name, n.diskVersion, action.Version)
 	}
-	merge(n.disk, action.Changes, (*Entry).Gone)
+	merge(n.disk, action.Changes, (*Entry).Purged)
 	n.diskVersion = action.Version
 }
 
--- a/internal/settings/dissemination/simstore_test.go
+++ b/internal/settings/dissemination/simstore_test.go
@@ -300,7 +300,7 @@
 
 func (s *simStore) behind(node *simNode) bool {
 	machine := node.machine
-	if machine.StoreRefused() || machine.Heard() > machine.state.version || machine.state.version.Epoch() != s.epoch {
+	if machine.StoreRefused() || machine.HighestKnownVersion() > machine.state.version || machine.state.version.Epoch() != s.epoch {
 		return true
 	}
 	newest := machine.Newest()
@@ -310,13 +310,13 @@
 // hasPurged reports whether the store purged a tombstone.
 func (s *simStore) hasPurged(tombstone Entry) bool {
 	return tombstone.Deleted && slices.ContainsFunc(s.events, func(event Entry) bool {
-		return event.Name == tombstone.Name && event.Gone() && event.Revision > tombstone.Revision
+		return event.Name == tombstone.Name && event.Purged() && event.Revision > tombstone.Revision
 	})
 }
 
 // recover writes what a node has in force to the store and raises the epoch.
 func (s *simStore) recover(node *simNode) bool {
-	if s.down || !node.up || node.paused || !node.hasVersion || node.machine.Heard() > node.published {
+	if s.down || !node.up || node.paused || !node.hasVersion || node.machine.HighestKnownVersion() > node.published {
 		return false
 	}
 	for _, name := range slices.Sorted(maps.Keys(node.content)) {
--- a/internal/settings/dissemination/state.go
+++ b/internal/settings/dissemination/state.go
@@ -31,8 +31,8 @@
 	return digest.Sum64()
 }
 
-// Gone reports whether the entry removes even the tombstone.
-func (e *Entry) Gone() bool { return e.Deleted && len(e.Spec) == 0 }
+// Purged reports whether the entry removes even the tombstone.
+func (e *Entry) Purged() bool { return e.Deleted && len(e.Spec) == 0 }
 
 func (e *Entry) size() int { return len(e.Name) + len(e.Spec) + entryOverhead }
 
@@ -105,7 +105,7 @@
 		s.digests[number] ^= old.hash()
 		delete(s.entries[number], entry.Name)
 	}
-	if entry.Gone() {
+	if entry.Purged() {
 		return
 	}
 	if s.entries[number] == nil {
@@ -155,7 +155,7 @@
 		if old, present := s.get(changes[i].Name); present {
 			sum ^= old.hash()
 		}
-		if !changes[i].Gone() {
+		if !changes[i].Purged() {
 			sum ^= changes[i].hash()
 		}
 	}
@@ -168,7 +168,7 @@
 	s.newest = Entry{}
 	for _, entry := range changes {
 		s.put(entry)
-		if entry.Revision == version.Revision() && !entry.Gone() {
+		if entry.Revision == version.Revision() && !entry.Purged() {
 			s.newest = entry
 		}
 	}
--- a/internal/settings/dissemination/watch.go
+++ b/internal/settings/dissemination/watch.go
@@ -216,7 +216,7 @@
 // acceptStore records that the store holds what is in force.
 func (m *Machine) acceptStore(now time.Time) {
 	if m.watch.refused {
-		m.emit(Notify{Notice: NoticeStoreRight, InForce: m.state.version})
+		m.emit(Notify{Notice: NoticeStoreRecovered, InForce: m.state.version})
 	}
 	m.watch.refused = false
 	m.confirm(now)
--- a/internal/settings/dissemination/watch_events.go
+++ b/internal/settings/dissemination/watch_events.go
@@ -86,7 +86,7 @@
 		return entry.Deleted
 	}
 	return own.Revision > entry.Revision || own.Revision == entry.Revision && own.Deleted == entry.Deleted &&
-		(entry.Gone() || own.hash() == entry.hash())
+		(entry.Purged() || own.hash() == entry.hash())
 }
 
 // applyEvent applies the next change of the store.
@@ -108,7 +108,7 @@
 		m.relist(now)
 		return
 	}
-	if old, present := m.state.get(entry.Name); entry.Gone() && present && !old.Deleted {
+	if old, present := m.state.get(entry.Name); entry.Purged() && present && !old.Deleted {
 		entry.Spec = []byte(tombstoneSpec) // deleted directly in the store
 	}
 	m.watch.cursor = entry.Revision
--- a/internal/settings/tree/live.go
+++ b/internal/settings/tree/live.go
@@ -57,8 +57,8 @@
 	return l.tree.Problems()
 }
 
-// Faulty reports whether the tree has problems, without listing them.
-func (l *Live) Faulty() bool {
+// HasProblems reports whether the tree has problems, without listing them.
+func (l *Live) HasProblems() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.tree.hasProblems()
