--- a/internal/engine/openaihttp/stream.go
+++ b/internal/engine/openaihttp/stream.go
@@ -46,6 +46,7 @@
 	return reader
 }
 
+// release returns the buffer to the pool; the reader must not be used afterwards.
 func (r *streamReader) release() {
 	r.reader.Reset(nil)
 	readerPool.Put(r.reader)
@@ -149,7 +150,8 @@
 // maxIndexDigits prevents overflow of a scanned index.
 const maxIndexDigits = 9
 
-// deliver passes a token to the sink if it is the next one.
+// deliver passes a token to the sink if it is the next one. The sink must not
+// retain Chunk.Data, which aliases the reader's buffer.
 func (r *streamReader) deliver(index int, text, data []byte) error {
 	if index < r.nextIndex {
 		return nil // duplicate
--- a/internal/fleet/registry/registry.go
+++ b/internal/fleet/registry/registry.go
@@ -43,13 +43,14 @@
 	// datagramOverhead estimates the bytes of a datagram besides its records:
 	// IP, UDP, the transport's frame and MAC, and this package's header.
 	datagramOverhead = 28 + 48 + 36
-	// updateRepeats is how often a leaving update is sent; the wait between
+	// updateRepeats is the number of times a leaving update is sent; the wait between
 	// sends starts at updateDelay and doubles.
 	updateRepeats = 3
 	updateDelay   = 150 * time.Millisecond
 	// pollRetryDelay is the wait after a failed poll.
 	pollRetryDelay = 100 * time.Millisecond
-	// failureThreshold is the number of polls in a row that must fail.
+	// failureThreshold is the number of consecutive failed polls after which the
+	// home marks an engine with SourceFailure.
 	failureThreshold = 2
 	// summaryIntervalPerZone is added to the summary interval for each zone,
 	// so that the summaries of all zones together have a constant rate.
@@ -71,7 +72,7 @@
 	minLocalFaultEngines = 4
 	// pauseGap is the gap between ticks after which the view counts as stale.
 	pauseGap = 3 * time.Second
-	// peerViewTimeout is how long a node that has the list, or was paused,
+	// peerViewTimeout is how long a node that has the machine list, or was paused,
 	// waits for a peer with a complete view.
 	peerViewTimeout = 2 * time.Second
 )
--- a/internal/fleet/tracker/tracker.go
+++ b/internal/fleet/tracker/tracker.go
@@ -87,11 +87,13 @@
 	nextAnnounce time.Time
 	nextPrune    time.Time
 
-	// announceMutex guards queue; it is never held with another lock.
+	// announceMutex guards queue; no other lock is acquired while it is held.
+	// Callers of OnlineStarted and OnlineFinished may hold theirs.
 	announceMutex sync.Mutex
 	queue         *announce.Queue
 
-	// clientMutex guards clients; it is never held with another lock.
+	// clientMutex guards clients; the tracker acquires no other lock while it is
+	// held. Callers of Client may hold theirs.
 	clientMutex sync.Mutex
 	clients     map[string]*sharedClient
 
--- a/internal/gateway/batchapi/batches.go
+++ b/internal/gateway/batchapi/batches.go
@@ -231,7 +231,7 @@
 	return writeJSON(w, list)
 }
 
-// batchShape is OpenAI's batch object.
+// batchJSON is OpenAI's batch object.
 type batchJSON struct {
 	ID               string          `json:"id"`
 	Object           string          `json:"object"`
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -41,8 +41,10 @@
 
 	ends chan ended // has capacity for all attempts, so that senders never block
 
+	// mutex guards the fields below, routeRequest and the live attempts. The
+	// locks of placement and the observer are acquired while it is held.
 	mutex      sync.Mutex
-	answer     answer
+	answer     answer // writes the response
 	call       *relay.Call
 	attempts   map[uint32]*attempt
 	lastToken  time.Time
@@ -206,10 +208,10 @@
 	x.lastToken = now
 }
 
-// dropOthers cancels all attempts except the owner.
-func (x *exchange) dropOthers(now time.Time, owner *attempt) {
+// dropOthers cancels all live attempts except kept, which may be nil.
+func (x *exchange) dropOthers(now time.Time, kept *attempt) {
 	for _, other := range x.attempts {
-		if other != owner {
+		if other != kept {
 			x.call.Abandon(other.number)
 			x.release(now, other, routing.Outcome{Attempt: other.decision.Attempt, Kind: routing.OutcomeCancelled}, "lost")
 		}
@@ -294,7 +296,7 @@
 		x.gateway.metrics.retries.WithLabelValues(kind).Inc()
 		x.launchLocked(ctx)
 	default:
-		x.respondError(next.Answer)
+		x.respondError(next.Failure)
 	}
 }
 
--- a/internal/gateway/relay/call.go
+++ b/internal/gateway/relay/call.go
@@ -127,8 +127,8 @@
 	Wait bool
 	// Retry means to begin another attempt, at another engine.
 	Retry bool
-	// Answer is the final response if neither Wait nor Retry is set.
-	Answer *apierror.Error
+	// Failure is the final error response if neither Wait nor Retry is set.
+	Failure *apierror.Error
 }
 
 // Fail ends a failed attempt and returns the action to take.
@@ -144,7 +144,7 @@
 	if c.mayRetry(now, failure) {
 		return Next{Retry: true}
 	}
-	return Next{Answer: c.GiveUp(now)}
+	return Next{Failure: c.GiveUp(now)}
 }
 
 func (c *Call) recordFailure(attempt uint32, failure *engine.Error) {
--- a/internal/gateway/relay/relay_test.go
+++ b/internal/gateway/relay/relay_test.go
@@ -139,7 +139,7 @@
 	case next.Retry:
 		h.begin(t)
 	default:
-		h.recordAnswer(t, next.Answer)
+		h.recordAnswer(t, next.Failure)
 	}
 }
 
@@ -228,10 +228,10 @@
 					number, _ = call.Begin()
 				}
 			}
-			g.Expect(next.Answer).NotTo(gomega.BeNil())
-			g.Expect(next.Answer.Code).To(gomega.Equal(test.code))
-			g.Expect(next.Answer.Status).To(gomega.Equal(test.status))
-			g.Expect(next.Answer.NoRetry).To(gomega.Equal(test.noRetry))
+			g.Expect(next.Failure).NotTo(gomega.BeNil())
+			g.Expect(next.Failure.Code).To(gomega.Equal(test.code))
+			g.Expect(next.Failure.Status).To(gomega.Equal(test.status))
+			g.Expect(next.Failure.NoRetry).To(gomega.Equal(test.noRetry))
 			g.Expect(call.Attempts()).To(gomega.Equal(test.attempts))
 		})
 	}
--- a/internal/jobs/command/keeper.go
+++ b/internal/jobs/command/leasetracker.go
@@ -7,6 +7,8 @@
 	"chutelock.dev/chutelock/internal/jobs/machine"
 )
 
+// RenewInterval < StartValidity < LeaseTTL: a dispatcher renews before it must
+// stop starting items, and stops before the leader expires its leases.
 const (
 	// LeaseTTL is the time without renewal after which a shard's leader expires
 	// a lease.
@@ -26,28 +28,29 @@
 }
 
 // leaseTracker tracks renewals at a shard's leader. It is not persisted: a new
-// leader gives each lease a full LeaseTTL from when it first sees it.
+// leader gives each lease a full LeaseTTL from when it first sees it. Keeper.mutex
+// guards it.
 type leaseTracker struct {
 	term        uint64
 	lastRenewal map[leaseKey]time.Time
 }
 
 // renewed records a renewal.
-func (k *leaseTracker) renewed(now time.Time, dispatcher string, epochs []uint64) {
-	if k.lastRenewal == nil {
-		k.lastRenewal = map[leaseKey]time.Time{}
+func (t *leaseTracker) renewed(now time.Time, dispatcher string, epochs []uint64) {
+	if t.lastRenewal == nil {
+		t.lastRenewal = map[leaseKey]time.Time{}
 	}
 	for _, epoch := range epochs {
-		k.lastRenewal[leaseKey{dispatcher, epoch}] = now
+		t.lastRenewal[leaseKey{dispatcher, epoch}] = now
 	}
 }
 
 // expired returns the commands that expire those of the held leases that were
 // not renewed within LeaseTTL. A new term resets the recorded renewals.
-func (k *leaseTracker) expired(now time.Time, term uint64, held []machine.HeldLease) []machine.ExpireLeases {
-	if k.term != term {
-		k.term = term
-		k.lastRenewal = nil
+func (t *leaseTracker) expired(now time.Time, term uint64, held []machine.HeldLease) []machine.ExpireLeases {
+	if t.term != term {
+		t.term = term
+		t.lastRenewal = nil
 	}
 	renewals := make(map[leaseKey]time.Time, len(held))
 	unrenewed := map[string][]uint64{}
@@ -56,7 +59,7 @@
 		if _, seen := renewals[key]; seen {
 			continue
 		}
-		last, known := k.lastRenewal[key]
+		last, known := t.lastRenewal[key]
 		if !known {
 			last = now
 		}
@@ -65,7 +68,7 @@
 			unrenewed[lease.Dispatcher] = append(unrenewed[lease.Dispatcher], lease.Epoch)
 		}
 	}
-	k.lastRenewal = renewals
+	t.lastRenewal = renewals
 	return expireCommands(unrenewed)
 }
 
--- a/internal/jobs/dispatch/dispatcher.go
+++ b/internal/jobs/dispatch/dispatcher.go
@@ -19,7 +19,8 @@
 )
 
 const (
-	// tickInterval is the tick interval while streams run; the policy relies on it.
+	// tickInterval is the tick interval while streams run, the longest interval
+	// between ticks that batch.EventTick allows.
 	tickInterval = 10 * time.Millisecond
 	// idleTickInterval is the tick interval while no stream runs.
 	idleTickInterval = 100 * time.Millisecond
@@ -59,8 +60,9 @@
 	drained chan struct{}
 	once    sync.Once
 
-	// mutex guards the fields below. While it is held, no I/O is done and only
-	// the reporter's mutex is locked.
+	// mutex guards scheduler, endpoints, cancels and renewing; no I/O is done
+	// while it is held. Lock order: before the reporter's mutex and the locks
+	// of clients.
 	mutex     sync.Mutex
 	scheduler *scheduler
 	endpoints map[string]*fleet.Endpoint
@@ -390,8 +392,8 @@
 }
 
 // Drain stops starting items, hands back the queued ones and lets the running
-// ones finish until ctx ends; then it moves the repeatable ones off their
-// engines. It returns nil once all is reported, or an error if stop ends first.
+// ones finish until ctx ends; then it cancels the repeatable ones and hands
+// them back. It returns nil once all is reported, or an error if stop ends first.
 func (d *Dispatcher) Drain(ctx, stop context.Context) error {
 	d.update(func(now time.Time, s *scheduler) { s.drain(now) })
 	select {
--- a/internal/jobs/machine/machine.go
+++ b/internal/jobs/machine/machine.go
@@ -16,7 +16,9 @@
 type Machine struct {
 	// mutex guards all fields. Lock order: after the shard's locks; no other
 	// lock is acquired while it is held.
-	mutex  sync.RWMutex
+	mutex sync.RWMutex
+	// clock is the highest time of an entry in milliseconds since the Unix
+	// epoch; it never moves back.
 	clock  int64
 	open   map[string]*openJob
 	shares map[string]uint64 // virtual time of each tenant with an open job
@@ -46,7 +48,7 @@
 	ledger.Writer
 	machine *Machine
 	index   uint64
-	now     int64
+	now     int64 // the machine's clock, in Unix milliseconds
 	// touched and touchedModels are the jobs whose counters and the models
 	// whose rates change in this entry.
 	touched       map[string]*touchedJob
@@ -202,6 +204,8 @@
 	return job, job.loadStarted(reader)
 }
 
+// loadDone loads the items with a result; loadLeases then adds the leased ones to
+// taken and subtracts them from available.
 func (j *openJob) loadDone(reader ledger.Reader) error {
 	from, to := rangeOf(tableDone, j.record.JobID)
 	err := reader.Scan(from, to, func(key, value []byte) (bool, error) {
@@ -300,6 +304,8 @@
 			}
 			continue
 		}
+		// The order is irrelevant: each block has its own key, and the writes
+		// of an entry become durable atomically.
 		for block := range touched.blocks {
 			if err := tx.Set(key32(tableDone, jobID, block), touched.open.done.encodeBlock(block)); err != nil {
 				return err
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -61,7 +61,7 @@
 	registry  *prometheus.Registry
 	readiness *operator.Readiness
 	sockets   *sockets
-	servers   []*http.Server
+	servers   []*http.Server // for callers, then for operators
 
 	keys      *transport.Keyring
 	peers     *transport.Node
@@ -93,6 +93,7 @@
 	if err := n.openPeers(); err != nil {
 		return nil, err
 	}
+	// Each open method uses components opened before it.
 	n.platform = objecthttp.New(settings.Platform.Address, objecthttp.Options{})
 	n.openMembership()
 	if err := n.openSettings(); err != nil {
--- a/internal/settings/agent/agent.go
+++ b/internal/settings/agent/agent.go
@@ -24,8 +24,8 @@
 	KindDigest = transport.KindSettings + 2 // datagram
 	KindPull   = transport.KindSettings + 3 // call
 	KindReport = transport.KindSettings + 4 // datagram
-	KindZone   = transport.KindSettings + 5 // datagram
-	KindZones  = transport.KindSettings + 6 // call
+	KindZone   = transport.KindSettings + 5 // datagram: a report on one zone
+	KindZones  = transport.KindSettings + 6 // call: the status of all zones
 )
 
 const (
@@ -52,8 +52,8 @@
 	Registry prometheus.Registerer
 }
 
-// Agent maintains a node's settings. It implements settings.Source. All methods
-// are safe for concurrent use.
+// Agent maintains a node's settings. It implements settings.Source. All exported
+// methods but Run are safe for concurrent use; Run is called once.
 type Agent struct {
 	config  Config
 	live    *tree.Live
@@ -64,7 +64,9 @@
 	// version is the version in force plus one; 0 means no version yet.
 	version atomic.Uint64
 
-	// The fields below are accessed only by the run loop.
+	// The fields below are accessed only by the run loop, except ctx, which Run
+	// sets, and stopped, which is closed when Run ends: other goroutines read
+	// both.
 	machine      *dissemination.Machine
 	view         *membership.View
 	cancelWatch  context.CancelFunc
--- a/internal/settings/command/write.go
+++ b/internal/settings/command/write.go
@@ -11,6 +11,8 @@
 	"chutelock.dev/chutelock/internal/settings/tree"
 )
 
+// writeAll writes the steps in order. It is not atomic: after an error, the nodes
+// written before it stay written and are recorded in result.
 func (w *Writer) writeAll(ctx context.Context, change *Change, steps []*step, result *Result) error {
 	for i, step := range steps {
 		if step.alreadyWritten {
@@ -56,6 +58,8 @@
 	return 0, &UnknownOutcomeError{ID: change.ID, Path: step.path, Err: err}
 }
 
+// tryWrite attempts one write. It returns UnknownOutcomeError, which is retried,
+// if the write may still take effect; a conflict is permanent.
 func (w *Writer) tryWrite(ctx context.Context, change *Change, step *step, object platform.Object) (uint64, error) {
 	written, putErr := w.store.Put(ctx, object)
 	if putErr == nil {
--- a/internal/settings/dissemination/machine.go
+++ b/internal/settings/dissemination/machine.go
@@ -22,7 +22,8 @@
 	// published is set once a version is in force at this node.
 	published bool
 	pull      pull
-	// avoidPullsUntil saves bandwidth after a peer diverged.
+	// avoidPullsUntil is the time before which startPull does nothing. It saves
+	// bandwidth after a bucket pull found that a peer diverged.
 	avoidPullsUntil time.Time
 	watch           watch
 	gossip          gossip
@@ -41,7 +42,8 @@
 		restored = &State{}
 	}
 	machine := &Machine{
-		config:  config,
+		config: config,
+		// The XOR makes the second word of PCG's seed differ from the first.
 		random:  rand.New(rand.NewPCG(config.Seed, config.Seed^0x9e3779b97f4a7c15)),
 		state:   restored,
 		startup: startup{began: now, answers: make(map[transport.Address]settings.Version)},
@@ -130,7 +132,9 @@
 // maxAge stands for "never confirmed" in messages.
 const maxAge = 24 * time.Hour
 
-// observePeerVersion records the version that a peer reported, and its age.
+// observePeerVersion records the highest version reported by a peer. If the
+// peer's version is in this node's epoch and not newer than the state in force,
+// and its age is below maxAge, that state was the newest at now-age.
 func (m *Machine) observePeerVersion(now time.Time, version settings.Version, age time.Duration) {
 	m.heard = max(m.heard, version)
 	if m.state.known && version <= m.state.version && version.Epoch() == m.state.version.Epoch() && age < maxAge {
--- a/internal/settings/dissemination/plan.go
+++ b/internal/settings/dissemination/plan.go
@@ -22,9 +22,11 @@
 	head     transport.Address
 	// roots are the first nodes of each zone of the region, own zone included.
 	roots []transport.Address
-	// otherHeads are the first nodes of all other zones.
+	// otherHeads are the first relayRoots nodes of each other zone.
 	otherHeads []transport.Address
-	// zonePeers, regionPeers and otherRegions are gossip partners by distance.
+	// zonePeers, regionPeers and otherRegions are gossip partners by distance:
+	// the other nodes of the zone, all nodes of the region's other zones, and
+	// the first relayRoots nodes of each zone of other regions.
 	zonePeers, regionPeers, otherRegions []transport.Address
 	// zoneSizes counts the live members of each zone.
 	zoneSizes map[string]int
@@ -115,7 +117,8 @@
 }
 
 // watchers returns the region's watchers of the store: the first-ranked member,
-// and the first one of another zone if there is one.
+// and the first one of another zone. A region with a single zone has its first
+// WatchersPerRegion members as watchers.
 func watchers(self membership.Member, zones map[string][]membership.Member) []transport.Address {
 	var members []membership.Member
 	for _, zone := range zones {
--- a/internal/settings/dissemination/state.go
+++ b/internal/settings/dissemination/state.go
@@ -9,7 +9,8 @@
 	"chutelock.dev/chutelock/internal/settings"
 )
 
-// BucketCount is the number of buckets that two nodes compare.
+// BucketCount is the number of buckets that two nodes compare by digest. A bucket
+// holds the entries whose names hash to its number.
 const BucketCount = 256
 
 // Entry is a stored object or a tombstone, which tells a deleted entry from one
--- a/internal/settings/tree/tree.go
+++ b/internal/settings/tree/tree.go
@@ -22,7 +22,8 @@
 	// orphans are the paths of nodes whose parent does not exist.
 	orphans  map[string]struct{}
 	snapshot *settings.Snapshot
-	claims   claims
+	// claims tracks which node owns each API key, tenant name and model.
+	claims claims
 }
 
 // New returns an empty tree.
@@ -115,7 +116,8 @@
 	return t.snapshot
 }
 
-// Check returns the problems that updates would add, without changing the tree.
+// Check returns the problems that updates would add. It applies the updates and
+// undoes them.
 func (t *Tree) Check(updates []Update) []Problem {
 	known := make(map[Problem]bool)
 	for _, problem := range t.Problems() {
@@ -235,7 +237,8 @@
 	return &clean
 }
 
-// link adds path to the children of its ancestors, whether they exist or not.
+// link adds path to its parent's children and each ancestor to its own parent's,
+// whether their nodes exist or not.
 func (t *Tree) link(path string) {
 	for parent := Parent(path); parent != ""; path, parent = parent, Parent(parent) {
 		if t.children[parent] == nil {
--- a/internal/standin/truth/checks.go
+++ b/internal/standin/truth/checks.go
@@ -150,7 +150,7 @@
 
 // Overlapping returns a violation for each request with two attempts that ran at
 // the same time. An attempt without an end counts as running until the next
-// start of its engine, or forever.
+// start of its engine, or forever. The entries of an engine must be in time order.
 func Overlapping(entries []Entry) []*Violation {
 	restarts := startTimes(entries)
 	byRequest := map[string][]Attempt{}
@@ -183,7 +183,7 @@
 	return nil
 }
 
-// startTimes returns the start times by source.
+// startTimes returns the start times by source, in the order of entries.
 func startTimes(entries []Entry) map[string][]time.Time {
 	starts := map[string][]time.Time{}
 	for _, entry := range entries {
@@ -195,6 +195,7 @@
 }
 
 // endTime returns the latest time the attempt can have run, zero if unbounded.
+// The restarts of a source must be in time order.
 func endTime(attempt Attempt, restarts map[string][]time.Time) time.Time {
 	if !attempt.Ended.IsZero() {
 		return attempt.Ended
@@ -236,7 +237,8 @@
 }
 
 // StaleOrders returns a violation for each order that took effect after one with
-// a higher fencing token at the same engine.
+// a higher fencing token at the same engine. The entries of an engine must be in
+// time order.
 func StaleOrders(entries []Entry) []*Violation {
 	highest := map[string]uint64{}
 	var found []*Violation
