--- a/internal/jobs/dispatch/dispatcher.go
+++ b/internal/jobs/dispatch/dispatcher.go
@@ -167,7 +167,7 @@
 	}
 }
 
-var errStale = errors.New("dispatch: the attempt has ended")
+var errStale = errors.New("dispatch: the attempt is over")
 
 // attempt runs one attempt; a non-repeatable item only after its start was
 // committed.
--- a/internal/platform/objecthttp/client.go
+++ b/internal/platform/objecthttp/client.go
@@ -127,7 +127,7 @@
 	case http.StatusTooManyRequests:
 		return platform.ErrBudget
 	}
-	return trace.BadParameter("unexpected status %s", status)
+	return trace.BadParameter("answered %s", status)
 }
 
 // decodeObject decodes the object in an answer. After an error, the call may have taken
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -348,7 +348,7 @@
 			return frame{}, trace.Wrap(ErrBroken, "calling peer %s", c.key.address)
 		}
 		if answered.header.Type == frameHello {
-			return frame{}, trace.Wrap(ErrNotSent, "peer %s is unreachable", c.key.address)
+			return frame{}, trace.Wrap(ErrNotSent, "peer %s can't be reached", c.key.address)
 		}
 		return answered, nil
 	}
--- a/internal/transport/node.go
+++ b/internal/transport/node.go
@@ -247,7 +247,7 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if n.stopped {
-		return nil, trace.Wrap(ErrNotSent, "node is stopped")
+		return nil, trace.Wrap(ErrNotSent, "this node is stopped")
 	}
 	if peer, ok := n.peers[key]; ok {
 		peer.refs++
